--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -1,8 +1,8 @@
-//! One send of one request to one target.
+//! One attempt to run a request at one target.
 //!
-//! The task of an attempt does the I/O; the entry core decides. Three steps wait
-//! for the core's word: the first byte to the target, the first part to the
-//! caller, and the end of the answer.
+//! The attempt's task does the I/O and the entry core decides. The task waits for a signal from the
+//! core at three points: before the first byte goes to the target, before the first part goes to
+//! the caller, and before the answer ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use cornelhitch_entry::action::Destination;
-use cornelhitch_entry::event::{Attempt as Number, CallId, Event, Failure};
+use cornelhitch_entry::event::{Attempt as AttemptNumber, CallId, Event, Failure};
 use cornelhitch_target::client::{Call, Client, Gate, Generate, Part as Piece, RequestId};
 use cornelhitch_target::error::Error;
 use cornelhitch_types::refusal::Run;
@@ -26,37 +26,37 @@
 use crate::exchange::{Exchange, Head, Part, Payload, Recorded};
 use crate::metrics::{Count, Metrics};
 
-/// Tokens between two reports of progress to the core.
-const PROGRESS: u64 = 64;
+/// Tokens between two progress reports to the core.
+const PROGRESS_TOKENS: u64 = 64;
 
-/// Time between two reports of progress, where tokens come slowly.
-const PROGRESS_TIME: Duration = Duration::from_secs(1);
+/// Longest interval between two progress reports, for targets that produce tokens slowly.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reports of progress for a caller that takes nothing, before it counts as gone.
-const CALLER_WAITS: u32 = 20;
+/// Progress intervals without room in the caller's queue, after which the caller counts as gone.
+const MAX_STALLED_INTERVALS: u32 = 20;
 
-/// The core's words that an attempt waits for.
+/// The sending ends of the signals that an attempt waits for; `None` once sent.
 #[derive(Debug)]
 pub struct Signals {
-    /// The first byte may leave.
+    /// The first byte may go to the target.
     pub proceed: Option<oneshot::Sender<()>>,
-    /// The answer may be passed on.
+    /// The answer may be passed to the caller.
     pub deliver: Option<oneshot::Sender<()>>,
-    /// The answer may be ended.
+    /// The answer may be completed.
     pub finish: Option<oneshot::Sender<()>>,
 }
 
 /// The receiving ends of [`Signals`].
 #[derive(Debug)]
-pub struct Waits {
+pub struct SignalReceivers {
     pub(crate) proceed: oneshot::Receiver<()>,
     pub(crate) deliver: oneshot::Receiver<()>,
     pub(crate) finish: oneshot::Receiver<()>,
 }
 
-/// Both ends of an attempt's signals.
+/// Creates the signals of an attempt.
 #[must_use]
-pub fn signals() -> (Signals, Waits) {
+pub fn signals() -> (Signals, SignalReceivers) {
     let (proceed, proceeds) = oneshot::channel();
     let (deliver, delivers) = oneshot::channel();
     let (finish, finishes) = oneshot::channel();
@@ -65,7 +65,7 @@
         deliver: Some(deliver),
         finish: Some(finish),
     };
-    let waits = Waits {
+    let waits = SignalReceivers {
         proceed: proceeds,
         deliver: delivers,
         finish: finishes,
@@ -73,38 +73,38 @@
     (signals, waits)
 }
 
-/// What an attempt's task is started with.
+/// An attempt, with everything its task needs.
 pub struct Attempt {
-    /// The request.
+    /// The request's id in the core.
     pub id: CallId,
-    /// The attempt.
-    pub number: Number,
-    /// The id that the target repeats in its answer.
+    /// The number of this attempt within the request.
+    pub number: AttemptNumber,
+    /// The request id sent to the target, which repeats it in its answer.
     pub request: RequestId,
-    /// Where it goes.
+    /// The target, and the replica if it runs models.
     pub to: Destination,
-    /// Tokens that the caller has, where an answer is continued.
+    /// Tokens the caller already has, if this attempt resumes an answer.
     pub resume: Option<u64>,
-    /// The request in progress.
+    /// The request and the caller's reply queue.
     pub exchange: Exchange,
-    /// The way to targets.
+    /// The client for requests to targets.
     pub client: Arc<dyn Client>,
-    /// Where events go.
+    /// The entry task's input queue.
     pub inputs: mpsc::UnboundedSender<Input>,
-    /// Counters.
+    /// The metrics of this process.
     pub metrics: Metrics,
 }
 
-/// Asks the core before the first byte leaves.
-struct Turnstile {
+/// A gate that asks the core for permission before the first byte is sent.
+struct ProceedGate {
     id: CallId,
-    attempt: Number,
+    attempt: AttemptNumber,
     inputs: mpsc::UnboundedSender<Input>,
     proceed: oneshot::Receiver<()>,
 }
 
 #[async_trait]
-impl Gate for Turnstile {
+impl Gate for ProceedGate {
     async fn pass(self: Box<Self>) -> bool {
         let sent = Event::Sent {
             id: self.id,
@@ -114,15 +114,15 @@
     }
 }
 
-/// Why an attempt ended without a whole answer.
-pub(crate) enum End {
+/// Why an attempt ended without a complete answer.
+pub(crate) enum AttemptEnd {
     /// The target failed.
     Failed(Failure),
-    /// The core withdrew the attempt or the caller left; nothing is to be told.
+    /// The core cancelled the attempt or the caller left; the core needs no report.
     Withdrawn,
 }
 
-impl From<Error> for End {
+impl From<Error> for AttemptEnd {
     fn from(error: Error) -> Self {
         Self::Failed(match error {
             Error::Withdrawn => return Self::Withdrawn,
@@ -140,20 +140,20 @@
     }
 }
 
-/// What is kept of an answer while it is passed on.
-pub(crate) struct Record {
-    /// When the core was last told of progress.
-    told: Instant,
+/// What is collected of an answer while it is passed on; the body only if it has to be recorded.
+pub(crate) struct AnswerRecord {
+    /// When progress was last reported to the core.
+    last_progress: Instant,
     media_type: Option<String>,
     status: u16,
     body: Vec<u8>,
 }
 
-impl Default for Record {
-    /// The record of an answer that is not kept.
+impl Default for AnswerRecord {
+    /// Returns the record of an answer that is not stored.
     fn default() -> Self {
         Self {
-            told: Instant::now(),
+            last_progress: Instant::now(),
             media_type: None,
             status: 0,
             body: Vec::new(),
@@ -162,21 +162,21 @@
 }
 
 impl Attempt {
-    /// Runs the attempt to its end and tells the core how it went.
-    pub async fn run(self, waits: Waits) {
-        self.metrics.one(Count::Attempts);
+    /// Runs the attempt to its end and reports a failure to the core.
+    pub async fn run(self, waits: SignalReceivers) {
+        self.metrics.increment(Count::Attempts);
         let ended = match &*self.exchange.payload {
             Payload::Model { .. } => self.generate(waits).await,
             Payload::Service { .. } => self.call(waits).await,
             Payload::Routed(_) => self.relay(waits).await,
         };
-        if let Err(End::Failed(failure)) = ended {
-            self.metrics.one(Count::AttemptsFailed);
+        if let Err(AttemptEnd::Failed(failure)) = ended {
+            self.metrics.increment(Count::AttemptsFailed);
             tracing::info!(
-                request = &*self.request, target = &*self.to.target, %failure, "an attempt failed"
+                request = &*self.request, target = &*self.to.target, %failure, "attempt failed"
             );
-            self.progress();
-            self.tell(Event::Failed {
+            self.report_progress();
+            self.send_event(Event::Failed {
                 id: self.id,
                 attempt: self.number,
                 failure,
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Asks a model.
-    async fn generate(&self, waits: Waits) -> Result<(), End> {
+    /// Sends a request to a model and passes on its answer.
+    async fn generate(&self, waits: SignalReceivers) -> Result<(), AttemptEnd> {
         let Payload::Model {
             model,
             form,
@@ -193,7 +193,7 @@
             stream,
         } = &*self.exchange.payload
         else {
-            return Err(End::Withdrawn);
+            return Err(AttemptEnd::Withdrawn);
         };
         let generate = Generate {
             request: self.request.clone(),
@@ -204,42 +204,43 @@
             stream: *stream,
             priority: self.exchange.priority,
             resume_from: self.resume,
-            deadline: self.exchange.left(),
+            deadline: self.exchange.time_left(),
         };
         let gate = self.gate(waits.proceed);
         let answer = self.client.generate(self.address(), generate, gate);
-        let mut answer = answer.await.map_err(|error| self.failed(error))?;
-        let mut record = Record {
-            told: Instant::now(),
+        let mut answer = answer.await.map_err(|error| self.target_error(error))?;
+        let mut record = AnswerRecord {
+            last_progress: Instant::now(),
             status: answer.status.as_u16(),
             media_type: media_type(&answer.headers),
             body: Vec::new(),
         };
         let mut head = Some(Head {
             status: answer.status,
-            headers: passed_on(&answer.headers),
+            headers: end_to_end_headers(&answer.headers),
         });
         let mut deliver = Some(waits.deliver);
         while let Some(piece) = answer.parts.next().await {
-            match piece.map_err(|error| self.failed(error))? {
+            match piece.map_err(|error| self.target_error(error))? {
                 Piece::Event { to, bytes, .. } => {
-                    self.begin(&mut deliver).await?;
-                    self.head(&mut head).await?;
-                    self.pass(to, bytes, &mut record).await?;
+                    self.begin_answer(&mut deliver).await?;
+                    self.send_head(&mut head).await?;
+                    self.forward(to, bytes, &mut record).await?;
                 }
                 Piece::Done { bytes } => {
-                    self.begin(&mut deliver).await?;
+                    self.begin_answer(&mut deliver).await?;
                     record.keep(self.exchange.keyed, &bytes);
-                    self.end(waits.finish, record, &mut head, bytes).await?;
+                    self.finish_answer(waits.finish, record, &mut head, bytes)
+                        .await?;
                     return Ok(());
                 }
             }
         }
-        Err(End::Failed(Failure::Truncated))
+        Err(AttemptEnd::Failed(Failure::Truncated))
     }
 
-    /// Asks a plain service.
-    async fn call(&self, waits: Waits) -> Result<(), End> {
+    /// Sends a request to a plain service and passes on its answer.
+    async fn call(&self, waits: SignalReceivers) -> Result<(), AttemptEnd> {
         let Payload::Service {
             method,
             path,
@@ -247,7 +248,7 @@
             body,
         } = &*self.exchange.payload
         else {
-            return Err(End::Withdrawn);
+            return Err(AttemptEnd::Withdrawn);
         };
         let call = Call {
             request: self.request.clone(),
@@ -256,14 +257,14 @@
             headers: headers.clone(),
             body: body.clone(),
             repeatable: self.exchange.repeatable,
-            deadline: self.exchange.left(),
+            deadline: self.exchange.time_left(),
         };
         let gate = self.gate(waits.proceed);
         let reply = self.client.call(self.address(), call, gate);
-        let reply = reply.await.map_err(|error| self.failed(error))?;
-        self.begin(&mut Some(waits.deliver)).await?;
-        let mut record = Record {
-            told: Instant::now(),
+        let reply = reply.await.map_err(|error| self.target_error(error))?;
+        self.begin_answer(&mut Some(waits.deliver)).await?;
+        let mut record = AnswerRecord {
+            last_progress: Instant::now(),
             status: reply.status.as_u16(),
             media_type: media_type(&reply.headers),
             body: Vec::new(),
@@ -271,62 +272,71 @@
         record.keep(self.exchange.keyed, &reply.body);
         let mut head = Some(Head {
             status: reply.status,
-            headers: passed_on(&reply.headers),
+            headers: end_to_end_headers(&reply.headers),
         });
-        self.end(waits.finish, record, &mut head, reply.body).await
+        self.finish_answer(waits.finish, record, &mut head, reply.body)
+            .await
     }
 
-    /// Tells the core that the answer began and waits for its word, once.
-    pub(crate) async fn begin(
+    /// Reports to the core that the answer has started and waits for permission to pass it on, on
+    /// the first call only.
+    pub(crate) async fn begin_answer(
         &self,
         deliver: &mut Option<oneshot::Receiver<()>>,
-    ) -> Result<(), End> {
+    ) -> Result<(), AttemptEnd> {
         let Some(deliver) = deliver.take() else {
             return Ok(());
         };
-        self.tell(Event::Begun {
+        self.send_event(Event::Begun {
             id: self.id,
             attempt: self.number,
         });
-        deliver.await.map_err(|_| End::Withdrawn)?;
+        deliver.await.map_err(|_| AttemptEnd::Withdrawn)?;
         if self.resume.is_none() {
             self.metrics.started(self.exchange.arrived.elapsed());
         }
         Ok(())
     }
 
-    /// Passes the head on, unless an earlier attempt did.
-    async fn head(&self, head: &mut Option<Head>) -> Result<(), End> {
+    /// Sends the status and headers to the caller, unless an earlier attempt already has.
+    async fn send_head(&self, head: &mut Option<Head>) -> Result<(), AttemptEnd> {
         let Some(head) = head.take() else {
             return Ok(());
         };
         if self.resume.is_some_and(|tokens| tokens > 0) {
             return Ok(());
         }
-        self.reply(Part::Head(head)).await
+        self.send_part(Part::Head(head)).await
     }
 
-    /// Passes one event on.
-    pub(crate) async fn pass(&self, to: u64, bytes: Bytes, record: &mut Record) -> Result<(), End> {
+    /// Passes one event to the caller; `to` is the number of tokens that the caller has with it.
+    pub(crate) async fn forward(
+        &self,
+        to: u64,
+        bytes: Bytes,
+        record: &mut AnswerRecord,
+    ) -> Result<(), AttemptEnd> {
         record.keep(self.exchange.keyed, &bytes);
-        self.reply(Part::Data(bytes)).await?;
+        self.send_part(Part::Data(bytes)).await?;
         let before = self.exchange.delivered.swap(to, Ordering::Relaxed);
-        self.metrics.many(Count::Tokens, to.saturating_sub(before));
-        if to / PROGRESS != before / PROGRESS || record.told.elapsed() >= PROGRESS_TIME {
-            record.told = Instant::now();
-            self.progress();
+        self.metrics.add(Count::Tokens, to.saturating_sub(before));
+        if to / PROGRESS_TOKENS != before / PROGRESS_TOKENS
+            || record.last_progress.elapsed() >= PROGRESS_INTERVAL
+        {
+            record.last_progress = Instant::now();
+            self.report_progress();
         }
         Ok(())
     }
 
-    /// Ends the answer once the core says so.
-    pub(crate) async fn end(
+    /// Completes the answer once the core permits it; `rest` is the end of the body.
+    pub(crate) async fn finish_answer(
         &self,
         finish: oneshot::Receiver<()>,
-        record: Record,
+        record: AnswerRecord,
         head: &mut Option<Head>,
         rest: Bytes,
-    ) -> Result<(), End> {
+    ) -> Result<(), AttemptEnd> {
         if self.exchange.keyed {
             let recorded = Recorded {
                 status: record.status,
@@ -335,73 +345,73 @@
             };
             let _ = self.inputs.send(Input::Answer(self.id, recorded));
         }
-        self.progress();
-        self.tell(Event::Ended {
+        self.report_progress();
+        self.send_event(Event::Ended {
             id: self.id,
             attempt: self.number,
         });
-        finish.await.map_err(|_| End::Withdrawn)?;
-        self.head(head).await?;
+        finish.await.map_err(|_| AttemptEnd::Withdrawn)?;
+        self.send_head(head).await?;
         if !rest.is_empty() {
-            self.reply(Part::Data(rest)).await?;
+            self.send_part(Part::Data(rest)).await?;
         }
-        self.reply(Part::End).await?;
+        self.send_part(Part::End).await?;
         self.metrics.ended(self.exchange.arrived.elapsed());
         Ok(())
     }
 
-    /// Hands a part to the caller; waits while the caller is slow.
+    /// Sends a part to the caller, waiting while the caller's queue is full.
     ///
-    /// The core is told meanwhile, since the target is not at fault.
-    pub(crate) async fn reply(&self, part: Part) -> Result<(), End> {
-        for _ in 0..CALLER_WAITS {
-            let room = timeout(PROGRESS_TIME, self.exchange.reply.reserve()).await;
+    /// Progress is reported to the core meanwhile, so that the target isn't blamed for the delay.
+    pub(crate) async fn send_part(&self, part: Part) -> Result<(), AttemptEnd> {
+        for _ in 0..MAX_STALLED_INTERVALS {
+            let room = timeout(PROGRESS_INTERVAL, self.exchange.reply.reserve()).await;
             match room {
                 Ok(Ok(place)) => {
                     place.send(part);
                     return Ok(());
                 }
                 Ok(Err(_)) => break,
-                Err(_) => self.progress(),
+                Err(_) => self.report_progress(),
             }
         }
-        self.tell(Event::CallerLeft { id: self.id });
-        Err(End::Withdrawn)
+        self.send_event(Event::CallerLeft { id: self.id });
+        Err(AttemptEnd::Withdrawn)
     }
 
-    /// How far the answer has been handed to the caller, over all attempts.
+    /// Returns the tokens passed to the caller so far, over all attempts.
     pub(crate) fn delivered(&self) -> u64 {
         self.exchange.delivered.load(Ordering::Relaxed)
     }
 
-    /// Tells the core how far the answer is.
-    fn progress(&self) {
-        self.tell(Event::Progress {
+    /// Reports to the core how many tokens the caller has.
+    fn report_progress(&self) {
+        self.send_event(Event::Progress {
             id: self.id,
             attempt: self.number,
             offset: self.exchange.delivered.load(Ordering::Relaxed),
         });
     }
 
-    /// Logs an error and turns it into the core's terms.
-    pub(crate) fn failed(&self, error: Error) -> End {
-        tracing::debug!(request = &*self.request, %error, "a target failed");
-        End::from(error)
+    /// Logs an error of the target and converts it.
+    pub(crate) fn target_error(&self, error: Error) -> AttemptEnd {
+        tracing::debug!(request = &*self.request, %error, "request to target failed");
+        AttemptEnd::from(error)
     }
 
-    /// Tells the core something.
-    pub(crate) fn tell(&self, event: Event) {
+    /// Sends an event to the core.
+    pub(crate) fn send_event(&self, event: Event) {
         let _ = self.inputs.send(Input::Event(event));
     }
 
-    /// Where the attempt goes.
+    /// Returns the target's address.
     pub(crate) fn address(&self) -> SocketAddr {
         self.to.address
     }
 
-    /// What holds the first byte back until the core agrees.
+    /// Returns the gate that holds back the first byte until the core permits it.
     pub(crate) fn gate(&self, proceed: oneshot::Receiver<()>) -> Box<dyn Gate> {
-        Box::new(Turnstile {
+        Box::new(ProceedGate {
             id: self.id,
             attempt: self.number,
             inputs: self.inputs.clone(),
@@ -410,8 +420,8 @@
     }
 }
 
-impl Record {
-    /// Collects bytes of an answer that is kept.
+impl AnswerRecord {
+    /// Appends bytes to the stored body if the request has an idempotency key.
     fn keep(&mut self, keyed: bool, bytes: &[u8]) {
         if keyed {
             self.body.extend_from_slice(bytes);
@@ -419,14 +429,14 @@
     }
 }
 
-/// The media type of an answer.
+/// Returns the `Content-Type` of an answer.
 fn media_type(headers: &HeaderMap) -> Option<String> {
     let value = headers.get(CONTENT_TYPE)?;
     value.to_str().ok().map(str::to_owned)
 }
 
-/// The headers of a target's answer that callers see.
-pub(crate) fn passed_on(headers: &HeaderMap) -> HeaderMap {
+/// Returns the headers of a target's answer without the hop-by-hop ones.
+pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
     for name in crate::header::HOP_BY_HOP {
         kept.remove(*name);
--- a/crates/node/src/body.rs
+++ b/crates/node/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of responses.
+//! Bodies of HTTP responses.
 
 use std::convert::Infallible;
 
@@ -11,41 +11,41 @@
 
 use crate::exchange::Part;
 
-/// Why a body ends early: the connection is closed, so that the caller notices.
+/// The error that ends an incomplete body; it closes the connection, which tells the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Cut;
+pub struct Truncated;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for Truncated {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer was cut short")
+        f.write_str("the answer ended before it was complete")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Truncated {}
 
-/// A body of any kind.
-pub type Body = http_body_util::combinators::UnsyncBoxBody<Bytes, Cut>;
+/// The type of all response bodies.
+pub type Body = http_body_util::combinators::UnsyncBoxBody<Bytes, Truncated>;
 
-/// A body that is there whole.
+/// Returns a body of bytes that are all known.
 #[must_use]
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
-/// A body of the parts of an answer, as they come.
+/// Returns a body that streams the parts of an answer as they arrive.
 ///
-/// It is whole only if [`Part::End`] came; else the connection is cut, which a
-/// caller can tell from an end. The guard is dropped with the body.
+/// The body ends normally only after [`Part::End`]. In any other case the connection is closed,
+/// which a caller can tell from a normal end. The guard is dropped with the body.
 #[must_use]
-pub fn guarded<G: Send + 'static>(receiver: mpsc::Receiver<Part>, guard: G) -> Body {
+pub fn streaming<G: Send + 'static>(receiver: mpsc::Receiver<Part>, guard: G) -> Body {
     let frames = unfold(Some((receiver, guard)), |state| async move {
         let (mut receiver, guard) = state?;
         match receiver.recv().await {
             Some(Part::Data(bytes)) => Some((Ok(Frame::data(bytes)), Some((receiver, guard)))),
             Some(Part::End) => None,
-            Some(Part::Head(_) | Part::Refusal(_)) | None => Some((Err(Cut), None)),
+            Some(Part::Head(_) | Part::Refusal(_)) | None => Some((Err(Truncated), None)),
         }
     });
     StreamBody::new(frames.boxed()).boxed_unsync()
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -1,4 +1,4 @@
-//! The HTTP side towards callers and targets.
+//! The HTTP service for callers and targets in the project's own protocol.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use cornelhitch_entry::event::{CallId, Event};
 use cornelhitch_settings::fleet::Fleet;
-use cornelhitch_target::inbound::{Message as Told, Protocol, Receipt};
+use cornelhitch_target::inbound::{Message as TargetMessage, Protocol, Receipt};
 use cornelhitch_types::refusal::{Reason, Refusal};
 use http::header::{CACHE_CONTROL, CONTENT_TYPE};
 use http::request::Parts;
@@ -20,50 +20,50 @@
 
 use crate::body::{self, Body};
 use crate::entry::Input;
-use crate::exchange::{Intake, PARTS, Part};
+use crate::exchange::{NewRequest, PART_QUEUE, Part};
 use crate::metrics::{Count, Metrics};
 use crate::problem::{Problem, not_run};
-use crate::request::{self, Way};
+use crate::request::{self, Endpoint};
 use crate::server::Service;
 
 /// The largest body of a target's message, in bytes.
-const MESSAGE: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// What callers' requests are served with.
+/// The HTTP service for callers and targets.
 pub struct Callers {
-    /// Where the entry task is.
+    /// The entry task's input queue.
     pub inputs: mpsc::UnboundedSender<Input>,
-    /// The settings in force here.
+    /// The fleet settings in force.
     pub fleet: watch::Receiver<Arc<Fleet>>,
-    /// How targets' messages are encoded.
+    /// The encoding of targets' messages.
     pub protocol: Arc<dyn Protocol>,
-    /// Counters.
+    /// The metrics of this process.
     pub metrics: Metrics,
-    /// The number of the next request.
+    /// The id for the next request.
     pub next: AtomicU64,
 }
 
-/// Tells the entry task that a caller left, unless its request has ended by then.
-pub(crate) struct Departure {
+/// Tells the entry task on drop that the caller has left; ignored if the request has ended by then.
+pub(crate) struct CallerGuard {
     pub(crate) id: CallId,
     pub(crate) inputs: mpsc::UnboundedSender<Input>,
 }
 
-impl Drop for Departure {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
         let left = Event::CallerLeft { id: self.id };
         let _ = self.inputs.send(Input::Event(left));
     }
 }
 
-/// The answer to `GET /v1/models`, as OpenAI's interface shapes it.
+/// The response to `GET /v1/models`, in the shape of the OpenAI API.
 #[derive(Debug, Serialize)]
 struct Models {
     object: &'static str,
     data: Vec<Model>,
 }
 
-/// One row of [`Models`].
+/// A model or adapter in [`Models`].
 #[derive(Debug, Serialize)]
 struct Model {
     id: String,
@@ -75,17 +75,20 @@
     async fn serve(&self, request: Request<Incoming>, from: SocketAddr) -> Response<Body> {
         let (parts, body) = request.into_parts();
         if self.protocol.takes(parts.uri.path()) {
-            return self.target(&parts, body).await;
+            return self.serve_target(&parts, body).await;
         }
         let since = Instant::now();
-        let served = match Way::of(&parts) {
-            Some(Ok(way)) => self.request(way, parts, body, from).await,
+        let served = match Endpoint::of(&parts) {
+            Some(Ok(endpoint)) => self.serve_request(endpoint, parts, body, from).await,
             Some(Err(refusal)) => Err(refusal),
-            None => self.page(&parts).await,
+            None => self.serve_page(&parts).await,
         };
         served.unwrap_or_else(|refusal| {
             self.metrics.refused(&refusal, since.elapsed());
-            tracing::debug!(reason = %refusal.reason, detail = &*refusal.detail, "refused");
+            tracing::debug!(
+                reason = %refusal.reason, detail = &*refusal.detail,
+                "refused a request or broke off its answer"
+            );
             Problem::from(&refusal).response()
         })
     }
@@ -93,41 +96,41 @@
 
 impl Callers {
     /// Serves a request to a model or a plain service.
-    async fn request(
+    async fn serve_request(
         &self,
-        way: Way,
+        endpoint: Endpoint,
         parts: Parts,
         body: Incoming,
         from: SocketAddr,
     ) -> Result<Response<Body>, Refusal> {
-        self.metrics.one(Count::Requests);
+        self.metrics.increment(Count::Requests);
         let limit = self.fleet.borrow().refusing.body;
         let body = collect(body, limit).await?;
         let id = self.next.fetch_add(1, Ordering::Relaxed);
-        let (request, payload) = request::read(id, way, &parts, body, from)?;
+        let (request, payload) = request::read(id, endpoint, &parts, body, from)?;
         let streaming = request.streaming;
-        let (reply, answer) = mpsc::channel(PARTS);
-        let intake = Intake {
+        let (reply, answer) = mpsc::channel(PART_QUEUE);
+        let intake = NewRequest {
             request,
             payload,
             reply,
         };
-        let departure = Departure {
+        let guard = CallerGuard {
             id,
             inputs: self.inputs.clone(),
         };
-        let _ = self.inputs.send(Input::Intake(Box::new(intake)));
-        answered(answer, departure, |_| streaming).await
+        let _ = self.inputs.send(Input::NewRequest(Box::new(intake)));
+        caller_response(answer, guard, |_| streaming).await
     }
 
-    /// Serves what a target tells.
-    async fn target(&self, parts: &Parts, body: Incoming) -> Response<Body> {
-        let receipt = match collect(body, MESSAGE).await {
+    /// Serves a message from a target.
+    async fn serve_target(&self, parts: &Parts, body: Incoming) -> Response<Body> {
+        let receipt = match collect(body, MAX_MESSAGE_BYTES).await {
             Ok(body) => {
                 let path = parts.uri.path();
                 let message = self.protocol.decode(&parts.method, path, &body);
                 match message {
-                    Ok(message) => Ok(self.told(message).await),
+                    Ok(message) => Ok(self.forward_message(message).await),
                     Err(error) => Err(error),
                 }
             }
@@ -135,18 +138,18 @@
         };
         self.protocol
             .answer(parts.uri.path(), receipt)
-            .map(body::whole)
+            .map(body::full)
     }
 
-    /// Hands on what a target told.
-    async fn told(&self, message: Told) -> Receipt {
+    /// Forwards a target's message to the entry task and returns the receipt.
+    async fn forward_message(&self, message: TargetMessage) -> Receipt {
         let (answer, answered) = oneshot::channel();
-        let _ = self.inputs.send(Input::Told(message, answer));
+        let _ = self.inputs.send(Input::TargetMessage(message, answer));
         answered.await.unwrap_or(Receipt::Elsewhere)
     }
 
-    /// Serves the pages that need no target.
-    async fn page(&self, parts: &Parts) -> Result<Response<Body>, Refusal> {
+    /// Serves the requests that need no target.
+    async fn serve_page(&self, parts: &Parts) -> Result<Response<Body>, Refusal> {
         let path = parts.uri.path();
         if !matches!(path, "/v1/models" | "/v1/entries" | "/healthz") {
             let detail = format!("nothing is at {path}");
@@ -163,7 +166,7 @@
         }
     }
 
-    /// The models of the settings in force.
+    /// Lists the models and adapters of the settings in force.
     fn models(&self) -> Models {
         let fleet = self.fleet.borrow().clone();
         let ids = fleet.models.iter().flat_map(|model| {
@@ -182,7 +185,7 @@
         }
     }
 
-    /// The addresses that a caller may use.
+    /// Returns the entry addresses that a caller may use.
     async fn entries(&self) -> Result<Response<Body>, Refusal> {
         let (answer, answered) = oneshot::channel();
         let _ = self.inputs.send(Input::Entries(answer));
@@ -196,20 +199,20 @@
     }
 }
 
-/// A JSON response.
+/// Returns a response with a JSON body.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(body::whole(bytes));
+    let mut response = Response::new(body::full(bytes));
     *response.status_mut() = status;
     let media_type = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, media_type);
     response
 }
 
-/// The whole body of a request.
+/// Reads the whole body of a request.
 ///
 /// # Errors
-/// It is larger than the limit, or the caller broke off.
+/// Returns a refusal if the body is over `limit` bytes or the connection breaks.
 pub async fn collect(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
     match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
@@ -221,11 +224,11 @@
     }
 }
 
-/// The response to a caller, once the answer begins; `streams` tells whether its body is passed on as
-/// it comes, or else as a whole.
-pub(crate) async fn answered(
+/// Waits for the answer to begin and returns the response. `streams` decides by the status whether
+/// the body is streamed or buffered.
+pub(crate) async fn caller_response(
     mut answer: mpsc::Receiver<Part>,
-    departure: Departure,
+    guard: CallerGuard,
     streams: impl FnOnce(StatusCode) -> bool,
 ) -> Result<Response<Body>, Refusal> {
     let head = match answer.recv().await {
@@ -234,9 +237,9 @@
         Some(Part::Data(_) | Part::End) | None => return Err(stopped()),
     };
     let body = if streams(head.status) {
-        body::guarded(answer, departure)
+        body::streaming(answer, guard)
     } else {
-        body::whole(gather(answer).await?)
+        body::full(collect_parts(answer).await?)
     };
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
@@ -244,8 +247,8 @@
     Ok(response)
 }
 
-/// The body of an answer that is passed on only as a whole.
-async fn gather(mut answer: mpsc::Receiver<Part>) -> Result<Bytes, Refusal> {
+/// Buffers the body of an answer that is not streamed.
+async fn collect_parts(mut answer: mpsc::Receiver<Part>) -> Result<Bytes, Refusal> {
     let mut whole = Vec::new();
     loop {
         match answer.recv().await {
@@ -258,12 +261,12 @@
     }
 }
 
-/// The refusal of a request whose task is gone.
+/// Returns the refusal for a request whose task has ended.
 fn stopped() -> Refusal {
     Refusal {
         reason: Reason::TargetFailed,
         run: cornelhitch_types::refusal::Run::Unknown,
         retry_after: None,
-        detail: "this process stopped before the answer was whole".into(),
+        detail: "this process stopped before the answer was complete".into(),
     }
 }
--- a/crates/node/src/candidates.rs
+++ b/crates/node/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Who may lead, as a host's session knows it.
+//! The hosts that may lead, as a session knows them.
 
 use std::time::Duration;
 
@@ -6,34 +6,35 @@
 use cornelhitch_types::id::{HostId, Term};
 use tokio::time::Instant;
 
-/// Time before another host is asked: after one that names no leader, and between two names that are
-/// obeyed at once, so that voters which name one another are not followed in circles.
-pub const PAUSE: Duration = Duration::from_millis(200);
+/// Pause before trying another host: after one that names no leader, and between two hints that are
+/// followed at once, so that a session doesn't run in circles between voters that name each other.
+pub const SWITCH_PAUSE: Duration = Duration::from_millis(200);
 
-/// The voters of the host's own settings and those that a leader told of.
+/// The voters of a host's own settings and those reported by a leader.
 ///
-/// Those of the settings stay, whatever is told: they are what a host has when
-/// all it learned is out of date.
+/// Those of the settings are kept whatever is reported: they are the fallback when all that was
+/// learned is out of date.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Candidates {
     settings: Vec<Peer>,
     learned: Vec<Peer>,
-    /// The one that is taken for the leader.
+    /// The presumed leader.
     leader: Option<HostId>,
-    /// Whether it has spoken as the leader since it was turned to.
+    /// Whether the presumed leader has sent a leader's message since it was chosen.
     heard: bool,
-    /// The one that a voter named as the leader since the last turn.
-    named: Option<HostId>,
-    /// When a named host was last to be turned to at once.
-    obeyed: Option<Instant>,
-    /// The term of the leader that told the voters.
+    /// The leader last named by a voter since the last switch.
+    hinted: Option<HostId>,
+    /// When a hint was last followed at once.
+    last_immediate: Option<Instant>,
+    /// The term of the leader that reported the voters.
     term: Term,
 }
 
 impl Candidates {
-    /// The voters of the settings.
+    /// Creates the list from the voters of the settings.
     ///
-    /// This host comes first where it is one of them: asking it costs no message.
+    /// The presumed leader is this host if it is one of them, since asking it costs no message, or
+    /// else the first.
     #[must_use]
     pub fn new(settings: Vec<Peer>, me: HostId) -> Self {
         let own = settings.iter().find(|voter| voter.host == me);
@@ -45,29 +46,31 @@
         }
     }
 
-    /// The one that is taken for the leader.
+    /// Returns the presumed leader.
     #[must_use]
     pub fn leader(&self) -> Option<&Peer> {
         self.find(self.leader?)
     }
 
-    /// Notes that a voter spoke as the leader; says whether it is the one that is taken for it.
-    pub fn hear(&mut self, from: HostId) -> bool {
+    /// Notes a leader's message from a host; returns whether that host is the presumed leader.
+    pub fn leader_spoke(&mut self, from: HostId) -> bool {
         let leads = self.leader == Some(from);
         self.heard |= leads;
         leads
     }
 
-    /// Whether to heed a voter that names the leader: the one that is taken for the leader, or, until
-    /// that one has spoken as the leader, any other that was asked before and has learned of it since.
+    /// Returns whether to accept a voter's answer that it does not lead: from the presumed leader,
+    /// or, until that one has sent a leader's message, from any voter that names the leader. The
+    /// latter was asked before and has learned of the leader since.
     #[must_use]
-    pub fn heeds(&self, from: HostId, names_one: bool) -> bool {
-        self.leader == Some(from) || (names_one && !self.heard)
+    pub fn accepts_hint(&self, from: HostId, has_hint: bool) -> bool {
+        self.leader == Some(from) || (has_hint && !self.heard)
     }
 
-    /// Notes the leader that a voter named: the next turn goes to it, whenever that is.
+    /// Stores the leader that a voter named, as the target of the next [`Self::advance`].
     ///
-    /// Says whether to turn now, which is so unless another name was obeyed less than [`PAUSE`] ago.
+    /// Returns whether to switch at once: unless another hint was followed at once less than
+    /// [`SWITCH_PAUSE`] ago.
     ///
     /// ```
     /// use cornelhitch_node::candidates::Candidates;
@@ -76,22 +79,24 @@
     ///
     /// let peer = |host| Peer { host, address: ([10, 0, 0, host as u8], 7000).into() };
     /// let mut candidates = Candidates::new(vec![peer(1), peer(2)], 9);
-    /// assert!(candidates.name(peer(5), Instant::now()));
-    /// candidates.turn();
+    /// assert!(candidates.hint_leader(peer(5), Instant::now()));
+    /// candidates.advance();
     /// assert_eq!(candidates.leader(), Some(&peer(5)));
     /// ```
     #[must_use]
-    pub fn name(&mut self, peer: Peer, now: Instant) -> bool {
-        self.named = Some(peer.host);
+    pub fn hint_leader(&mut self, peer: Peer, now: Instant) -> bool {
+        self.hinted = Some(peer.host);
         self.add(peer);
-        let at_once = self.obeyed.is_none_or(|obeyed| obeyed + PAUSE < now);
-        if at_once {
-            self.obeyed = Some(now);
+        let immediate = self
+            .last_immediate
+            .is_none_or(|last_immediate| last_immediate + SWITCH_PAUSE < now);
+        if immediate {
+            self.last_immediate = Some(now);
         }
-        at_once
+        immediate
     }
 
-    /// Adds a candidate.
+    /// Adds a learned candidate, or replaces its address.
     fn add(&mut self, peer: Peer) {
         if self.settings.iter().any(|known| known.host == peer.host) {
             return;
@@ -100,47 +105,47 @@
         self.learned.push(peer);
     }
 
-    /// Takes other hosts to ask in place of those that the settings named before.
+    /// Replaces the candidates of the settings.
     ///
-    /// The host that is taken for the leader stays known.
-    pub fn reseed(&mut self, seeds: Vec<Peer>) {
+    /// The presumed leader is kept.
+    pub fn replace_seeds(&mut self, seeds: Vec<Peer>) {
         if seeds.is_empty() || seeds == self.settings {
             return;
         }
         let leader = self.leader().cloned();
-        self.learned.retain(|known| !is_in(&seeds, known.host));
+        self.learned
+            .retain(|known| !contains_host(&seeds, known.host));
         self.settings = seeds;
         if let Some(leader) = leader {
             self.add(leader);
         }
     }
 
-    /// Takes the voters that the leader of a term tells, and drops what was learned before.
+    /// Replaces the learned candidates by the voters that the leader of a term reports.
     ///
-    /// What a leader of an earlier term tells is passed over. The one that is
-    /// taken for the leader stays until another is turned to.
-    pub fn tell(&mut self, term: Term, voters: Vec<Peer>) {
+    /// Reports from earlier terms are ignored. The presumed leader is kept until the next switch.
+    pub fn update_voters(&mut self, term: Term, voters: Vec<Peer>) {
         if term < self.term {
             return;
         }
         self.term = term;
         let leader = self.leader;
         self.learned
-            .retain(|known| Some(known.host) == leader && !is_in(&voters, known.host));
+            .retain(|known| Some(known.host) == leader && !contains_host(&voters, known.host));
         for voter in voters {
             self.add(voter);
         }
     }
 
-    /// Turns to the host that was named since the last turn, or else to the next.
-    pub fn turn(&mut self) {
-        let named = self.named.take();
-        let named = named.filter(|host| self.find(*host).is_some());
-        self.leader = named.or_else(|| self.next());
+    /// Switches to the leader named since the last switch, or else to the next candidate.
+    pub fn advance(&mut self) {
+        let hinted = self.hinted.take();
+        let hinted = hinted.filter(|host| self.find(*host).is_some());
+        self.leader = hinted.or_else(|| self.next());
         self.heard = false;
     }
 
-    /// The one after the one that is taken for the leader.
+    /// Returns the candidate after the presumed leader, wrapping around.
     fn next(&self) -> Option<HostId> {
         let mut after = self
             .iter()
@@ -150,18 +155,18 @@
         next.map(|known| known.host)
     }
 
-    /// A candidate by its number.
+    /// Returns a candidate by its host id.
     fn find(&self, host: HostId) -> Option<&Peer> {
         self.iter().find(|known| known.host == host)
     }
 
-    /// All of them, those of the settings first.
+    /// Iterates over all candidates, those of the settings first.
     pub fn iter(&self) -> impl Iterator<Item = &Peer> {
         self.settings.iter().chain(&self.learned)
     }
 }
 
-/// Whether a host is among some.
-fn is_in(peers: &[Peer], host: HostId) -> bool {
+/// Returns whether a host is among the peers.
+fn contains_host(peers: &[Peer], host: HostId) -> bool {
     peers.iter().any(|peer| peer.host == host)
 }
--- a/crates/node/src/outcome.rs
+++ b/crates/node/src/claim_outcome.rs
@@ -1,4 +1,4 @@
-//! What became of requests with a key, between the replicated state and the core.
+//! Conversions of claim replies and outcomes between the replicated state and the entry core.
 
 use cornelhitch_control::claims;
 use cornelhitch_control::command::Reply;
@@ -6,9 +6,9 @@
 
 use crate::exchange::Recorded;
 
-/// What the state machine's reply to a claim means to the core.
+/// Decodes the state machine's reply to a claim; an unusable one counts as unavailable.
 #[must_use]
-pub fn claimed(bytes: &[u8]) -> claim::Reply {
+pub fn claim_reply(bytes: &[u8]) -> claim::Reply {
     let Ok(Reply::Claim(answer)) = postcard::from_bytes(bytes) else {
         return claim::Reply::Unavailable;
     };
@@ -22,7 +22,7 @@
     }
 }
 
-/// What a recorded outcome means to the core.
+/// Converts a recorded outcome to a claim reply.
 fn recorded(outcome: claims::Outcome) -> claim::Reply {
     let recorded = match outcome {
         claims::Outcome::Unknown => return claim::Reply::Unknown,
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,4 +1,5 @@
-//! The task that owns the replicated log, the replicated state, and what leads from it.
+//! The task that owns the replicated log, the replicated state and, while this host leads, the
+//! leader's decisions.
 
 mod leading;
 mod members;
@@ -34,152 +35,152 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::beacon::Beacon;
-use crate::message::{Datagram, Downward, Incoming, Message, Said};
+use crate::datagrams::DatagramSocket;
+use crate::links::Links;
+use crate::message::{Datagram, Downward, Incoming, Message, PeerEvent};
 use crate::metrics::{Count, Metrics};
 use crate::registry::Answer;
 use crate::reservation::Reservations;
-use crate::stamp::Stamped;
-use crate::switch::Switch;
+use crate::timestamped::TimestampedCommand;
 
-/// Time between two ticks of the leader.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval between ticks of the leader.
+const LEADER_TICK: Duration = Duration::from_millis(50);
 
-/// What the control task is told besides messages.
+/// A message to the control task from another task of this process.
 #[derive(Debug)]
-pub enum Told {
-    /// The disk has written, or not.
+pub enum TaskMessage {
+    /// The disk writer has finished a batch, successfully or not.
     Written(Done),
-    /// An order has an outcome.
-    Ordered(Order, Outcome),
-    /// A worker was asked about its orders.
+    /// The outcome of an order that was sent to a worker.
+    Order(Order, Outcome),
+    /// The result of asking a worker about its orders.
     Inspected {
         /// The worker.
         target: TargetId,
-        /// The life that was asked.
+        /// The incarnation that was asked.
         incarnation: Incarnation,
-        /// Its answer, if it gave one.
+        /// The answer; `None` if the worker failed to answer in time.
         inspection: Option<Inspection>,
     },
-    /// An operator asks for the state.
+    /// A request for this host's control state as JSON, for the operators' dump.
     Dump(oneshot::Sender<serde_json::Value>),
-    /// A target told something.
+    /// A message from a target, answered once it is handled or committed.
     Target(Box<inbound::Message>, Answer<()>),
-    /// An operator hands in a table of routes.
+    /// A route table from an operator, answered once it is committed.
     Publish(Publish, Answer<()>),
-    /// An operator asks for the table of routes in force.
+    /// A request for the text of the route table in force.
     Read(Answer<Option<Bytes>>),
 }
 
-/// What the control task is started with.
+/// Everything that [`run`] needs.
 pub struct Setup {
-    /// This host's number.
+    /// This host's id.
     pub me: HostId,
-    /// The voters of the settings.
+    /// The voters named in the settings.
     pub voters: HashSet<HostId>,
-    /// The core of the replicated log.
+    /// The sans-I/O core of the replicated log.
     pub core: Core,
-    /// The disk.
+    /// The writer of the log and its snapshots.
     pub writer: Writer,
-    /// What leads.
+    /// The leader's decision logic.
     pub leader: Leader,
-    /// What peers say.
+    /// Messages and datagrams from peers.
     pub incoming: mpsc::UnboundedReceiver<Incoming>,
-    /// What other tasks say.
-    pub told: mpsc::UnboundedReceiver<Told>,
-    /// The other end of `told`.
-    pub tell: mpsc::UnboundedSender<Told>,
-    /// Links.
-    pub switch: Switch,
-    /// Datagrams.
-    pub beacon: Beacon,
-    /// The way to targets.
+    /// Messages from other tasks of this process.
+    pub task_messages: mpsc::UnboundedReceiver<TaskMessage>,
+    /// The sending end of `task_messages`.
+    pub task_sender: mpsc::UnboundedSender<TaskMessage>,
+    /// The links to peers.
+    pub links: Links,
+    /// The socket for lease datagrams.
+    pub datagrams: DatagramSocket,
+    /// The client for orders to workers.
     pub client: Arc<dyn Client>,
-    /// Counters.
+    /// The metrics of this process.
     pub metrics: Metrics,
-    /// Settings that a new cluster starts from.
-    pub first: Option<Bytes>,
-    /// Where this host takes what targets and operators tell.
+    /// The encoded command with the first fleet settings of a new cluster.
+    pub initial_settings: Option<Bytes>,
+    /// Where this host takes messages from targets and operators.
     pub registry: Option<SocketAddr>,
-    /// Who decides on the members, where hosts come and go without an operator.
+    /// Decides on membership changes, where hosts come and go without an operator.
     pub steward: Option<Steward>,
-    /// Ends the task.
+    /// Cancelled when the process stops.
     pub stop: CancellationToken,
-    /// The time that the log's core counts from.
+    /// The instant from which the log's core measures time.
     pub epoch: Instant,
-    /// The time of `epoch` since the Unix epoch, from which the leader counts.
+    /// The time since the Unix epoch at `epoch`; the leader's clock counts on from it.
     pub started: Time,
 }
 
-/// The lease of the leader as the gate of an order sees it.
+/// The leader's lease, as checked just before an order is sent.
 #[derive(Debug, Clone, Copy)]
 pub struct Lease {
-    /// The term.
+    /// The term in which it is held.
     pub term: Term,
-    /// Until when no other host leads.
+    /// The instant until which no other host can lead.
     pub until: Instant,
 }
 
-/// Who waits for a proposal.
+/// What to do when a proposal, read or membership change completes.
 #[derive(Debug)]
-enum Waiting {
-    /// A host's call.
+enum Waiter {
+    /// Answer a host's call.
     Host {
         /// The host.
         host: HostId,
-        /// Its number for the call.
+        /// The host's number for the call.
         call: u64,
     },
-    /// The leader here; nothing need be said.
+    /// Nothing: the leader on this host asked.
     Leader,
-    /// The first read of a new leader.
+    /// Take the lead in this term: the first read of a new leader.
     Election(Term),
-    /// A member that is to vote once it has caught up.
+    /// Promote this learner to voter once it has caught up.
     Learner(HostId),
-    /// A host's question that changes the members.
+    /// Answer a host's call to change the membership.
     Members {
         /// The host.
         host: HostId,
-        /// Its number for the call.
+        /// The host's number for the call.
         call: u64,
     },
-    /// A target or an operator here, who is told once it is committed.
+    /// Answer a target or operator of this host's registry listener, once committed.
     Local(Answer<()>),
-    /// An operator here who reads the table of routes.
+    /// Answer an operator of this host's registry listener with the route table.
     Read(Answer<Option<Bytes>>),
 }
 
-/// The control host, owned by its task.
+/// The state of the control task.
 pub(crate) struct Control {
     pub(crate) setup: Setup,
     pub(crate) state: State,
     pub(crate) role: Role,
     pub(crate) term: Term,
-    pub(crate) following: Option<HostId>,
-    /// Whether the leader here has read all entries of earlier terms.
+    pub(crate) known_leader: Option<HostId>,
+    /// Whether this host leads and has applied all entries of earlier terms.
     pub(crate) leading: bool,
-    /// Hosts that follow the view.
+    /// Hosts that are subscribed to the view.
     pub(crate) subscribers: HashSet<HostId>,
-    /// Hosts that asked for the leader while none was known here.
-    pub(crate) unled: HashSet<HostId>,
-    /// The voters that subscribers were told of.
+    /// Hosts that contacted this host while it knew no leader.
+    pub(crate) awaiting_leader: HashSet<HostId>,
+    /// The voters last sent to the subscribers.
     voters: Vec<process::Peer>,
-    /// Where the renewals of hosts come from.
+    /// The newest lease renewal of each host, with the address to answer.
     pub(crate) renewals: HashMap<HostId, Renewal>,
     pub(crate) reservations: Reservations,
     pub(crate) in_force: Version,
-    waiting: HashMap<RequestId, Waiting>,
+    waiters: HashMap<RequestId, Waiter>,
     next: RequestId,
     lease: watch::Sender<Option<Lease>>,
-    /// The newest entry that the state holds.
+    /// The index of the last entry applied to the state.
     applied: u64,
-    /// Hosts that ask to join.
+    /// Hosts that have asked to join.
     joiners: Joiners,
-    /// When the members were last looked at.
-    stewarded: Instant,
+    /// When membership was last checked.
+    last_membership_check: Instant,
 }
 
-/// The newest renewal of a host.
+/// The newest lease renewal of a host.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Renewal {
     pub peer: Peer,
@@ -187,164 +188,169 @@
     pub sequence: u64,
 }
 
-/// Runs a control host until the process stops.
+/// Runs the control task until the process stops.
 pub async fn run(setup: Setup) {
     let (lease, _) = watch::channel(None);
     let control = Control {
         state: State::default(),
         role: Role::Follower,
         term: 0,
-        following: None,
+        known_leader: None,
         leading: false,
         subscribers: HashSet::new(),
-        unled: HashSet::new(),
+        awaiting_leader: HashSet::new(),
         voters: Vec::new(),
         renewals: HashMap::new(),
         reservations: Reservations::default(),
         in_force: 0,
-        waiting: HashMap::new(),
+        waiters: HashMap::new(),
         next: 1,
         lease,
         applied: 0,
         joiners: Joiners::default(),
-        stewarded: Instant::now(),
+        last_membership_check: Instant::now(),
         setup,
     };
     control.serve().await;
 }
 
 impl Control {
-    /// Serves until the process stops.
+    /// Processes messages, ticks and timers until the process stops.
     async fn serve(mut self) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(LEADER_TICK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        self.event(Event::Tick);
+        self.quorum_event(Event::Tick);
         loop {
             let wake = self.setup.epoch + self.setup.core.next_wake();
             tokio::select! {
                 () = self.setup.stop.cancelled() => return,
                 incoming = self.setup.incoming.recv() => match incoming {
-                    Some(incoming) => self.incoming(incoming),
+                    Some(incoming) => self.peer_event(incoming),
                     None => return,
                 },
-                told = self.setup.told.recv() => match told {
-                    Some(told) => self.told(told),
+                message = self.setup.task_messages.recv() => match message {
+                    Some(message) => self.task_message(message),
                     None => return,
                 },
-                () = tokio::time::sleep_until(wake) => self.event(Event::Tick),
+                () = tokio::time::sleep_until(wake) => self.quorum_event(Event::Tick),
                 _ = ticks.tick() => self.tick(),
             }
             self.renew_lease();
         }
     }
 
-    /// The time that the log's core counts.
+    /// Returns the time by the clock of the log's core.
     pub(crate) fn now(&self) -> Time {
         self.setup.epoch.elapsed()
     }
 
-    /// The time that the leader counts: since the Unix epoch, never going back.
-    pub(crate) fn unix(&self) -> Time {
+    /// Returns the leader's time: since the Unix epoch, monotonic.
+    pub(crate) fn unix_time(&self) -> Time {
         self.setup.started + self.now()
     }
 
-    /// Does what is due in the leader.
+    /// Does the leader's periodic work.
     fn tick(&mut self) {
         if self.leading {
-            self.lead(Input::Tick);
-            self.tell_changed_voters();
-            self.steward();
+            self.handle(Input::Tick);
+            self.send_changed_voters();
+            self.adjust_membership();
         }
     }
 
-    /// Takes what a peer says.
-    fn incoming(&mut self, incoming: Incoming) {
+    /// Handles a message or datagram from a peer.
+    fn peer_event(&mut self, incoming: Incoming) {
         let from = incoming.from;
-        match incoming.said {
-            Said::Message(Message::Quorum(message)) => self.event(Event::Receive {
+        match incoming.event {
+            PeerEvent::Message(Message::Quorum(message)) => self.quorum_event(Event::Receive {
                 from: from.host,
                 message,
             }),
-            Said::Message(Message::Upward(upward)) => self.upward(from, upward),
-            Said::Datagram(Datagram::Renew { sequence, host, .. }, address) => {
+            PeerEvent::Message(Message::Upward(upward)) => self.upward(from, upward),
+            PeerEvent::Datagram(Datagram::Renew { sequence, host, .. }, address) => {
                 let renewal = Renewal {
                     peer: from,
                     address,
                     sequence,
                 };
-                self.renewal(renewal, host);
+                self.lease_renewal(renewal, host);
             }
-            Said::Message(Message::Downward(_)) | Said::Datagram(..) | Said::Linked => {}
+            PeerEvent::Message(Message::Downward(_))
+            | PeerEvent::Datagram(..)
+            | PeerEvent::Linked => {}
         }
     }
 
-    /// Takes what another task says.
-    fn told(&mut self, told: Told) {
-        match told {
-            Told::Written(done) => self.event(done.into()),
-            Told::Ordered(order, outcome) => self.lead(Input::OrderDone { order, outcome }),
-            Told::Inspected {
+    /// Handles a message from another task of this process.
+    fn task_message(&mut self, message: TaskMessage) {
+        match message {
+            TaskMessage::Written(done) => self.quorum_event(done.into()),
+            TaskMessage::Order(order, outcome) => self.handle(Input::OrderDone { order, outcome }),
+            TaskMessage::Inspected {
                 target,
                 incarnation,
                 inspection,
-            } => self.lead(Input::Inspected {
+            } => self.handle(Input::Inspected {
                 target,
                 incarnation,
                 inspection,
             }),
-            Told::Dump(answer) => {
+            TaskMessage::Dump(answer) => {
                 let _ = answer.send(self.dump());
             }
-            Told::Target(message, answer) => self.target(*message, answer),
-            Told::Publish(publish, answer) => {
+            TaskMessage::Target(message, answer) => self.target_message(*message, answer),
+            TaskMessage::Publish(publish, answer) => {
                 let version = publish.table.version;
-                tracing::info!(version, "a table of routes was handed in");
+                tracing::info!(version, "operator submitted a route table; committing it");
                 self.commit(&Command::Publish(publish), answer);
             }
-            Told::Read(answer) => self.read(answer),
+            TaskMessage::Read(answer) => self.read_table(answer),
         }
     }
 
-    /// Gives the log's core an event and does what it says.
-    pub(crate) fn event(&mut self, event: Event) {
+    /// Passes an event to the log's core and performs the resulting actions.
+    pub(crate) fn quorum_event(&mut self, event: Event) {
         let now = self.now();
         for action in self.setup.core.handle(event, now) {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    /// Does one thing that the log's core said.
-    fn act(&mut self, action: Action) {
+    /// Performs one action of the log's core.
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Persist(batch) => self.setup.writer.submit(batch),
-            Action::Send { to, message } => self.setup.switch.send(to, Message::Quorum(message)),
+            Action::Send { to, message } => self.setup.links.send(to, Message::Quorum(message)),
             Action::Apply(entry) => self.apply(&entry),
             Action::Restore(snapshot) => self.restore(&snapshot),
             Action::NeedSnapshot => {
                 let data = self.state.snapshot();
                 let index = self.applied;
-                self.event(Event::Snapshot { index, data });
+                self.quorum_event(Event::Snapshot { index, data });
             }
             Action::Rejected { id, reason, leader } => self.rejected(id, reason, leader),
             Action::BarrierDone { id } => self.barrier_done(id),
-            Action::Changed { id } => self.changed(id),
-            Action::Joining(peer) => self.joining(peer),
-            Action::Role { role, term, leader } => self.role(role, term, leader),
+            Action::Changed { id } => self.membership_changed(id),
+            Action::Joining(peer) => self.admit(peer),
+            Action::Role { role, term, leader } => self.role_changed(role, term, leader),
         }
     }
 
-    /// Applies a committed entry.
+    /// Applies a committed entry to the state and answers whoever proposed it.
     fn apply(&mut self, entry: &action::Entry) {
-        self.setup.metrics.one(Count::Applied);
+        self.setup.metrics.increment(Count::Applied);
         self.applied = entry.index;
-        let waiting = entry.id.and_then(|id| self.waiting.remove(&id));
-        let stamped = Stamped::decode(&entry.payload);
+        let waiting = entry.id.and_then(|id| self.waiters.remove(&id));
+        let stamped = TimestampedCommand::decode(&entry.payload);
         let command = stamped
             .as_ref()
             .ok()
             .and_then(|stamped| Command::decode(&stamped.command).ok());
         let (Ok(stamped), Some(command)) = (stamped, command) else {
-            tracing::error!(index = entry.index, "an entry holds no command");
+            tracing::error!(
+                index = entry.index,
+                "cannot decode a committed log entry; entry skipped"
+            );
             return;
         };
         let place = Entry {
@@ -354,15 +360,15 @@
         };
         let reply = self.state.apply(&place, command.clone());
         match waiting {
-            Some(Waiting::Host { host, call }) => self.committed(host, call, &reply),
-            Some(Waiting::Local(answer)) => {
+            Some(Waiter::Host { host, call }) => self.send_committed(host, call, &reply),
+            Some(Waiter::Local(answer)) => {
                 let (index, term) = (entry.index, entry.term);
                 if let Command::Leave { target, .. } = &command {
                     tracing::info!(
                         target = &**target,
                         index,
                         term,
-                        "a farewell is acknowledged"
+                        "leave committed; acknowledging it to the target"
                     );
                 }
                 let _ = answer.send(Ok(()));
@@ -370,71 +376,71 @@
             _ => {}
         }
         if self.leading {
-            self.lead(Input::Applied { command, reply });
+            self.handle(Input::Applied { command, reply });
         }
     }
 
-    /// Answers a host's call.
-    fn committed(&self, host: HostId, call: u64, reply: &Reply) {
+    /// Answers a host's proposal with the state machine's reply.
+    fn send_committed(&self, host: HostId, call: u64, reply: &Reply) {
         let reply = postcard::to_stdvec(reply).unwrap_or_default().into();
         let downward = Downward::Committed { call, reply };
-        self.setup.switch.send(host, Message::Downward(downward));
+        self.setup.links.send(host, Message::Downward(downward));
     }
 
-    /// Takes a snapshot for the state.
+    /// Replaces the state with that of a snapshot.
     fn restore(&mut self, snapshot: &Snapshot) {
         match State::restore(&snapshot.data) {
             Ok(state) => {
                 self.state = state;
                 self.applied = snapshot.index;
             }
-            Err(error) => tracing::error!(%error, "a snapshot cannot be read"),
+            Err(error) => tracing::error!(%error, "cannot decode a snapshot; state not replaced"),
         }
     }
 
-    /// Proposes a command.
+    /// Proposes a command for a host's call, or for the leader here if `host` is `None`.
     pub(crate) fn propose(&mut self, command: Bytes, host: Option<(HostId, u64)>) {
         let waiting = match host {
-            Some((host, call)) => Waiting::Host { host, call },
-            None => Waiting::Leader,
+            Some((host, call)) => Waiter::Host { host, call },
+            None => Waiter::Leader,
         };
-        let id = self.wait(waiting);
-        let time = self.unix();
-        let payload = Stamped { time, command }.encode();
-        self.event(Event::Propose { id, payload });
+        let id = self.register_waiter(waiting);
+        let time = self.unix_time();
+        let payload = TimestampedCommand { time, command }.encode();
+        self.quorum_event(Event::Propose { id, payload });
     }
 
-    /// The number under which the answer to a request is known.
-    fn wait(&mut self, waiting: Waiting) -> RequestId {
+    /// Stores what to do when a request completes and returns the request's id.
+    fn register_waiter(&mut self, waiter: Waiter) -> RequestId {
         let id = self.next;
         self.next += 1;
-        self.waiting.insert(id, waiting);
+        self.waiters.insert(id, waiter);
         id
     }
 
-    /// Takes the end of a request without success.
+    /// Handles a request that the log's core rejected.
     fn rejected(&mut self, id: RequestId, reason: Reason, leader: Option<HostId>) {
-        let Some(waiting) = self.waiting.remove(&id) else {
+        let Some(waiting) = self.waiters.remove(&id) else {
             return;
         };
-        tracing::debug!(%reason, ?waiting, "not done");
+        tracing::debug!(%reason, ?waiting, "proposal, read or membership change rejected");
         match waiting {
-            // The host asks again, here or at the leader; a retry is idempotent.
-            Waiting::Host { host, call } => {
+            // The host retries, here or at the leader; retries are idempotent.
+            Waiter::Host { host, call } => {
                 if matches!(reason, Reason::NotLeader | Reason::Superseded) {
-                    self.not_leader(host, Some(call), leader);
+                    self.send_not_leader(host, Some(call), leader);
                 }
             }
-            Waiting::Members { host, call } => {
+            Waiter::Members { host, call } => {
                 let json = format!("{{\"done\":false,\"reason\":\"{reason}\"}}");
-                self.answer(host, call, json.into());
+                self.send_answer(host, call, json.into());
             }
-            // Those who asked here hear that it is not known.
-            Waiting::Local(_)
-            | Waiting::Read(_)
-            | Waiting::Leader
-            | Waiting::Election(_)
-            | Waiting::Learner(_) => {}
+            // Dropping the sender tells local requesters that the outcome is unknown.
+            Waiter::Local(_)
+            | Waiter::Read(_)
+            | Waiter::Leader
+            | Waiter::Election(_)
+            | Waiter::Learner(_) => {}
         }
     }
 }
--- a/crates/node/src/control/leading.rs
+++ b/crates/node/src/control/leading.rs
@@ -1,4 +1,4 @@
-//! What a host does while it leads, and what it tells the others of who does.
+//! The work of a host while it leads, and telling other hosts who the leader is.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,17 +12,17 @@
 use cornelhitch_types::id::{HostId, Incarnation, TargetId, Term, Version};
 use cornelhitch_types::order::{Order, Outcome};
 
-use super::{Control, Lease, Told, Waiting};
+use super::{Control, Lease, TaskMessage, Waiter};
 use crate::message::{Datagram, Downward, Message};
 use crate::metrics::Count;
 use crate::orders;
 use crate::reservation::Reservations;
 
-/// How long a worker may take to tell of its orders.
-const INSPECTION: Duration = Duration::from_millis(1_500);
+/// Timeout for asking a worker about its orders.
+const INSPECTION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Control {
-    /// Shows the lease to the gates of orders.
+    /// Publishes the current lease to the tasks that send orders.
     pub(super) fn renew_lease(&mut self) {
         let lease = self.setup.core.lease(self.now());
         self.lease.send_replace(lease.map(|lease| Lease {
@@ -31,17 +31,17 @@
         }));
     }
 
-    /// Takes the end of a read.
+    /// Handles a completed read: takes the lead after an election, or answers with the route table.
     pub(super) fn barrier_done(&mut self, id: RequestId) {
-        match self.waiting.remove(&id) {
-            Some(Waiting::Election(term)) if term == self.term && self.role == Role::Leader => {
-                tracing::info!(term, "this host leads");
+        match self.waiters.remove(&id) {
+            Some(Waiter::Election(term)) if term == self.term && self.role == Role::Leader => {
+                tracing::info!(term, "this host now leads");
                 self.leading = true;
-                self.lead(Input::Elected { term });
-                self.begin();
-                self.name_leader(self.setup.me);
+                self.handle(Input::Elected { term });
+                self.propose_initial_settings();
+                self.announce_leader(self.setup.me);
             }
-            Some(Waiting::Read(answer)) => {
+            Some(Waiter::Read(answer)) => {
                 let text = self.state.document().text().cloned();
                 let _ = answer.send(Ok(text));
             }
@@ -49,64 +49,64 @@
         }
     }
 
-    /// Brings the first settings into a cluster that has none.
-    pub(super) fn begin(&mut self) {
+    /// Proposes the first fleet settings if the cluster has none.
+    pub(super) fn propose_initial_settings(&mut self) {
         if self.state.catalogue().version() == 0
-            && let Some(command) = self.setup.first.clone()
+            && let Some(command) = self.setup.initial_settings.clone()
         {
             self.propose(command, None);
         }
     }
 
-    /// Takes a change of the role.
-    pub(super) fn role(&mut self, role: Role, term: Term, leader: Option<HostId>) {
-        tracing::info!(%role, term, ?leader, "role");
-        let led = self.leading;
+    /// Handles a change of this host's role, the term or the known leader.
+    pub(super) fn role_changed(&mut self, role: Role, term: Term, leader: Option<HostId>) {
+        tracing::info!(%role, term, ?leader, "role, term or leader changed");
+        let was_leading = self.leading;
         self.role = role;
         self.term = term;
-        self.following = leader;
+        self.known_leader = leader;
         self.leading = false;
-        if led {
-            self.lead(Input::Deposed);
+        if was_leading {
+            self.handle(Input::Deposed);
             self.reservations = Reservations::default();
             self.subscribers.clear();
         }
         if role == Role::Leader {
-            let id = self.wait(Waiting::Election(term));
-            self.event(Event::Barrier { id });
+            let id = self.register_waiter(Waiter::Election(term));
+            self.quorum_event(Event::Barrier { id });
         } else if let Some(leader) = leader {
-            self.name_leader(leader);
+            self.announce_leader(leader);
         }
     }
 
-    /// Tells the hosts that asked before there was a leader.
-    pub(super) fn name_leader(&mut self, leader: HostId) {
-        for host in std::mem::take(&mut self.unled) {
-            self.not_leader(host, None, Some(leader));
+    /// Names the leader to the hosts that asked while none was known.
+    pub(super) fn announce_leader(&mut self, leader: HostId) {
+        for host in std::mem::take(&mut self.awaiting_leader) {
+            self.send_not_leader(host, None, Some(leader));
         }
     }
 
-    /// Gives the leader an input and does what it says.
-    pub(crate) fn lead(&mut self, input: Input) {
-        let now = self.unix();
+    /// Passes an input to the leader and performs the resulting outputs.
+    pub(crate) fn handle(&mut self, input: Input) {
+        let now = self.unix_time();
         for output in self.setup.leader.handle(input, &self.state, now) {
-            self.output(output);
+            self.perform_output(output);
         }
     }
 
-    /// Does one thing that the leader said.
-    pub(super) fn output(&mut self, output: Output) {
+    /// Performs one output of the leader.
+    pub(super) fn perform_output(&mut self, output: Output) {
         match output {
             Output::Propose(command) => self.propose(command.encode(), None),
-            Output::Order(order) => self.order(order),
+            Output::Order(order) => self.send_order(order),
             Output::Publish { to, view } => {
                 let message = Message::Downward(Downward::View(view));
                 match to {
                     Audience::All => {
                         let hosts = self.subscribers.iter().copied();
-                        self.setup.switch.send_all(hosts, &message);
+                        self.setup.links.send_all(hosts, &message);
                     }
-                    Audience::Host(host) => self.setup.switch.send(host, message),
+                    Audience::Host(host) => self.setup.links.send(host, message),
                 }
             }
             Output::Lease {
@@ -114,40 +114,46 @@
                 incarnation,
                 length,
                 version,
-            } => self.grant(host, incarnation, length, version),
+            } => self.grant_lease(host, incarnation, length, version),
             Output::Decided(step) => tracing::info!(
                 target = &*step.target, action = ?step.action, reason = %step.reason,
                 waiting = step.wish.waiting, running = step.wish.running,
-                rate = step.wish.rate, copies = step.copies, "order decided"
+                rate = step.wish.rate, copies = step.copies, "decided on an order"
             ),
             Output::Inspect {
                 target,
                 incarnation,
             } => self.inspect(target, incarnation),
             Output::InForce { version } => self.in_force = version,
-            Output::Ask { target } => tracing::debug!(target = &*target, "not announced"),
+            Output::Ask { target } => tracing::debug!(
+                target = &*target,
+                "message from a target that has not announced itself"
+            ),
         }
     }
 
-    /// Sends an order in a task of its own.
-    pub(super) fn order(&self, order: Order) {
+    /// Sends an order from its own task; an order to an unknown incarnation counts as unsent.
+    pub(super) fn send_order(&self, order: Order) {
         let Some(address) = self.address(&order.target, order.incarnation) else {
-            let _ = self.setup.tell.send(Told::Ordered(order, Outcome::Unsent));
+            let _ = self
+                .setup
+                .task_sender
+                .send(TaskMessage::Order(order, Outcome::Unsent));
             return;
         };
-        self.setup.metrics.one(Count::Orders);
-        let sending = orders::Sending {
+        self.setup.metrics.increment(Count::Orders);
+        let sending = orders::OrderTask {
             order,
             address,
             lease: self.lease.subscribe(),
             client: self.setup.client.clone(),
-            tell: self.setup.tell.clone(),
+            task_sender: self.setup.task_sender.clone(),
             metrics: self.setup.metrics.clone(),
         };
         tokio::spawn(sending.run());
     }
 
-    /// Asks a worker about its orders, in a task of its own.
+    /// Asks a worker about its orders from its own task.
     pub(super) fn inspect(&self, target: TargetId, incarnation: Incarnation) {
         let known = self.state.fleet().alive(&target, incarnation);
         let Some(known) = known.map(|known| &known.announcement) else {
@@ -156,13 +162,17 @@
         let address = known.address;
         let service = known.services.first().cloned().unwrap_or_default();
         let client = self.setup.client.clone();
-        let tell = self.setup.tell.clone();
+        let task_sender = self.setup.task_sender.clone();
         tokio::spawn(async move {
-            let asked = client.inspect(address, &target, &service);
-            let inspection = tokio::time::timeout(INSPECTION, asked).await;
+            let inspecting = client.inspect(address, &target, &service);
+            let inspection = tokio::time::timeout(INSPECTION_TIMEOUT, inspecting).await;
             let inspection = inspection.ok().and_then(Result::ok);
-            tracing::info!(target = &*target, ?inspection, "asked about its orders");
-            let _ = tell.send(Told::Inspected {
+            tracing::info!(
+                target = &*target,
+                ?inspection,
+                "asked the worker about its orders"
+            );
+            let _ = task_sender.send(TaskMessage::Inspected {
                 target,
                 incarnation,
                 inspection,
@@ -170,7 +180,7 @@
         });
     }
 
-    /// Where a life of a target takes orders.
+    /// Returns the address at which an incarnation of a target takes orders, if it is alive.
     pub(super) fn address(
         &self,
         target: &TargetId,
@@ -180,8 +190,8 @@
         Some(target.announcement.address)
     }
 
-    /// Answers a renewal, while this host is sure to lead.
-    pub(super) fn grant(
+    /// Answers a host's lease renewal, if this host certainly still leads.
+    pub(super) fn grant_lease(
         &self,
         host: HostId,
         incarnation: Incarnation,
@@ -191,8 +201,8 @@
         let Some(renewal) = self.renewals.get(&host) else {
             return;
         };
-        let sure = self.setup.core.lease(self.now()).is_some();
-        if !sure || renewal.peer.incarnation != incarnation {
+        let still_leading = self.setup.core.lease(self.now()).is_some();
+        if !still_leading || renewal.peer.incarnation != incarnation {
             return;
         }
         let lease = Datagram::Lease {
@@ -202,19 +212,21 @@
             term: self.term,
             view: self.setup.leader.sequence(),
         };
-        self.setup.beacon.send(renewal.peer, renewal.address, lease);
+        self.setup
+            .datagrams
+            .send(renewal.peer, renewal.address, lease);
     }
 
-    /// Answers a question.
-    pub(crate) fn answer(&self, host: HostId, call: u64, json: Bytes) {
+    /// Sends the answer to a host's question.
+    pub(crate) fn send_answer(&self, host: HostId, call: u64, json: Bytes) {
         let downward = Downward::Answer { call, json };
-        self.setup.switch.send(host, Message::Downward(downward));
+        self.setup.links.send(host, Message::Downward(downward));
     }
 
-    /// Sends a host to the leader.
-    pub(crate) fn not_leader(&self, host: HostId, call: Option<u64>, leader: Option<HostId>) {
-        let leader = leader.and_then(|leader| self.reached(leader));
+    /// Tells a host that this host does not lead, and who does if that is known.
+    pub(crate) fn send_not_leader(&self, host: HostId, call: Option<u64>, leader: Option<HostId>) {
+        let leader = leader.and_then(|leader| self.peer_address(leader));
         let downward = Downward::NotLeader { leader, call };
-        self.setup.switch.send(host, Message::Downward(downward));
+        self.setup.links.send(host, Message::Downward(downward));
     }
 }
--- a/crates/node/src/control/members.rs
+++ b/crates/node/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Who votes: changes of the members, and hosts that ask to join.
+//! Cluster membership: voter changes and hosts that ask to join.
 
 use std::time::Duration;
 
@@ -9,106 +9,114 @@
 use cornelhitch_types::id::{HostId, Incarnation};
 use tokio::time::Instant;
 
-use super::{Control, Waiting};
+use super::{Control, Waiter};
 use crate::message::{Downward, Message};
 
-/// Time between two looks at the members.
-const STEWARD: Duration = Duration::from_millis(500);
+/// Interval between membership checks.
+const MEMBERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Control {
-    /// Changes the members where that is due.
-    pub(super) fn steward(&mut self) {
+    /// Starts the next membership change if the steward finds one due.
+    pub(super) fn adjust_membership(&mut self) {
         let Some(steward) = self.setup.steward else {
             return;
         };
-        if self.stewarded.elapsed() < STEWARD {
+        if self.last_membership_check.elapsed() < MEMBERSHIP_CHECK_INTERVAL {
             return;
         }
-        self.stewarded = Instant::now();
+        self.last_membership_check = Instant::now();
         let status = self.setup.core.status();
-        let joined = |id: &HostId, life: &Incarnation| {
+        let joined = |id: &HostId, incarnation: &Incarnation| {
             let member = status.members.get(id);
-            member.is_some_and(|member| member.incarnation == *life)
+            member.is_some_and(|member| member.incarnation == *incarnation)
         };
-        self.joiners.retain(|id, life| !joined(id, life));
+        self.joiners
+            .retain(|id, incarnation| !joined(id, incarnation));
         if let Some(change) = steward.next(&status, &self.joiners) {
-            tracing::info!(?change, silent = ?status.silent, "the members change");
-            let id = self.wait(Waiting::Leader);
-            self.event(Event::Change { id, change });
+            tracing::info!(
+                ?change, silent = ?status.silent,
+                "starting an automatic membership change"
+            );
+            let id = self.register_waiter(Waiter::Leader);
+            self.quorum_event(Event::Change { id, change });
         }
     }
 
-    /// Tells all subscribers who votes, when that or an address has changed.
-    pub(super) fn tell_changed_voters(&mut self) {
-        let voters = self.reached_voters();
+    /// Sends all subscribers the voters when these or an address of one has changed.
+    pub(super) fn send_changed_voters(&mut self) {
+        let voters = self.reachable_voters();
         if voters != self.voters {
             self.voters = voters;
             for host in &self.subscribers {
-                self.tell_voters(*host);
+                self.send_voters(*host);
             }
         }
     }
 
-    /// Tells a host who votes, so that it knows whom to ask when this host is gone.
-    pub(crate) fn tell_voters(&self, host: HostId) {
+    /// Sends a host the voters, so that it knows whom to ask if this host fails.
+    pub(crate) fn send_voters(&self, host: HostId) {
         let downward = Downward::Voters {
             term: self.term,
-            voters: self.reached_voters(),
+            voters: self.reachable_voters(),
             registry: self.setup.registry,
         };
-        self.setup.switch.send(host, Message::Downward(downward));
+        self.setup.links.send(host, Message::Downward(downward));
     }
 
-    /// The voters whose addresses are known.
-    pub(super) fn reached_voters(&self) -> Vec<process::Peer> {
+    /// Returns the voters whose addresses are known.
+    pub(super) fn reachable_voters(&self) -> Vec<process::Peer> {
         let members = self.setup.core.status().members;
         let voters = members.voters();
-        voters.filter_map(|host| self.reached(host)).collect()
+        voters.filter_map(|host| self.peer_address(host)).collect()
     }
 
-    /// A host and its address, if that is known.
-    pub(super) fn reached(&self, host: HostId) -> Option<process::Peer> {
-        let address = self.setup.switch.address(host)?;
+    /// Returns a host with its address, or `None` if the address is unknown.
+    pub(super) fn peer_address(&self, host: HostId) -> Option<process::Peer> {
+        let address = self.setup.links.address(host)?;
         Some(process::Peer { host, address })
     }
 
-    /// Starts a change of the members.
-    pub(crate) fn change(&mut self, change: Change, host: HostId, call: u64) {
-        let id = self.wait(Waiting::Members { host, call });
-        self.event(Event::Change { id, change });
+    /// Starts a membership change for a host's call.
+    pub(crate) fn change_members(&mut self, change: Change, host: HostId, call: u64) {
+        let id = self.register_waiter(Waiter::Members { host, call });
+        self.quorum_event(Event::Change { id, change });
     }
 
-    /// Takes the end of a change of the members.
-    pub(super) fn changed(&mut self, id: RequestId) {
-        match self.waiting.remove(&id) {
-            Some(Waiting::Members { host, call }) => {
-                self.answer(host, call, Bytes::from_static(b"{\"done\":true}"));
+    /// Handles a completed membership change.
+    pub(super) fn membership_changed(&mut self, id: RequestId) {
+        match self.waiters.remove(&id) {
+            Some(Waiter::Members { host, call }) => {
+                self.send_answer(host, call, Bytes::from_static(b"{\"done\":true}"));
             }
-            Some(Waiting::Learner(member)) => {
-                let id = self.wait(Waiting::Leader);
+            Some(Waiter::Learner(member)) => {
+                let id = self.register_waiter(Waiter::Leader);
                 let change = Change::Promote(member);
-                self.event(Event::Change { id, change });
+                self.quorum_event(Event::Change { id, change });
             }
             _ => {}
         }
     }
 
-    /// Admits a voter of the settings that has no group yet.
+    /// Handles a host that asks to join.
     ///
-    /// A host that is none takes a vote only where an operator names it to replace another.
-    /// One that is known under another life of its disk is not admitted: an
-    /// operator has to replace it, since its votes are lost.
-    pub(super) fn joining(&mut self, peer: cornelhitch_quorum::id::Peer) {
+    /// Without a steward, only voters named in the settings are admitted, and any other host has to
+    /// be named by an operator as the replacement of a voter. A host that is known under another
+    /// incarnation of its disk is not admitted: an operator has to replace it, since the votes it
+    /// gave before are lost.
+    pub(super) fn admit(&mut self, peer: cornelhitch_quorum::id::Peer) {
         if self.setup.steward.is_some() {
             self.joiners.insert(peer.id, peer.incarnation);
             return;
         }
         if !self.setup.voters.contains(&peer.id) {
-            tracing::warn!(host = peer.id, "a host that is no voter asks to join");
+            tracing::warn!(
+                host = peer.id,
+                "ignoring a join request: the host is not a voter in the settings"
+            );
             return;
         }
-        let id = self.wait(Waiting::Learner(peer.id));
+        let id = self.register_waiter(Waiter::Learner(peer.id));
         let change = Change::Add(peer);
-        self.event(Event::Change { id, change });
+        self.quorum_event(Event::Change { id, change });
     }
 }
--- a/crates/node/src/control/requests.rs
+++ b/crates/node/src/control/requests.rs
@@ -1,4 +1,4 @@
-//! What targets and operators ask of the leader.
+//! Requests of targets and operators to the leader through its registry listener.
 
 use bytes::Bytes;
 use cornelhitch_control::command::Command;
@@ -7,31 +7,31 @@
 use cornelhitch_target::inbound;
 use cornelhitch_types::id::{Incarnation, TargetId};
 
-use super::{Control, Waiting};
+use super::{Control, Waiter};
 use crate::registry::{Answer, NotLeader};
-use crate::stamp::Stamped;
+use crate::timestamped::TimestampedCommand;
 
 impl Control {
-    /// Takes what a target told here.
-    pub(super) fn target(&mut self, message: inbound::Message, answer: Answer<()>) {
+    /// Handles a target's message.
+    pub(super) fn target_message(&mut self, message: inbound::Message, answer: Answer<()>) {
         if !self.leading {
             let _ = answer.send(Err(NotLeader));
             return;
         }
         match message {
             inbound::Message::Announcement(announcement) => {
-                self.lead(Input::Announcement(announcement));
+                self.handle(Input::Announcement(announcement));
             }
-            inbound::Message::Heartbeat(heartbeat) => self.lead(Input::Heartbeat(heartbeat)),
+            inbound::Message::Heartbeat(heartbeat) => self.handle(Input::Heartbeat(heartbeat)),
             inbound::Message::Presence(presence) => {
                 let leaving = presence.heartbeat.leaving;
-                let (target, life) = (
+                let (target, incarnation) = (
                     presence.heartbeat.target.clone(),
                     presence.heartbeat.incarnation,
                 );
-                self.lead(Input::Presence(presence));
+                self.handle(Input::Presence(presence));
                 if leaving {
-                    return self.leave(target, Some(life), answer);
+                    return self.leave(target, Some(incarnation), answer);
                 }
             }
             inbound::Message::Leaving(leaving) => {
@@ -44,29 +44,34 @@
         let _ = answer.send(Ok(()));
     }
 
-    /// Commits that a target leaves, and says so once that is sure: also of a life that is not known
-    /// here, since this host may lead no more.
+    /// Commits that a target leaves and answers once that is certain. An unknown incarnation is
+    /// committed too, since this host may no longer lead.
     pub(super) fn leave(
         &mut self,
         target: TargetId,
-        life: Option<Incarnation>,
+        given: Option<Incarnation>,
         answer: Answer<()>,
     ) {
         let fleet = self.state.fleet();
         let known = fleet.get(&target);
         let current = known.map(|known| known.announcement.incarnation);
-        let over = life.is_some_and(|life| fleet.is_over(&target, life));
+        let over = given.is_some_and(|given| fleet.is_over(&target, given));
         let left = known.is_some_and(|known| known.leaving);
-        if over || left && life.is_none_or(|life| Some(life) == current) {
-            // The log says so, and so does every later leader.
+        if over || left && given.is_none_or(|given| Some(given) == current) {
+            // Already committed, so every later leader knows it too.
             let _ = answer.send(Ok(()));
             return;
         }
-        let Some(incarnation) = life.or(current) else {
-            // Nothing can be noted; that this host still leads shows that no other knows it.
+        let Some(incarnation) = given.or(current) else {
+            // There is no incarnation to record. Committing an empty command proves that this host
+            // still leads, and so that no other host knows the target.
             return self.commit(&Command::Nothing, answer);
         };
-        tracing::info!(target = &*target, incarnation, "a target leaves");
+        tracing::info!(
+            target = &*target,
+            incarnation,
+            "target announced that it leaves; committing it"
+        );
         let command = Command::Leave {
             target,
             incarnation,
@@ -74,26 +79,26 @@
         self.commit(&command, answer);
     }
 
-    /// Commits a command for somebody here.
+    /// Commits a command and answers the local requester.
     pub(super) fn commit(&mut self, command: &Command, answer: Answer<()>) {
         if !self.leading {
             let _ = answer.send(Err(NotLeader));
             return;
         }
-        let id = self.wait(Waiting::Local(answer));
-        let time = self.unix();
+        let id = self.register_waiter(Waiter::Local(answer));
+        let time = self.unix_time();
         let command = command.encode();
-        let payload = Stamped { time, command }.encode();
-        self.event(Event::Propose { id, payload });
+        let payload = TimestampedCommand { time, command }.encode();
+        self.quorum_event(Event::Propose { id, payload });
     }
 
-    /// Reads the table of routes once a quorum has confirmed that this host leads.
-    pub(super) fn read(&mut self, answer: Answer<Option<Bytes>>) {
+    /// Reads the route table's text once a quorum has confirmed that this host leads.
+    pub(super) fn read_table(&mut self, answer: Answer<Option<Bytes>>) {
         if !self.leading {
             let _ = answer.send(Err(NotLeader));
             return;
         }
-        let id = self.wait(Waiting::Read(answer));
-        self.event(Event::Barrier { id });
+        let id = self.register_waiter(Waiter::Read(answer));
+        self.quorum_event(Event::Barrier { id });
     }
 }
--- a/crates/node/src/beacon.rs
+++ b/crates/node/src/datagrams.rs
@@ -1,6 +1,6 @@
-//! Datagrams of one process: lease renewals and their answers.
+//! The UDP socket for lease renewals and lease grants.
 //!
-//! They go over UDP so that they do not wait behind a large view on a link.
+//! They use UDP so that they don't wait behind a large view on a link.
 
 use std::net::SocketAddr;
 
@@ -11,11 +11,11 @@
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::CancellationToken;
 
-use crate::message::{Datagram, Incoming, Said};
+use crate::links::Inbox;
+use crate::message::{Datagram, Incoming, PeerEvent};
 use crate::metrics::{Count, Metrics};
-use crate::switch::Inbox;
 
-/// One datagram to send.
+/// A datagram to send.
 #[derive(Debug)]
 struct Outgoing {
     to: Peer,
@@ -23,32 +23,32 @@
     datagram: Datagram,
 }
 
-/// The way to the task that owns the socket.
+/// A handle to the task that owns the socket.
 #[derive(Debug, Clone)]
-pub struct Beacon {
+pub struct DatagramSocket {
     me: Peer,
     inbox: Inbox,
     queue: mpsc::UnboundedSender<Outgoing>,
 }
 
-/// What a beacon is started with.
+/// Everything that [`DatagramSocket::start`] needs.
 #[derive(Debug)]
 pub struct Setup {
-    /// Who this process is; it changes when the key file does.
+    /// This process's identity; it changes with the key file.
     pub identity: watch::Receiver<Identity>,
     /// The socket, bound to the peers' address.
     pub socket: UdpSocket,
     /// Where incoming datagrams go.
     pub inbox: Inbox,
-    /// Counters.
+    /// The metrics of this process.
     pub metrics: Metrics,
-    /// Ends the task.
+    /// Cancelled when the process stops.
     pub stop: CancellationToken,
-    /// Hosts with which nothing is exchanged, for tests of partitions.
+    /// Hosts with which nothing is exchanged, for tests of network partitions.
     pub cut: watch::Receiver<Vec<HostId>>,
 }
 
-impl Beacon {
+impl DatagramSocket {
     /// Starts the task that owns the socket.
     #[must_use]
     pub fn start(setup: Setup) -> Self {
@@ -59,19 +59,19 @@
                 incarnation: identity.incarnation,
             }
         };
-        let (queue, waiting) = mpsc::unbounded_channel();
+        let (queue, queued) = mpsc::unbounded_channel();
         let inbox = setup.inbox.clone();
-        tokio::spawn(run(setup, waiting));
+        tokio::spawn(run(setup, queued));
         Self { me, inbox, queue }
     }
 
-    /// Sends a datagram; it may be lost.
+    /// Sends a datagram, which may be lost; one to this host is delivered directly.
     pub fn send(&self, to: Peer, address: SocketAddr, datagram: Datagram) {
         if to.host == self.me.host {
-            let said = Said::Datagram(datagram, address);
+            let event = PeerEvent::Datagram(datagram, address);
             self.inbox.deliver(Incoming {
                 from: self.me,
-                said,
+                event,
             });
             return;
         }
@@ -82,34 +82,34 @@
         });
     }
 
-    /// This life of the process.
+    /// Returns the incarnation of this process.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.me.incarnation
     }
 }
 
-/// Owns the socket.
-async fn run(setup: Setup, mut waiting: mpsc::UnboundedReceiver<Outgoing>) {
+/// Sends and receives datagrams until the process stops.
+async fn run(setup: Setup, mut queued: mpsc::UnboundedReceiver<Outgoing>) {
     let mut sealer = Sealer::default();
     let mut opener = Opener::default();
     let mut buffer = [0; LIMIT];
     loop {
         tokio::select! {
             () = setup.stop.cancelled() => return,
-            outgoing = waiting.recv() => match outgoing {
+            outgoing = queued.recv() => match outgoing {
                 Some(outgoing) => send(&setup, &mut sealer, &outgoing).await,
                 None => return,
             },
             received = setup.socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => open(&setup, &mut opener, &buffer[..length], from),
-                Err(error) => tracing::debug!(%error, "no datagram"),
+                Err(error) => tracing::debug!(%error, "cannot receive from the datagram socket"),
             },
         }
     }
 }
 
-/// Seals and sends one datagram.
+/// Seals and sends a datagram.
 async fn send(setup: &Setup, sealer: &mut Sealer, outgoing: &Outgoing) {
     if setup.cut.borrow().contains(&outgoing.to.host) {
         return;
@@ -120,19 +120,22 @@
         Ok(bytes) => {
             setup.metrics.sent(bytes.len());
             if let Err(error) = setup.socket.send_to(&bytes, outgoing.address).await {
-                tracing::debug!(address = %outgoing.address, %error, "a datagram was not sent");
+                tracing::debug!(
+                    address = %outgoing.address, %error,
+                    "cannot send a datagram; datagram dropped"
+                );
             }
         }
-        Err(error) => tracing::error!(%error, "a datagram cannot be sealed"),
+        Err(error) => tracing::error!(%error, "cannot seal a datagram; datagram dropped"),
     }
 }
 
-/// Opens one datagram and hands it on.
+/// Opens, decodes and delivers a datagram.
 fn open(setup: &Setup, opener: &mut Opener, bytes: &[u8], address: SocketAddr) {
     let identity = setup.identity.borrow().clone();
     let refused = |error: &dyn std::fmt::Display| {
-        setup.metrics.one(Count::DatagramsRefused);
-        tracing::debug!(%address, %error, "a datagram was refused");
+        setup.metrics.increment(Count::DatagramsRefused);
+        tracing::debug!(%address, %error, "refused a datagram: cannot authenticate or decode it");
     };
     let (from, payload) = match opener.open(&identity, bytes) {
         Ok(pair) => pair,
@@ -144,8 +147,8 @@
     match postcard::from_bytes(&payload) {
         Ok(datagram) => {
             setup.metrics.received(bytes.len());
-            let said = Said::Datagram(datagram, address);
-            setup.inbox.deliver(Incoming { from, said });
+            let event = PeerEvent::Datagram(datagram, address);
+            setup.inbox.deliver(Incoming { from, event });
         }
         Err(error) => refused(&error),
     }
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The protocols that a process speaks with targets, callers and operators.
+//! The protocols that a process uses with targets, callers and operators.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,21 +10,21 @@
 use crate::ingress::Ingress;
 use crate::registry::Documents;
 
-/// The protocols that a process speaks with others; those between its peers are not among them.
+/// The protocols that a process uses with others, except with its peers.
 #[derive(Clone)]
 pub struct Dialect {
-    /// What targets tell.
+    /// The encoding of messages from targets.
     pub targets: Arc<dyn Protocol>,
-    /// What targets are asked.
+    /// The client for requests and orders to targets.
     pub client: Arc<dyn Client>,
-    /// Requests that come by routes; without it callers speak the project's own interface.
+    /// The callers' protocol for routed requests; `None` for the project's own caller interface.
     pub callers: Option<Arc<dyn Ingress>>,
-    /// Tables of routes.
+    /// The encoding of route tables from operators; `None` if they aren't taken.
     pub documents: Option<Arc<dyn Documents>>,
 }
 
 impl Default for Dialect {
-    /// The project's own protocols.
+    /// Returns the project's own protocols.
     fn default() -> Self {
         Self {
             targets: Arc::new(Json),
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,7 +1,8 @@
-//! The task that owns the core of an entry host.
+//! The task that owns the entry core: feeds it requests, target messages and leader events, and
+//! performs the actions it returns.
 
-mod answers;
-mod errands;
+mod background;
+mod responses;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,10 +12,10 @@
 use cornelhitch_entry::action::{Action, Destination};
 use cornelhitch_entry::core::Core;
 use cornelhitch_entry::entries::{self, Whence};
-use cornelhitch_entry::event::{Attempt as Number, CallId, Event};
+use cornelhitch_entry::event::{Attempt as AttemptNumber, CallId, Event};
 use cornelhitch_settings::fleet::Fleet;
 use cornelhitch_target::client::Client;
-use cornelhitch_target::inbound::{Message as Told, Receipt};
+use cornelhitch_target::inbound::{Message as TargetMessage, Receipt};
 use cornelhitch_types::entry::Host;
 use cornelhitch_types::id::Name;
 use cornelhitch_types::view::{Change, View};
@@ -25,245 +26,259 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::attempt::{self, Attempt, Signals};
-use crate::audit::Audit;
-use crate::exchange::{Exchange, Intake, Payload, Recorded};
+use crate::exchange::{Exchange, NewRequest, Payload, Recorded};
 use crate::ingress::Routes;
 use crate::message::Upward;
 use crate::metrics::Metrics;
+use crate::request_log::RequestLog;
 use crate::session;
 
-/// Time between two reports of demand while nothing presses.
-const REPORT: Duration = Duration::from_millis(500);
+/// Interval between demand reports to the leader when the core has not asked for an urgent one.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two reports of demand when models are waited for.
-const URGENT_REPORT: Duration = Duration::from_millis(5);
+/// Interval between demand reports after the core has asked for an urgent one.
+const URGENT_REPORT_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the entry task is told.
+/// A message to the entry task.
 #[derive(Debug)]
 pub enum Input {
     /// An event for the core.
     Event(Event),
-    /// A request of a caller.
-    Intake(Box<Intake>),
-    /// The whole answer to a request with a key.
+    /// A new request from a caller.
+    NewRequest(Box<NewRequest>),
+    /// The complete answer to a request with an idempotency key, to be recorded.
     Answer(CallId, Recorded),
-    /// A target told something.
-    Told(Told, oneshot::Sender<Receipt>),
-    /// A caller asks where to connect.
+    /// A message from a target, and where to send the receipt.
+    TargetMessage(TargetMessage, oneshot::Sender<Receipt>),
+    /// A request for the entry addresses that are best for this host's own location.
     Entries(oneshot::Sender<Entries>),
-    /// A caller at a place asks which hosts to connect to.
+    /// A request for the entry hosts nearest to the given location.
     Nearest(Whence, oneshot::Sender<entries::Entries>),
-    /// Somebody asks whether this host takes requests.
+    /// A readiness check: whether this host currently takes requests.
     Ready(oneshot::Sender<bool>),
-    /// An operator asks for the state.
+    /// A request for the core's state as JSON, for the operators' dump.
     Dump(oneshot::Sender<serde_json::Value>),
-    /// The process was asked to end.
+    /// Start of the graceful shutdown.
     Drain,
 }
 
-/// The answer to a caller that asks where to connect.
+/// The answer to [`Input::Entries`].
 #[derive(Debug)]
 pub struct Entries {
-    /// How long it may be kept.
+    /// How long the answer may be cached.
     pub max_age: Duration,
-    /// The answer.
+    /// The response body.
     pub body: Page,
 }
 
-/// The body of the answer.
+/// The JSON body that lists entry addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Page {
-    /// Addresses, the best first.
+    /// Entry addresses, best first.
     pub addresses: Vec<std::net::SocketAddr>,
-    /// How long to keep them, in milliseconds.
+    /// How long the list may be cached, in milliseconds.
     pub max_age_ms: u128,
 }
 
-/// What the entry task is started with.
+/// Everything that [`run`] needs.
 pub struct Setup {
-    /// The core.
+    /// The sans-I/O entry core.
     pub core: Core,
-    /// This host as the leader knows it.
+    /// The description of this host that is sent to the leader.
     pub host: Host,
-    /// What the task is told.
+    /// The task's input queue.
     pub inputs: mpsc::UnboundedReceiver<Input>,
-    /// The other end of `inputs`.
-    pub input: mpsc::UnboundedSender<Input>,
-    /// What the leader tells.
+    /// The sending end of `inputs`, for the tasks that this one starts.
+    pub input_sender: mpsc::UnboundedSender<Input>,
+    /// View changes and lease renewals from the session.
     pub events: mpsc::UnboundedReceiver<session::Event>,
-    /// The way to the leader.
+    /// The session with the leader.
     pub session: session::Handle,
-    /// The way to targets.
+    /// The client for requests to targets.
     pub client: Arc<dyn Client>,
-    /// Where this host as it is now is shown.
-    pub shown: watch::Sender<Host>,
-    /// Where the settings in force are shown.
+    /// Publishes this host's current load, drain state and settings version.
+    pub host_state: watch::Sender<Host>,
+    /// Publishes the fleet settings in force.
     pub fleet: watch::Sender<Arc<Fleet>>,
-    /// Where the routes in force are shown.
+    /// Publishes the route table in force; `None` before the first one.
     pub routes: watch::Sender<Option<Arc<Routes>>>,
-    /// Counters.
+    /// The metrics of this process.
     pub metrics: Metrics,
-    /// Cancelled when the listener has to close.
+    /// Cancelled when the callers' listener has to close.
     pub close: CancellationToken,
-    /// Cancelled when everything has ended.
+    /// Cancelled when all requests in flight have ended after a drain.
     pub drained: CancellationToken,
-    /// The time that the core counts from.
+    /// The instant from which the core measures time.
     pub epoch: Instant,
 }
 
-/// One attempt in progress.
-struct Running {
+/// An attempt in flight.
+struct RunningAttempt {
     signals: Signals,
     task: AbortHandle,
     request: Name,
     to: Destination,
 }
 
-/// The entry host, owned by its task.
+/// The state of the entry task.
 struct Entry {
     setup: Setup,
     exchanges: HashMap<CallId, Exchange>,
-    attempts: HashMap<(CallId, Number), Running>,
+    attempts: HashMap<(CallId, AttemptNumber), RunningAttempt>,
     answers: HashMap<CallId, Recorded>,
-    reported: Instant,
+    last_report: Instant,
     urgent: bool,
-    audit: Audit,
+    request_log: RequestLog,
 }
 
-/// Runs an entry host until everything has drained.
+/// Runs the entry task until the drain completes or its channels close.
 pub async fn run(setup: Setup) {
     let entry = Entry {
         setup,
         exchanges: HashMap::new(),
         attempts: HashMap::new(),
         answers: HashMap::new(),
-        reported: Instant::now(),
+        last_report: Instant::now(),
         urgent: true,
-        audit: Audit::default(),
+        request_log: RequestLog::default(),
     };
     entry.serve().await;
 }
 
 impl Entry {
-    /// Serves until everything has drained.
+    /// Processes events and inputs until the drain completes or a channel closes.
     async fn serve(mut self) {
         while !self.setup.drained.is_cancelled() {
-            let wake = self.wake();
+            let wake = self.next_wake();
             tokio::select! {
                 biased;
                 event = self.setup.events.recv() => match event {
-                    Some(event) => self.leader(event),
+                    Some(event) => self.session_event(event),
                     None => return,
                 },
                 input = self.setup.inputs.recv() => match input {
-                    Some(input) => self.input(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
-                () = tokio::time::sleep_until(wake) => self.handle(Event::Tick),
+                () = tokio::time::sleep_until(wake) => self.handle_event(Event::Tick),
             }
-            self.report();
+            self.report_demand();
         }
     }
 
-    /// When there is something to do although nothing comes in.
-    fn wake(&self) -> Instant {
-        let pause = if self.urgent { URGENT_REPORT } else { REPORT };
-        let report = self.reported + pause;
+    /// Returns when the loop has to wake up next without an event or input.
+    fn next_wake(&self) -> Instant {
+        let pause = if self.urgent {
+            URGENT_REPORT_INTERVAL
+        } else {
+            REPORT_INTERVAL
+        };
+        let report = self.last_report + pause;
         let core = self.setup.core.next_wake();
         let core = core.map(|time| self.setup.epoch + time);
         core.map_or(report, |core| core.min(report))
     }
 
-    /// Sends a report of demand when one is due.
-    fn report(&mut self) {
-        let pause = if self.urgent { URGENT_REPORT } else { REPORT };
-        if self.reported.elapsed() < pause {
+    /// Sends a demand report and updates the published host state, if a report is due.
+    fn report_demand(&mut self) {
+        let pause = if self.urgent {
+            URGENT_REPORT_INTERVAL
+        } else {
+            REPORT_INTERVAL
+        };
+        if self.last_report.elapsed() < pause {
             return;
         }
-        self.reported = Instant::now();
+        self.last_report = Instant::now();
         self.urgent = false;
         let report = self.setup.core.report();
         self.setup.session.tell(Upward::Report(report));
         let core = &self.setup.core;
         self.setup.metrics.show_services(core.tallies());
         let (load, draining, settings) = (core.load(), core.draining(), core.settings());
-        self.setup.shown.send_modify(|host| {
+        self.setup.host_state.send_modify(|host| {
             host.load = load;
             host.draining = draining;
             host.settings = settings;
         });
     }
 
-    /// Takes what the leader tells.
-    fn leader(&mut self, event: session::Event) {
+    /// Handles an event from the session with the leader.
+    fn session_event(&mut self, event: session::Event) {
         match event {
             session::Event::View(view) => {
-                self.settings(&view);
+                self.publish_settings(&view);
                 let (term, from, to) = (view.term, view.from, view.to);
-                self.handle(Event::View(view));
+                self.handle_event(Event::View(view));
                 let seen = self.setup.core.seen();
                 if seen < (term, to) {
-                    tracing::info!(term, from, to, ?seen, "a view was passed over");
+                    tracing::info!(
+                        term,
+                        from,
+                        to,
+                        ?seen,
+                        "view update not applied by the entry core"
+                    );
                 }
-                self.routes();
+                self.publish_routes();
                 let settings = self.setup.core.settings();
                 self.setup
-                    .shown
+                    .host_state
                     .send_modify(|host| host.settings = settings);
             }
             session::Event::Lease { until, version } => {
                 let until = until.saturating_duration_since(self.setup.epoch);
-                self.handle(Event::Lease { until, version });
+                self.handle_event(Event::Lease { until, version });
             }
         }
     }
 
-    /// Shows new settings to the HTTP side.
-    fn settings(&self, view: &View) {
+    /// Publishes the settings in a view to the HTTP listeners.
+    fn publish_settings(&self, view: &View) {
         for change in &view.changes {
             if let Change::Settings(version, text) = change
                 && let Ok(fleet) = text.parse::<Fleet>()
             {
-                tracing::info!(version, "settings in force here");
+                tracing::info!(version, "fleet settings now in force on this entry host");
                 self.setup.fleet.send_replace(Arc::new(fleet));
             }
         }
     }
 
-    /// Shows new routes to the HTTP side.
-    fn routes(&self) {
+    /// Publishes the core's route table to the HTTP listeners if its version has changed.
+    fn publish_routes(&self) {
         let Some(table) = self.setup.core.table() else {
             return;
         };
-        let shown = self.setup.routes.borrow().clone();
+        let published = self.setup.routes.borrow().clone();
         let version = table.version;
-        if shown.is_none_or(|shown| shown.table.version != version) {
+        if published.is_none_or(|published| published.table.version != version) {
             tracing::info!(
                 version,
                 routes = table.routes.len(),
-                "table of routes in force here"
+                "route table now in force on this entry host"
             );
             let routes = Routes::of(table.clone());
             self.setup.routes.send_replace(Some(Arc::new(routes)));
         }
     }
 
-    /// Takes one input.
-    fn input(&mut self, input: Input) {
+    /// Handles one input.
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Event(event) => {
                 if let Event::CallerLeft { id } = event
                     && let Some(exchange) = self.exchanges.remove(&id)
                 {
-                    self.audit.left(&exchange);
+                    self.request_log.caller_left(&exchange);
                 }
-                self.handle(event);
+                self.handle_event(event);
             }
-            Input::Intake(intake) => self.intake(*intake),
+            Input::NewRequest(request) => self.accept_request(*request),
             Input::Answer(id, answer) => {
                 self.answers.insert(id, answer);
             }
-            Input::Told(told, receipt) => self.told(told, receipt),
+            Input::TargetMessage(message, receipt) => self.target_message(message, receipt),
             Input::Entries(answer) => {
                 let whence = Whence {
                     region: self.setup.host.region.clone(),
@@ -289,17 +304,17 @@
                 let dump = serde_json::to_value(self.setup.core.dump());
                 let _ = answer.send(dump.unwrap_or_default());
             }
-            Input::Drain => self.handle(Event::Drain),
+            Input::Drain => self.handle_event(Event::Drain),
         }
     }
 
-    /// Takes a request in.
-    fn intake(&mut self, intake: Intake) {
-        let Intake {
+    /// Registers a new request and passes it to the core.
+    fn accept_request(&mut self, new: NewRequest) {
+        let NewRequest {
             request,
             payload,
             reply,
-        } = intake;
+        } = new;
         let fleet = self.setup.fleet.borrow().clone();
         let arrived = std::time::Instant::now();
         let class = request.class.as_ref().and_then(|name| fleet.class(name));
@@ -319,32 +334,32 @@
             priority: class.map_or(1, |class| class.weight),
         };
         self.exchanges.insert(request.id, exchange);
-        self.handle(Event::Arrived(request));
+        self.handle_event(Event::Arrived(request));
     }
 
-    /// Hands on what a target told.
+    /// Forwards a target's message to the leader and sends the receipt.
     ///
-    /// A heartbeat of a target that control has not published is answered with
-    /// the wish for another announcement, since the first one may be lost.
-    fn told(&mut self, told: Told, receipt: oneshot::Sender<Receipt>) {
+    /// A heartbeat from a target that is missing from the view is answered with a request to
+    /// announce again, since the first announcement may have been lost.
+    fn target_message(&mut self, message: TargetMessage, receipt: oneshot::Sender<Receipt>) {
         let mut answer = Receipt::Taken;
-        let upward = match told {
-            Told::Announcement(announcement) => Upward::Announce(announcement),
-            Told::Heartbeat(heartbeat) => {
+        let upward = match message {
+            TargetMessage::Announcement(announcement) => Upward::Announce(announcement),
+            TargetMessage::Heartbeat(heartbeat) => {
                 let core = &self.setup.core;
                 if !core.knows(&heartbeat.target, heartbeat.incarnation) {
                     answer = Receipt::Announce;
                 }
                 Upward::Heartbeat(heartbeat)
             }
-            Told::Leaving(leaving) => {
-                return self.farewell(leaving.target, leaving.incarnation, receipt);
+            TargetMessage::Leaving(leaving) => {
+                return self.commit_leave(leaving.target, leaving.incarnation, receipt);
             }
-            Told::Presence(presence) => Upward::Presence(presence),
-            Told::Ended(ended) => {
+            TargetMessage::Presence(presence) => Upward::Presence(presence),
+            TargetMessage::Ended(ended) => {
                 let known = self.setup.core.life(&ended.target);
-                if let Some(life) = ended.incarnation.or(known) {
-                    return self.farewell(ended.target, life, receipt);
+                if let Some(incarnation) = ended.incarnation.or(known) {
+                    return self.commit_leave(ended.target, incarnation, receipt);
                 }
                 // Another host may know the target.
                 let _ = receipt.send(Receipt::Elsewhere);
@@ -355,16 +370,16 @@
         let _ = receipt.send(answer);
     }
 
-    /// Gives the core an event and does what it says.
-    fn handle(&mut self, event: Event) {
+    /// Passes an event to the core and performs the resulting actions.
+    fn handle_event(&mut self, event: Event) {
         let now = self.setup.epoch.elapsed();
         for action in self.setup.core.handle(event, now) {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    /// Does one thing that the core said.
-    fn act(&mut self, action: Action) {
+    /// Performs one action of the core.
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Claim {
                 id,
@@ -383,7 +398,7 @@
                 attempt,
                 to,
                 resume,
-            } => self.send(id, attempt, to, resume),
+            } => self.start_attempt(id, attempt, to, resume),
             Action::Proceed { id, attempt } => self.signal(id, attempt, |s| s.proceed.take()),
             Action::Deliver { id, attempt } => {
                 if let Some(exchange) = self.exchanges.get_mut(&id) {
@@ -396,12 +411,12 @@
                 self.signal(id, attempt, |s| s.finish.take());
                 self.attempts.remove(&(id, attempt));
                 if let Some(exchange) = self.exchanges.remove(&id) {
-                    self.audit.answered(&exchange, attempt);
+                    self.request_log.answered(&exchange, attempt);
                 }
             }
-            Action::Cancel { id, attempt, .. } => self.cancel(id, attempt),
+            Action::Cancel { id, attempt, .. } => self.cancel_attempt(id, attempt),
             Action::Refuse { id, refusal } => self.refuse(id, refusal),
-            Action::StreamError { id, refusal } => self.cut(id, &refusal),
+            Action::StreamError { id, refusal } => self.abort_stream(id, &refusal),
             Action::Replay { id, recorded } => self.replay(id, &recorded),
             Action::Strike {
                 fingerprint,
@@ -413,19 +428,19 @@
                 target,
                 incarnation,
             } => self.reserve(target, incarnation),
-            action @ (Action::Suspect { .. } | Action::Unreserve { .. }) => self.tell(action),
+            action @ (Action::Suspect { .. } | Action::Unreserve { .. }) => self.forward(action),
             Action::Report => self.urgent = true,
             Action::RequestView { .. } => self.setup.session.resync(),
             Action::BadSettings { version, error } => {
-                tracing::error!(version, error, "the settings cannot be read");
+                tracing::error!(version, error, "cannot parse the fleet settings");
             }
             Action::CloseListener => self.setup.close.cancel(),
             Action::Drained => self.setup.drained.cancel(),
         }
     }
 
-    /// Tells the leader what the core said of a target.
-    fn tell(&self, action: Action) {
+    /// Sends the leader a message about a target.
+    fn forward(&self, action: Action) {
         match action {
             Action::Suspect {
                 target,
@@ -441,15 +456,15 @@
                 target,
                 incarnation,
             }),
-            other => tracing::error!(?other, "not for the leader"),
+            other => tracing::error!(?other, "unexpected action: not a message to the leader"),
         }
     }
 
-    /// Gives an attempt the core's word.
+    /// Sends a signal to an attempt, if it is still waiting for it.
     fn signal(
         &mut self,
         id: CallId,
-        attempt: Number,
+        attempt: AttemptNumber,
         take: impl FnOnce(&mut Signals) -> Option<oneshot::Sender<()>>,
     ) {
         let running = self.attempts.get_mut(&(id, attempt));
@@ -458,13 +473,19 @@
         }
     }
 
-    /// Starts an attempt.
-    fn send(&mut self, id: CallId, number: Number, to: Destination, resume: Option<u64>) {
+    /// Starts the task of an attempt.
+    fn start_attempt(
+        &mut self,
+        id: CallId,
+        number: AttemptNumber,
+        to: Destination,
+        resume: Option<u64>,
+    ) {
         let Some(exchange) = self.exchanges.get(&id).cloned() else {
             return;
         };
-        let basis = self.basis();
-        self.audit.sent(&exchange, number, &to, basis);
+        let context = self.log_context();
+        self.request_log.sent(&exchange, number, &to, context);
         let host = &self.setup.host;
         let request: Name = match &*exchange.payload {
             Payload::Routed(routed) => routed.id.clone(),
@@ -472,7 +493,7 @@
                 format!("{}-{}-{id}-{number}", host.host, host.incarnation).into()
             }
         };
-        // What the caller has is known here to the token.
+        // This count of tokens passed to the caller is exact; the core's may lag behind it.
         let resume = resume.map(|_| {
             exchange
                 .delivered
@@ -486,12 +507,12 @@
             resume,
             exchange,
             client: self.setup.client.clone(),
-            inputs: self.setup.input.clone(),
+            inputs: self.setup.input_sender.clone(),
             metrics: self.setup.metrics.clone(),
         };
         let (signals, waits) = attempt::signals();
         let task = tokio::spawn(attempt.run(waits)).abort_handle();
-        let running = Running {
+        let running = RunningAttempt {
             signals,
             task,
             request,
@@ -500,8 +521,8 @@
         self.attempts.insert((id, number), running);
     }
 
-    /// Stops an attempt here and at its target.
-    fn cancel(&mut self, id: CallId, attempt: Number) {
+    /// Aborts an attempt's task and cancels the request at the target if it runs on a replica.
+    fn cancel_attempt(&mut self, id: CallId, attempt: AttemptNumber) {
         let Some(running) = self.attempts.remove(&(id, attempt)) else {
             return;
         };
@@ -511,7 +532,10 @@
             tokio::spawn(async move {
                 let cancelled = client.cancel(running.to.address, &running.request).await;
                 if let Err(error) = cancelled {
-                    tracing::debug!(request = &*running.request, %error, "not cancelled");
+                    tracing::debug!(
+                        request = &*running.request, %error,
+                        "target did not accept the cancellation"
+                    );
                 }
             });
         }
--- a/crates/node/src/entry/errands.rs
+++ b/crates/node/src/entry/background.rs
@@ -1,4 +1,4 @@
-//! What an entry host asks of control and of targets for its core, each in a task of its own.
+//! Calls to the leader and to targets that the entry core asks for, each in its own task.
 
 use std::time::Duration;
 
@@ -13,25 +13,24 @@
 use tokio::sync::oneshot;
 
 use super::{Entry, Input};
+use crate::claim_outcome;
 use crate::message::Question;
-use crate::outcome;
 
-/// Time that a claim may take before the request is refused.
-const CLAIM: Duration = Duration::from_secs(5);
+/// Timeout for committing a claim; after it the request is refused.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time that the commit of a target's farewell may take; targets ask another host after a time of this
-/// order.
-const FAREWELL: Duration = Duration::from_secs(3);
+/// Timeout for committing that a target leaves; targets turn to another host after a similar time.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time that the record of an outcome may take.
-const RECORD: Duration = Duration::from_mins(1);
+/// Timeout for committing an outcome or a strike.
+const COMMIT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Time that a probe may take.
-const PROBE: Duration = Duration::from_secs(1);
+/// Timeout for a connection probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Entry {
-    /// Has it committed that a target leaves, and says so to the target only then.
-    pub(super) fn farewell(
+    /// Commits that a target leaves and sends the receipt only after the commit.
+    pub(super) fn commit_leave(
         &self,
         target: TargetId,
         incarnation: Incarnation,
@@ -43,11 +42,14 @@
             incarnation,
         };
         tokio::spawn(async move {
-            let committed = session.propose(leave.encode(), FAREWELL).await;
+            let committed = session.propose(leave.encode(), LEAVE_TIMEOUT).await;
             let answer = match committed {
                 Ok(_) => Receipt::Taken,
                 Err(error) => {
-                    tracing::info!(%error, ?leave, "a farewell is not committed");
+                    tracing::info!(
+                        %error, ?leave,
+                        "leave not committed; target told to use another host"
+                    );
                     Receipt::Elsewhere
                 }
             };
@@ -55,7 +57,7 @@
         });
     }
 
-    /// Asks control for the right to run a request with a key.
+    /// Claims the right to run a request with an idempotency key.
     pub(super) fn claim(&self, id: CallId, caller: CallerId, key: Name, digest: Digest) {
         let claim = Command::Claim(Claim {
             key: Key { caller, key },
@@ -65,15 +67,17 @@
             issued: None,
         });
         let session = self.setup.session.clone();
-        let inputs = self.setup.input.clone();
+        let inputs = self.setup.input_sender.clone();
         tokio::spawn(async move {
-            let reply = session.propose(claim.encode(), CLAIM).await;
-            let reply = reply.map_or(claim::Reply::Unavailable, |bytes| outcome::claimed(&bytes));
+            let reply = session.propose(claim.encode(), CLAIM_TIMEOUT).await;
+            let reply = reply.map_or(claim::Reply::Unavailable, |bytes| {
+                claim_outcome::claim_reply(&bytes)
+            });
             let _ = inputs.send(Input::Event(Event::Claimed { id, reply }));
         });
     }
 
-    /// Asks control to commit the outcome of a request with a key.
+    /// Commits the outcome of a request with an idempotency key.
     pub(super) fn record(
         &mut self,
         id: CallId,
@@ -102,15 +106,19 @@
             }
         };
         let session = self.setup.session.clone();
-        let inputs = self.setup.input.clone();
+        let inputs = self.setup.input_sender.clone();
         tokio::spawn(async move {
-            if session.propose(command.encode(), RECORD).await.is_ok() {
+            if session
+                .propose(command.encode(), COMMIT_TIMEOUT)
+                .await
+                .is_ok()
+            {
                 let _ = inputs.send(Input::Event(Event::Recorded { id }));
             }
         });
     }
 
-    /// Tells control of a target that failed with a request in progress.
+    /// Commits a strike against a request whose target failed while running it.
     pub(super) fn strike(&self, fingerprint: u64, target: TargetId, incarnation: Incarnation) {
         let strike = Command::Strike(Strike {
             fingerprints: vec![fingerprint],
@@ -118,19 +126,19 @@
             incarnation,
         });
         let session = self.setup.session.clone();
-        tokio::spawn(async move { session.propose(strike.encode(), RECORD).await });
+        tokio::spawn(async move { session.propose(strike.encode(), COMMIT_TIMEOUT).await });
     }
 
-    /// Asks the leader to let suspect requests to a target come from here only.
+    /// Asks the leader to reserve a target for suspect requests from this host only.
     pub(super) fn reserve(&self, target: TargetId, incarnation: Incarnation) {
         let session = self.setup.session.clone();
-        let inputs = self.setup.input.clone();
+        let inputs = self.setup.input_sender.clone();
         tokio::spawn(async move {
             let question = Question::Reserve {
                 target: target.clone(),
                 incarnation,
             };
-            let answer = session.ask(question, CLAIM).await;
+            let answer = session.ask(question, CLAIM_TIMEOUT).await;
             let granted = answer.is_ok_and(|json| &json[..] == b"true");
             let _ = inputs.send(Input::Event(Event::Reserved {
                 target,
@@ -140,17 +148,17 @@
         });
     }
 
-    /// Tries to connect to a target.
+    /// Checks whether a target accepts TCP connections.
     pub(super) fn probe(&self, target: TargetId, address: std::net::SocketAddr) {
-        let inputs = self.setup.input.clone();
+        let inputs = self.setup.input_sender.clone();
         tokio::spawn(async move {
-            let connecting = tokio::time::timeout(PROBE, TcpStream::connect(address));
+            let connecting = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address));
             let connected = matches!(connecting.await, Ok(Ok(_)));
             let _ = inputs.send(Input::Event(Event::Probed { target, connected }));
         });
     }
 
-    /// This life of this host, which holds claims.
+    /// Returns the identity under which this host holds claims.
     fn holder(&self) -> Holder {
         Holder {
             host: self.setup.host.host,
--- a/crates/node/src/entry/answers.rs
+++ b/crates/node/src/entry/responses.rs
@@ -1,4 +1,5 @@
-//! Answers to callers that are no whole answer of a target.
+//! Responses to callers that do not come from a target: refusals, broken streams and recorded
+//! answers.
 
 use bytes::Bytes;
 use cornelhitch_entry::event::CallId;
@@ -7,40 +8,41 @@
 use http::{HeaderMap, HeaderValue, StatusCode};
 
 use super::Entry;
-use crate::audit::Basis;
 use crate::exchange::{Head, Part, Payload, Recorded};
 use crate::problem::Problem;
+use crate::request_log::LogContext;
 
 impl Entry {
     /// Ends a request with a refusal.
     pub(super) fn refuse(&mut self, id: CallId, refusal: Refusal) {
-        let basis = self.basis();
+        let context = self.log_context();
         if let Some(exchange) = self.exchanges.remove(&id) {
-            self.audit.refused(&exchange, &refusal, basis);
+            self.request_log.refused(&exchange, &refusal, context);
             let _ = exchange.reply.try_send(Part::Refusal(refusal));
         }
     }
 
-    /// What this host acts on now.
-    pub(super) fn basis(&self) -> Basis {
+    /// Returns the view and route table versions that decisions are currently based on.
+    pub(super) fn log_context(&self) -> LogContext {
         let core = &self.setup.core;
         let (term, view) = core.seen();
-        Basis {
+        LogContext {
             term,
             view,
             table: core.table().map_or(0, |table| table.version),
         }
     }
 
-    /// Ends an answer that had begun: an error event, then the connection is cut.
-    pub(super) fn cut(&mut self, id: CallId, refusal: &Refusal) {
-        let basis = self.basis();
+    /// Ends an answer that has already started: sends an error event, then closes the connection.
+    pub(super) fn abort_stream(&mut self, id: CallId, refusal: &Refusal) {
+        let context = self.log_context();
         let Some(exchange) = self.exchanges.remove(&id) else {
             return;
         };
-        self.audit.refused(&exchange, refusal, basis);
+        self.request_log.refused(&exchange, refusal, context);
         if matches!(&*exchange.payload, Payload::Routed(_)) {
-            // The target's bytes stand alone: the cut connection says that they are not whole.
+            // Nothing may be added to the target's bytes; the closed connection tells the caller
+            // that the answer is incomplete.
             return;
         }
         let problem = Problem::from(refusal).json();
@@ -50,13 +52,16 @@
         });
     }
 
-    /// Answers with a recorded answer.
+    /// Answers a request with the recorded answer to an earlier send of it.
     pub(super) fn replay(&mut self, id: CallId, recorded: &Bytes) {
         let Some(exchange) = self.exchanges.remove(&id) else {
             return;
         };
         let Ok(recorded) = postcard::from_bytes::<Recorded>(recorded) else {
-            tracing::error!(id, "a recorded answer cannot be read");
+            tracing::error!(
+                id,
+                "cannot decode the recorded answer; request dropped without an answer"
+            );
             return;
         };
         let mut headers = HeaderMap::new();
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a process cannot start.
+//! Errors that prevent a process from starting.
 
 use std::path::PathBuf;
 
@@ -11,35 +11,35 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// A secret cannot be read.
+    /// A key file or token file cannot be read.
     #[snafu(display("{source}"), context(false))]
     Secret {
-        /// Why.
+        /// The cause.
         source: secret::Error,
     },
     /// A control host has no data folder.
-    #[snafu(display("data: a host with the role control needs a data folder"))]
+    #[snafu(display("data: a host with the role control needs a data folder, but none is set"))]
     Data,
-    /// The data folder is refused.
+    /// The data folder cannot be opened, or belongs to another host or cluster.
     #[snafu(display("{source}"), context(false))]
     Store {
-        /// Why.
+        /// The cause.
         source: quorum::store::Error,
     },
-    /// The system refused something.
+    /// A system call failed.
     #[snafu(display("{what}: {source}"))]
     System {
-        /// What was asked.
+        /// What failed.
         what: &'static str,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The first fleet settings cannot be read.
+    /// The file with the first fleet settings cannot be read.
     #[snafu(display("{}: {source}", path.display()))]
     Fleet {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
 }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request of a caller and the way its answer goes back.
+//! A caller's request and the parts of its answer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -13,135 +13,135 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
 
-/// Parts of an answer that wait for a slow caller; then the target's connection waits too.
-pub const PARTS: usize = 64;
+/// Parts queued for a slow caller before the connection to the target has to wait.
+pub const PART_QUEUE: usize = 64;
 
-/// What is passed on to a target.
+/// What is sent to a target.
 #[derive(Debug, Clone)]
 pub enum Payload {
-    /// For a model.
+    /// A request to a model.
     Model {
         /// The model, version and adapter.
         model: Reference,
-        /// The form of the body.
+        /// The API that the body is written for.
         form: Form,
-        /// The caller's JSON.
+        /// The caller's JSON body.
         body: Bytes,
-        /// Whether the answer comes as server-sent events.
+        /// Whether the answer is streamed as server-sent events.
         stream: bool,
     },
-    /// For a plain service.
+    /// A request to a plain service.
     Service {
-        /// The method.
+        /// The HTTP method.
         method: Method,
-        /// Path and query, as the service knows them.
+        /// Path and query, relative to the service.
         path: String,
-        /// The caller's headers that are passed on.
+        /// The caller's headers, without hop-by-hop ones.
         headers: HeaderMap,
-        /// The body.
+        /// The request body.
         body: Bytes,
     },
-    /// For whatever target a route leads to, as it came.
+    /// A routed request, forwarded as it came.
     Routed(Box<Routed>),
 }
 
-/// A request that came by a route, as its target gets it.
+/// A routed request, as it is sent to its target.
 #[derive(Debug, Clone)]
 pub struct Routed {
-    /// Its id, as the caller sent it.
+    /// The caller's request id.
     pub id: RequestId,
-    /// The route, and the model or service that it asks for.
+    /// The route's name and the model or service asked for, for the log.
     pub what: String,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// The caller's headers, without those of its connection.
+    /// The caller's headers, without hop-by-hop ones.
     pub headers: HeaderMap,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
     /// Whether the answer is a stream of events.
     pub streams: bool,
-    /// Its rank in the target; 0 goes first.
+    /// The priority rank at the target; 0 is the highest.
     pub rank: u8,
-    /// Targets that may run it at most.
+    /// The most targets that may run the request.
     pub attempts: u32,
-    /// The last event of a stream that the caller has.
+    /// The id of the last event that the caller has, if it resumes a stream.
     pub resume: Option<u64>,
 }
 
-/// A piece of the answer to a caller.
+/// A part of the answer to a caller.
 #[derive(Debug)]
 pub enum Part {
-    /// Status and headers; it comes first, unless a refusal does.
+    /// Status and headers; the first part, unless the request is refused.
     Head(Head),
     /// Bytes of the body.
     Data(Bytes),
-    /// The answer is whole.
+    /// The end of a complete answer.
     End,
-    /// There is no answer.
+    /// A refusal; no other part follows.
     Refusal(Refusal),
 }
 
 /// Status and headers of an answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Head {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The headers that are passed on.
+    /// The headers, without hop-by-hop ones.
     pub headers: HeaderMap,
 }
 
-/// A request as the HTTP side hands it over.
+/// A new request, as an HTTP listener hands it to the entry task.
 #[derive(Debug)]
-pub struct Intake {
-    /// What the core needs of it.
+pub struct NewRequest {
+    /// What the core needs to know of the request.
     pub request: Request,
-    /// What the target needs of it.
+    /// What is sent to the target.
     pub payload: Payload,
-    /// Where the answer goes.
+    /// The queue for the parts of the answer.
     pub reply: mpsc::Sender<Part>,
 }
 
-/// A request in progress.
+/// A request in flight.
 #[derive(Debug, Clone)]
 pub struct Exchange {
-    /// What the target needs of it.
+    /// What is sent to the target.
     pub payload: Arc<Payload>,
-    /// Where the answer goes.
+    /// The queue for the parts of the answer.
     pub reply: mpsc::Sender<Part>,
-    /// Tokens handed to the caller so far, over all attempts.
+    /// Tokens sent to the caller so far, over all attempts.
     pub delivered: Arc<AtomicU64>,
-    /// Whether the answer is kept for resends.
+    /// Whether the request has an idempotency key, so that its answer is recorded.
     pub keyed: bool,
-    /// Whether the request may run twice.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// When the request came.
+    /// When the request arrived.
     pub arrived: Instant,
     /// When the caller stops waiting.
     pub deadline: Option<Instant>,
-    /// When the answer began to be passed on.
+    /// When the answer began to be passed on; `None` before that.
     pub begun: Option<Instant>,
-    /// Weight of its class.
+    /// The weight of the request's class.
     pub priority: u32,
 }
 
 impl Exchange {
-    /// How long the caller still waits.
+    /// Returns the time until the deadline, or `None` if there is none.
     #[must_use]
-    pub fn left(&self) -> Option<Duration> {
+    pub fn time_left(&self) -> Option<Duration> {
         let deadline = self.deadline?;
         Some(deadline.saturating_duration_since(Instant::now()))
     }
 }
 
-/// A whole answer as it is kept for resends of the same request.
+/// A complete answer, recorded for resends of the same request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Recorded {
     /// The HTTP status.
     pub status: u16,
     /// The media type of the body.
     pub media_type: Option<String>,
-    /// The body.
+    /// The response body.
     pub body: Bytes,
 }
--- a/crates/node/src/exposition.rs
+++ b/crates/node/src/exposition.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies as text.
+//! The HTTP service that exposes metrics in the Prometheus text format.
 
 use std::net::SocketAddr;
 
@@ -10,15 +10,15 @@
 use crate::metrics::Metrics;
 use crate::server::Service;
 
-/// Serves the counters of a process, as the text format of Prometheus has them.
+/// Serves the metrics of a process in the Prometheus text format.
 pub struct Exposition {
-    /// The counters.
+    /// The metrics of this process.
     pub metrics: Metrics,
 }
 
 impl Service for Exposition {
     async fn serve(&self, _: Request<Incoming>, _: SocketAddr) -> Response<Body> {
-        let mut response = Response::new(body::whole(self.metrics.text()));
+        let mut response = Response::new(body::full(self.metrics.text()));
         let media_type = HeaderValue::from_static("text/plain; version=0.0.4");
         response.headers_mut().insert(CONTENT_TYPE, media_type);
         response
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -1,4 +1,5 @@
-//! Requests that come by routes: what is read of them, and how they are answered.
+//! The listener for requests that are sent to targets by a route table, independent of the callers'
+//! protocol.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,96 +23,96 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::body::{self, Body};
-use crate::callers::{Departure, answered, collect};
+use crate::callers::{CallerGuard, caller_response, collect};
 use crate::entry::Input;
-use crate::exchange::{Intake, PARTS, Payload, Routed};
+use crate::exchange::{NewRequest, PART_QUEUE, Payload, Routed};
 use crate::header;
-use crate::lines::Lines;
+use crate::log_limit::LogLimiter;
 use crate::metrics::{Count, Metrics};
 use crate::problem::not_run;
-use crate::server::{HEAD, Service};
+use crate::server::{HEAD_TIMEOUT, Service};
 
-/// How long after the start of a host requests wait for its first table of routes, which takes about
-/// a second when the voters have started too. After that they are refused at once.
-pub const WARM_UP: Duration = Duration::from_millis(1_500);
+/// How long after its start a host holds requests until the first route table arrives, which takes
+/// about a second if the voters were started too. Later ones are refused at once.
+pub const FIRST_TABLE_WAIT: Duration = Duration::from_millis(1_500);
 
-/// When a caller may come back to a host that does not know any routes yet.
-const UNREADY: Duration = Duration::from_millis(500);
+/// The retry delay given to callers while this host has no route table.
+const NO_ROUTES_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A part of a prompt that other prompts may share.
+/// A section of a prompt that other prompts may have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Section {
-    /// Its number.
+    /// The id of the section's content.
     pub id: u64,
-    /// Its length in tokens.
+    /// The length in tokens.
     pub tokens: u32,
 }
 
-/// What a caller's headers say of its request.
+/// The request metadata that an [`Ingress`] reads from the headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ask {
-    /// Its id.
+    /// The request id.
     pub id: RequestId,
-    /// How long the caller waits.
+    /// How long the caller waits, from the arrival of the request.
     pub deadline: Option<Duration>,
-    /// The model, by its name within the service.
+    /// The model's name within the service, if one is asked for.
     pub model: Option<Name>,
-    /// The adapter on top of the model.
+    /// The adapter to apply to the model.
     pub adapter: Option<Name>,
-    /// The prompt's parts in their order.
+    /// The sections of the prompt, in order.
     pub prompt: Vec<Section>,
-    /// The last event that the caller has of a stream.
+    /// The id of the last event that the caller has, if it resumes a stream.
     pub resume: Option<u64>,
 }
 
-/// A page that needs no target.
+/// A request that this host answers itself, without a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Page {
     /// Whether this host takes requests.
     Ready,
-    /// Which hosts to connect to, for a caller at a place.
+    /// Which entry hosts to connect to, for a caller at the given location.
     Entries(Whence),
 }
 
-/// How requests that come by routes are read and answered; one for each protocol of callers.
+/// A callers' protocol: how routed requests are read and answered.
 pub trait Ingress: Send + Sync + 'static {
-    /// What the headers of a request say.
+    /// Reads the metadata of a request from its headers.
     ///
     /// # Errors
-    /// The refusal names the header that is wrong.
+    /// Returns a refusal that names the wrong header.
     fn read(&self, headers: &HeaderMap) -> Result<Ask, Refusal>;
 
-    /// The page that is asked for, if it is one.
+    /// Returns the page asked for, or `None` if the request isn't for a page.
     fn page(&self, method: &Method, uri: &Uri) -> Option<Page>;
 
-    /// The answer to a request that is not answered in full.
+    /// Returns the response that tells the caller of a refusal.
     fn refusal(&self, refusal: &Refusal) -> Response<Bytes>;
 
-    /// The answer whether this host takes requests.
+    /// Returns the response to [`Page::Ready`].
     fn ready(&self, ready: bool) -> Response<Bytes>;
 
-    /// The answer which hosts to connect to.
+    /// Returns the response to [`Page::Entries`].
     fn entries(&self, entries: &Entries) -> Response<Bytes>;
 }
 
-/// The routes in force, with their index.
+/// The route table in force, indexed by host and path.
 #[derive(Debug, Default)]
 pub struct Routes {
     /// The table.
     pub table: Arc<Table>,
-    /// Its index.
+    /// Positions of routes in the table, by host and path.
     index: Index,
 }
 
 impl Routes {
-    /// The routes of a table.
+    /// Indexes a table.
     #[must_use]
     pub fn of(table: Arc<Table>) -> Self {
         let index = Index::of(&table);
         Self { table, index }
     }
 
-    /// The route of a request.
+    /// Returns the route for a request's host and path.
     fn find(&self, parts: &Parts) -> Option<&Route> {
         let host = parts.headers.get(HOST)?.to_str().ok()?;
         let host = host.split(':').next().unwrap_or(host);
@@ -120,60 +121,60 @@
     }
 }
 
-/// Serves requests that come by routes.
-pub struct Door {
-    /// Where the entry task is.
+/// The HTTP service for routed requests.
+pub struct RoutedService {
+    /// The entry task's input queue.
     pub inputs: mpsc::UnboundedSender<Input>,
-    /// The routes in force here; none before the first table.
+    /// The route table in force; `None` before the first one.
     pub routes: watch::Receiver<Option<Arc<Routes>>>,
-    /// How requests are read and answered.
+    /// The callers' protocol.
     pub ingress: Arc<dyn Ingress>,
-    /// Counters.
+    /// The metrics of this process.
     pub metrics: Metrics,
-    /// The number of the next request.
+    /// The id for the next request.
     pub next: AtomicU64,
-    /// Until when requests wait for the first table.
-    pub warm: Instant,
-    /// Bounds the lines about requests that are refused before the core sees them.
-    pub lines: Mutex<Lines>,
+    /// Until when requests are held if there is no route table yet.
+    pub first_table_until: Instant,
+    /// Limits the log lines about requests that are refused before they reach the core.
+    pub log_limit: Mutex<LogLimiter>,
 }
 
-impl Service for Door {
+impl Service for RoutedService {
     async fn serve(&self, request: Request<Incoming>, from: SocketAddr) -> Response<Body> {
         let (parts, body) = request.into_parts();
-        self.metrics.one(Count::Requests);
+        self.metrics.increment(Count::Requests);
         let since = Instant::now();
-        let served = self.request(parts, body, from).await;
+        let served = self.serve_request(parts, body, from).await;
         served.unwrap_or_else(|refusal| {
             self.metrics.refused(&refusal, since.elapsed());
-            self.ingress.refusal(&refusal).map(body::whole)
+            self.ingress.refusal(&refusal).map(body::full)
         })
     }
 
-    fn patience(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         let routes = self.routes.borrow();
         let idle = routes.as_ref().map(|routes| routes.table.limits.idle);
-        idle.map_or(HEAD, |idle| idle.max(HEAD))
+        idle.map_or(HEAD_TIMEOUT, |idle| idle.max(HEAD_TIMEOUT))
     }
 
-    fn unread(&self, from: SocketAddr, error: &hyper::Error) {
-        self.metrics.one(Count::ConnectionsUnread);
-        if self.lock_lines().admits() {
-            tracing::info!(%from, %error, "what came over a connection is no request");
+    fn parse_failed(&self, from: SocketAddr, error: &hyper::Error) {
+        self.metrics.increment(Count::ConnectionsUnread);
+        if self.lock_log_limit().allow() {
+            tracing::info!(%from, %error, "closed a caller's connection: cannot parse a request");
         }
     }
 }
 
-/// What a request was for, for the log.
+/// The host and path of a request, for the log.
 #[derive(Debug)]
-struct Asked {
-    /// The host that the caller names.
+struct RequestSummary {
+    /// The `Host` header.
     host: Option<HeaderValue>,
-    /// The path.
+    /// The request target.
     uri: Uri,
 }
 
-impl From<&Parts> for Asked {
+impl From<&Parts> for RequestSummary {
     fn from(parts: &Parts) -> Self {
         Self {
             host: parts.headers.get(HOST).cloned(),
@@ -182,9 +183,9 @@
     }
 }
 
-impl Door {
-    /// Serves one request.
-    async fn request(
+impl RoutedService {
+    /// Handles one request up to the start of its answer.
+    async fn serve_request(
         &self,
         parts: Parts,
         body: Incoming,
@@ -193,28 +194,28 @@
         let since = Instant::now();
         let routes = self.routes().await?;
         let waited = since.elapsed();
-        let asked = Asked::from(&parts);
+        let summary = RequestSummary::from(&parts);
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let read = self.read(id, &routes, parts, body, from).await;
         let (mut call, payload) =
-            read.inspect_err(|refusal| self.turned_away(&asked, refusal, routes.table.version))?;
-        let (reply, answer) = mpsc::channel(PARTS);
+            read.inspect_err(|refusal| self.log_refusal(&summary, refusal, routes.table.version))?;
+        let (reply, answer) = mpsc::channel(PART_QUEUE);
         call.spend(waited);
         let streams = payload.streams;
-        let intake = Intake {
+        let intake = NewRequest {
             request: call,
             payload: Payload::Routed(Box::new(payload)),
             reply,
         };
-        let departure = Departure {
+        let guard = CallerGuard {
             id,
             inputs: self.inputs.clone(),
         };
-        let _ = self.inputs.send(Input::Intake(Box::new(intake)));
-        answered(answer, departure, |status| streams && status.is_success()).await
+        let _ = self.inputs.send(Input::NewRequest(Box::new(intake)));
+        caller_response(answer, guard, |status| streams && status.is_success()).await
     }
 
-    /// Reads a request whose route is in force here.
+    /// Finds the route of a request, reads its body and prepares it for the core.
     async fn read(
         &self,
         id: u64,
@@ -225,64 +226,75 @@
     ) -> Result<(Call, Routed), Refusal> {
         let route = routes
             .find(&parts)
-            .ok_or_else(|| not_run(Reason::Unknown, "no route has this host and path"))?;
-        let ask = self.ingress.read(&parts.headers)?;
+            .ok_or_else(|| not_run(Reason::Unknown, "no route matches this host and path"))?;
+        let metadata = self.ingress.read(&parts.headers)?;
         let body = collect(body, routes.table.limits.body).await?;
-        read(id, route, &routes.table, ask, parts, body, from)
+        read(id, route, &routes.table, metadata, parts, body, from)
     }
 
-    /// Writes a line about a request that is refused before the core sees it.
-    fn turned_away(&self, asked: &Asked, refusal: &Refusal, table: Version) {
-        if self.lock_lines().admits() {
-            let (host, path) = (&asked.host, asked.uri.path());
+    /// Logs a request that was refused before it reached the core.
+    fn log_refusal(&self, summary: &RequestSummary, refusal: &Refusal, table: Version) {
+        if self.lock_log_limit().allow() {
+            let (host, path) = (&summary.host, summary.uri.path());
             tracing::info!(
                 ?host, path, reason = %refusal.reason, detail = &*refusal.detail, table,
-                "request turned away"
+                "request refused before it reached the entry core"
             );
         }
     }
 
-    /// The count of lines.
-    fn lock_lines(&self) -> MutexGuard<'_, Lines> {
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the log limiter.
+    fn lock_log_limit(&self) -> MutexGuard<'_, LogLimiter> {
+        self.log_limit
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The routes in force here; a host that has just started waits for its first table.
+    /// Returns the routes in force; waits for the first table if the host has just started.
     async fn routes(&self) -> Result<Arc<Routes>, Refusal> {
         let mut routes = self.routes.clone();
-        let first = timeout_at(self.warm, routes.wait_for(Option::is_some)).await;
+        let first = timeout_at(self.first_table_until, routes.wait_for(Option::is_some)).await;
         let known = first.ok().and_then(Result::ok);
         let known = known.and_then(|routes| routes.clone());
         known.ok_or_else(|| Refusal {
-            retry_after: Some(UNREADY),
-            ..not_run(Reason::Unavailable, "this host knows no routes yet")
+            retry_after: Some(NO_ROUTES_RETRY_AFTER),
+            ..not_run(
+                Reason::Unavailable,
+                "this host has not received a route table yet",
+            )
         })
     }
 }
 
-/// Reads a request into what the core and the target need.
+/// Prepares a request for the core and the target.
 fn read(
     id: u64,
     route: &Route,
     table: &Table,
-    ask: Ask,
+    metadata: Ask,
     parts: Parts,
     body: Bytes,
     from: SocketAddr,
 ) -> Result<(Call, Routed), Refusal> {
-    let unsplit = || not_run(Reason::Unavailable, "the route leads nowhere");
-    let service = route.pick(rand::random()).ok_or_else(unsplit)?;
-    let what = what(service, table, &ask, &parts.method);
+    let no_service = || {
+        not_run(
+            Reason::Unavailable,
+            "the route has no service to send the request to",
+        )
+    };
+    let service = route.pick(rand::random()).ok_or_else(no_service)?;
+    let what = what(service, table, &metadata, &parts.method);
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let asked = [path.as_bytes(), &[0], &body].concat();
+    let content = [path.as_bytes(), &[0], &body].concat();
     let mut call = Call::new(id, from.ip().to_string(), what);
-    call.fingerprint = fingerprint::of(&call.what, &asked);
+    call.fingerprint = fingerprint::of(&call.what, &content);
     call.deadline = Some(
-        ask.deadline
+        metadata
+            .deadline
             .map_or(route.timeout, |it| it.min(route.timeout)),
     );
     call.repeatable = route.repeat != Repeat::Never;
-    let (prefixes, sizes) = prefixes(&ask.prompt);
+    let (prefixes, sizes) = prefixes(&metadata.prompt);
     call.prefixes = prefixes;
     call.streaming = route.streams;
     call.bytes = body.len() as u64;
@@ -298,7 +310,7 @@
         headers.remove(*hop);
     }
     let routed = Routed {
-        id: ask.id,
+        id: metadata.id,
         what: format!("{}: {}", route.name, call.what),
         method: parts.method,
         path: path.to_owned(),
@@ -307,19 +319,20 @@
         streams: route.streams,
         rank: route.rank,
         attempts: if call.repeatable { route.attempts } else { 1 },
-        resume: ask.resume,
+        resume: metadata.resume,
     };
     Ok((call, routed))
 }
 
-/// What a request asks for: a model, where the service runs models and one is named.
-fn what(service: &Name, table: &Table, ask: &Ask, method: &Method) -> What {
+/// Returns what a request is for: a model if the service runs models and the request names one, or
+/// else the service itself.
+fn what(service: &Name, table: &Table, metadata: &Ask, method: &Method) -> What {
     let engine = table.service(service).and_then(|it| it.engine.as_ref());
-    match (&ask.model, engine) {
+    match (&metadata.model, engine) {
         (Some(model), Some(_)) => What::Model(Reference {
             model: route::model_id(service, model),
             version: None,
-            adapter: ask.adapter.clone(),
+            adapter: metadata.adapter.clone(),
         }),
         _ => What::Service {
             name: service.clone(),
@@ -328,7 +341,8 @@
     }
 }
 
-/// Digests of the prompt up to the end of each part, and its length there in tokens.
+/// Returns, for each section of a prompt, the digest and the length in tokens of the prompt up to
+/// its end.
 fn prefixes(prompt: &[Section]) -> (Vec<u64>, Vec<u32>) {
     use std::hash::Hasher;
     let mut hasher = std::hash::DefaultHasher::new();
@@ -341,15 +355,15 @@
     prefixes.unzip()
 }
 
-/// Serves the pages that need no target.
-pub struct Pages {
-    /// Where the entry task is.
+/// The HTTP service for requests that this host answers without a target.
+pub struct PageService {
+    /// The entry task's input queue.
     pub inputs: mpsc::UnboundedSender<Input>,
-    /// How they are asked for and answered.
+    /// The callers' protocol.
     pub ingress: Arc<dyn Ingress>,
 }
 
-impl Service for Pages {
+impl Service for PageService {
     async fn serve(&self, request: Request<Incoming>, _: SocketAddr) -> Response<Body> {
         let page = self.ingress.page(request.method(), request.uri());
         let response = match page {
@@ -364,7 +378,7 @@
                 match answered.await {
                     Ok(entries) if !entries.addresses.is_empty() => self.ingress.entries(&entries),
                     _ => {
-                        let detail = "this host knows no entry hosts";
+                        let detail = "this host knows no entry hosts to connect to";
                         self.ingress.refusal(&not_run(Reason::Unavailable, detail))
                     }
                 }
@@ -374,6 +388,6 @@
                 self.ingress.refusal(&not_run(Reason::Unknown, detail))
             }
         };
-        response.map(body::whole)
+        response.map(body::full)
     }
 }
--- a/crates/node/src/latency.rs
+++ b/crates/node/src/latency.rs
@@ -1,4 +1,4 @@
-//! Latency histograms, in the text form that Prometheus reads.
+//! Latency histograms in the Prometheus text format.
 
 use std::fmt::Write;
 use std::sync::{Mutex, PoisonError};
@@ -6,32 +6,32 @@
 
 use hdrhistogram::Histogram;
 
-/// The largest latency that is told apart, in milliseconds.
-const LONGEST_MS: u64 = 600_000;
+/// The largest latency that is recorded exactly, in milliseconds; longer ones count as this.
+const MAX_LATENCY_MS: u64 = 600_000;
 
-/// Significant decimal digits of what is recorded.
-const DIGITS: u8 = 2;
+/// Significant decimal digits of recorded latencies.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// The upper bounds of the buckets that are shown, in milliseconds.
+/// Upper bounds of the exported buckets, in milliseconds.
 const BOUNDS_MS: [u64; 12] = [
     5, 10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400, 12_800,
 ];
 
-/// Latencies of one kind.
+/// A histogram of latencies in milliseconds.
 #[derive(Debug)]
 pub struct Latency(Mutex<Histogram<u64>>);
 
 impl Default for Latency {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_MS, DIGITS);
+        let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS);
         Self(Mutex::new(histogram.expect("bounds in order")))
     }
 }
 
 impl Latency {
-    /// Records one.
+    /// Records one latency; less than 1 ms counts as 1 ms.
     pub fn record(&self, latency: Duration) {
-        let ms = u64::try_from(latency.as_millis()).unwrap_or(LONGEST_MS);
+        let ms = u64::try_from(latency.as_millis()).unwrap_or(MAX_LATENCY_MS);
         let mut histogram = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         histogram.saturating_record(ms.max(1));
     }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -1,4 +1,4 @@
-//! What cornelhitch processes say to each other.
+//! Messages between cornelhitch processes.
 
 use std::net::SocketAddr;
 
@@ -12,64 +12,64 @@
 use cornelhitch_wire::hello::Peer;
 use serde::{Deserialize, Serialize};
 
-/// A message over a link.
+/// A message over a link, encoded with postcard.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Between voters: a message of the replicated log's group.
+    /// Between voters: a message of the replicated log.
     Quorum(cornelhitch_quorum::message::Envelope),
-    /// To the leader: what a host asks or tells.
+    /// From a host to the leader.
     Upward(Upward),
-    /// From the leader, or from a voter that does not lead.
+    /// From the leader to a host, or from a voter that does not lead.
     Downward(Downward),
 }
 
-/// What a host asks of the leader or tells it.
+/// A message from a host to the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Upward {
-    /// Publish changes after this place to me.
+    /// Subscribes to view changes after the given sequence number.
     Subscribe {
-        /// The term of the view that the host has.
+        /// The term of the host's view.
         term: Term,
-        /// The place up to which it has it; 0 asks for the whole.
+        /// The sequence number up to which the host has the view; 0 asks for the whole view.
         sequence: u64,
     },
-    /// The demand of an entry host.
+    /// The demand that an entry host sees.
     Report(Report),
-    /// A target announced itself to an entry host.
+    /// A target's announcement, received by an entry host.
     Announce(Announcement),
-    /// A target's heartbeat came to an entry host.
+    /// A target's heartbeat, received by an entry host.
     Heartbeat(Heartbeat),
-    /// A target said to an entry host what it is and how it is.
+    /// A target's combined announcement and heartbeat, received by an entry host.
     Presence(Box<Presence>),
-    /// A target leaves and wants no new work.
+    /// A target leaves and takes no new work.
     Leaving {
         /// The target.
         target: TargetId,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// A target failed in a way that suggests it is gone.
+    /// A target failed in a way that suggests that it is gone.
     Lost {
         /// The target.
         target: TargetId,
-        /// The life that failed.
+        /// The incarnation that failed.
         incarnation: Incarnation,
     },
-    /// Suspect requests to a target may come from elsewhere again.
+    /// Releases the host's reservation of a target for suspect requests.
     Unreserve {
         /// The target.
         target: TargetId,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// Commit a command.
+    /// Asks to commit a command.
     Propose {
         /// The host's number for this call.
         call: u64,
-        /// The command, encoded.
+        /// The encoded command.
         command: Bytes,
     },
-    /// A question of an operator.
+    /// Asks a question.
     Ask {
         /// The host's number for this call.
         call: u64,
@@ -78,128 +78,128 @@
     },
 }
 
-/// A question of an operator that only the leader can answer.
+/// A question that only the leader can answer; the answer is JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Question {
-    /// Whether a settings version is in force everywhere.
+    /// Is a settings version, or a newer one, in force on all hosts?
     InForce(Version),
-    /// The settings in force.
+    /// Which settings were accepted last, and which version is in force?
     Settings,
-    /// What is decided, seen and waited for, as JSON.
+    /// What is the leader's state, with its decisions, observations and pending work?
     Status,
-    /// Why a model is where it is.
+    /// Why is a model placed as it is?
     Explain(String),
-    /// Change the voters.
+    /// Asks for a membership change; answered once it is done.
     Members(Membership),
-    /// Whether suspect requests to a target may come from the asking host only.
+    /// May suspect requests to a target come from the asking host only?
     Reserve {
         /// The target.
         target: TargetId,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
     },
 }
 
-/// A change of the voters.
+/// A membership change that an operator asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Membership {
-    /// Admit a host that learns the log and does not vote.
+    /// Add a host as a learner, which replicates the log without a vote.
     Add(Peer),
-    /// Make a learner a voter.
+    /// Promote a learner to voter.
     Promote(HostId),
     /// Remove a voter or learner.
     Remove(HostId),
-    /// Replace one voter by another host, or by itself with a new disk.
+    /// Replace a voter by another host, or by itself with a new disk.
     Replace {
-        /// The voter that goes.
+        /// The voter to remove.
         old: HostId,
-        /// The host that comes, with the life of its disk.
+        /// The host to add, with its disk's incarnation.
         new: Peer,
     },
 }
 
-/// What a voter tells a host.
+/// A message from a voter to a host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Downward {
-    /// Ask another voter.
+    /// The sender does not lead; ask another voter.
     NotLeader {
-        /// The leader and its address, where they are known.
+        /// The leader and its address, if known.
         leader: Option<process::Peer>,
-        /// The call that was not done, if it was one.
+        /// The call that was not carried out, if the host made one.
         call: Option<u64>,
     },
-    /// Who may lead from now on, and where each is reached.
+    /// The voters, which are the hosts that may lead from now on, with their addresses.
     Voters {
-        /// The term of the leader that tells it.
+        /// The term of the leader that sends this.
         term: Term,
         /// The voters whose addresses are known.
         voters: Vec<process::Peer>,
-        /// Where the leader takes what targets and operators tell.
+        /// Where the leader takes messages from targets and operators.
         registry: Option<SocketAddr>,
     },
-    /// The view changed.
+    /// Changes of the view, or the whole view.
     View(View),
-    /// A command was committed.
+    /// The command of a call was committed.
     Committed {
         /// The call.
         call: u64,
-        /// The state machine's reply, encoded.
+        /// The state machine's encoded reply.
         reply: Bytes,
     },
-    /// The answer to a question, as JSON.
+    /// The answer to a question.
     Answer {
         /// The call.
         call: u64,
-        /// The answer.
+        /// The answer as JSON.
         json: Bytes,
     },
 }
 
-/// A message in one datagram.
+/// The content of one datagram, encoded with postcard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
     /// An entry host renews its lease.
     Renew {
-        /// Counts the renewals of the host's life.
+        /// The number of this renewal in the host's incarnation.
         sequence: u64,
-        /// The host as it is now.
+        /// The host's current state.
         host: Host,
-        /// The term of the view that it has.
+        /// The term of the host's view.
         term: Term,
-        /// The place up to which it has the view.
+        /// The sequence number up to which the host has the view.
         view: u64,
     },
     /// The leader grants a lease.
     Lease {
-        /// The renewal that is answered.
+        /// The number of the renewal that this answers.
         sequence: u64,
-        /// How long the lease lasts from when the renewal was sent.
+        /// The length of the lease, counted from the sending of the renewal.
         length: Time,
-        /// The settings version the lease is for.
+        /// The settings version that the lease is for.
         version: Version,
         /// The leader's term.
         term: Term,
-        /// The newest place of the leader's view.
+        /// The newest sequence number of the leader's view.
         view: u64,
     },
 }
 
-/// A message with its sender.
+/// An event from a peer.
 #[derive(Debug)]
 pub struct Incoming {
-    /// The sender.
+    /// The peer.
     pub from: Peer,
-    /// What it says.
-    pub said: Said,
+    /// What happened.
+    pub event: PeerEvent,
 }
 
-/// What came from a peer.
+/// What can come from a peer.
 #[derive(Debug)]
-pub enum Said {
-    /// A link to it stands; messages will arrive in order on it.
+pub enum PeerEvent {
+    /// This host opened a link to the peer; messages on it arrive in order.
     Linked,
     /// A message over a link.
     Message(Message),
-    /// A datagram, and where an answer goes.
+    /// A datagram, with the address to answer.
     Datagram(Datagram, std::net::SocketAddr),
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters and latencies of one process, exported over OpenTelemetry, shown in the dump and served
-//! as text.
+//! Counters and latencies of one process: exported over OpenTelemetry, included in the dump and
+//! served as Prometheus text.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -15,17 +15,17 @@
 
 use crate::latency::Latency;
 
-/// What is counted; a new row here is a new counter.
+/// The counters; each variant is exported under its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case", prefix = "cornelhitch.")]
 pub enum Count {
-    /// Requests of callers.
+    /// Requests from callers.
     Requests,
     /// Requests that were refused.
     Refusals,
-    /// Answers that began.
+    /// Answers whose first byte was passed on.
     AnswersBegun,
-    /// Answers that ended whole.
+    /// Answers that ended completely.
     AnswersEnded,
     /// Tokens passed to callers.
     Tokens,
@@ -41,29 +41,29 @@
     FramesReceived,
     /// Bytes received from peers.
     BytesReceived,
-    /// Messages for which there was no link.
+    /// Messages dropped because the peer's address is unknown.
     DroppedNoLink,
-    /// Messages for which the link's queue was full.
+    /// Messages dropped because the link's queue was full.
     DroppedQueueFull,
-    /// Frames that hold no message.
+    /// Frames dropped because they cannot be decoded.
     DroppedMalformed,
-    /// Callers' connections that ended because what came over them is no request.
+    /// Callers' connections closed because a request cannot be parsed.
     ConnectionsUnread,
-    /// Links that were refused: another cluster, no key, garbage.
+    /// Refused links: wrong cluster, wrong key or garbage.
     LinksRefused,
-    /// Datagrams that were refused: another cluster, no key, replayed, garbage.
+    /// Refused datagrams: wrong cluster, wrong key, replayed or garbage.
     DatagramsRefused,
-    /// Orders sent to workers.
+    /// Orders to workers.
     Orders,
-    /// Orders whose outcome is not known.
+    /// Orders whose outcome is unknown.
     OrdersUnknown,
-    /// Orders that were not sent, since the leader's lease had run out.
+    /// Orders that were not sent because the leader's lease had run out.
     OrdersWithheld,
     /// Entries of the replicated log that were applied.
     Applied,
 }
 
-/// What is timed; a new row here is a new histogram.
+/// The latency histograms; each variant is exported under its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case", prefix = "cornelhitch.")]
 pub enum Timing {
@@ -73,17 +73,17 @@
     RequestWhole,
     /// From a request's arrival to its refusal.
     RequestRefused,
-    /// From an order to its outcome.
+    /// From sending an order to its outcome.
     Order,
 }
 
-/// What is counted of each service.
+/// A counter that is kept for each service.
 struct ServiceCount {
     name: &'static str,
     read: fn(&Tally) -> u64,
 }
 
-/// The counters of each service, a row each.
+/// The counters kept for each service.
 const SERVICE_COUNTS: [ServiceCount; 3] = [
     ServiceCount {
         name: "cornelhitch_service_requests_total",
@@ -99,26 +99,26 @@
     },
 ];
 
-/// The counters of one process; clones share them.
+/// The metrics of one process; clones share them.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     instruments: Arc<Instruments>,
 }
 
-/// The instruments themselves.
+/// The instruments shared by all clones of [`Metrics`].
 #[derive(Debug)]
 struct Instruments {
     counters: Vec<Counter<u64>>,
     sums: Vec<AtomicU64>,
-    /// Refusals by reason.
+    /// Refusals, indexed by reason.
     reasons: Vec<AtomicU64>,
-    /// Requests and repeats by service, as the entry task last showed them.
+    /// Requests and repeats of each service, as last published by the entry task.
     services: Mutex<Tallies>,
     histograms: Vec<Histogram<f64>>,
     latencies: Vec<Latency>,
 }
 
-/// Sums by name, for the dump.
+/// Counter totals by name, for the dump.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
 pub struct Sums(pub BTreeMap<&'static str, u64>);
@@ -151,38 +151,38 @@
 }
 
 impl Metrics {
-    /// Counts one.
+    /// Adds one to a counter.
     ///
     /// ```
     /// use cornelhitch_node::metrics::{Count, Metrics};
     ///
     /// let metrics = Metrics::default();
-    /// metrics.one(Count::Requests);
+    /// metrics.increment(Count::Requests);
     /// assert_eq!(metrics.sum(Count::Requests), 1);
     /// ```
-    pub fn one(&self, count: Count) {
-        self.many(count, 1);
+    pub fn increment(&self, count: Count) {
+        self.add(count, 1);
     }
 
-    /// Counts several.
-    pub fn many(&self, count: Count, amount: u64) {
+    /// Adds an amount to a counter.
+    pub fn add(&self, count: Count, amount: u64) {
         self.instruments.counters[count as usize].add(amount, &[]);
         self.instruments.sums[count as usize].fetch_add(amount, Ordering::Relaxed);
     }
 
-    /// A message left for a peer.
+    /// Counts a message of this many bytes sent to a peer.
     pub fn sent(&self, bytes: usize) {
-        self.one(Count::FramesSent);
-        self.many(Count::BytesSent, bytes as u64);
+        self.increment(Count::FramesSent);
+        self.add(Count::BytesSent, bytes as u64);
     }
 
-    /// A message came from a peer.
+    /// Counts a message of this many bytes received from a peer.
     pub fn received(&self, bytes: usize) {
-        self.one(Count::FramesReceived);
-        self.many(Count::BytesReceived, bytes as u64);
+        self.increment(Count::FramesReceived);
+        self.add(Count::BytesReceived, bytes as u64);
     }
 
-    /// Records how long something took.
+    /// Records a latency.
     ///
     /// ```
     /// use std::time::Duration;
@@ -190,36 +190,36 @@
     /// use cornelhitch_node::metrics::{Metrics, Timing};
     ///
     /// let metrics = Metrics::default();
-    /// metrics.took(Timing::Order, Duration::from_millis(3));
+    /// metrics.record(Timing::Order, Duration::from_millis(3));
     /// assert!(metrics.text().contains("cornelhitch_order_seconds_count 1\n"));
     /// ```
-    pub fn took(&self, timing: Timing, latency: Duration) {
+    pub fn record(&self, timing: Timing, latency: Duration) {
         let instruments = &self.instruments;
         instruments.histograms[timing as usize].record(latency.as_secs_f64(), &[]);
         instruments.latencies[timing as usize].record(latency);
     }
 
-    /// An answer began some time after its request.
+    /// Records that an answer began, this long after its request arrived.
     pub fn started(&self, after: Duration) {
-        self.took(Timing::RequestStart, after);
-        self.one(Count::AnswersBegun);
+        self.record(Timing::RequestStart, after);
+        self.increment(Count::AnswersBegun);
     }
 
-    /// An answer ended whole some time after its request.
+    /// Records that an answer ended completely, this long after its request arrived.
     pub fn ended(&self, after: Duration) {
-        self.took(Timing::RequestWhole, after);
-        self.one(Count::AnswersEnded);
+        self.record(Timing::RequestWhole, after);
+        self.increment(Count::AnswersEnded);
     }
 
-    /// A request was refused some time after it came.
+    /// Records that a request was refused, this long after it arrived.
     pub fn refused(&self, refusal: &Refusal, after: Duration) {
-        self.took(Timing::RequestRefused, after);
+        self.record(Timing::RequestRefused, after);
         let reasons = &self.instruments.reasons;
         reasons[refusal.reason as usize].fetch_add(1, Ordering::Relaxed);
-        self.one(Count::Refusals);
+        self.increment(Count::Refusals);
     }
 
-    /// Shows the requests and repeats of each service.
+    /// Publishes the requests and repeats of each service.
     ///
     /// ```
     /// use cornelhitch_entry::tally::Tallies;
@@ -232,19 +232,19 @@
     /// ```
     pub fn show_services(&self, tallies: &Tallies) {
         let services = &self.instruments.services;
-        let mut shown = services.lock().unwrap_or_else(PoisonError::into_inner);
-        if *shown != *tallies {
-            shown.clone_from(tallies);
+        let mut published = services.lock().unwrap_or_else(PoisonError::into_inner);
+        if *published != *tallies {
+            published.clone_from(tallies);
         }
     }
 
-    /// One sum so far.
+    /// Returns a counter's total since the start of the process.
     #[must_use]
     pub fn sum(&self, count: Count) -> u64 {
         self.instruments.sums[count as usize].load(Ordering::Relaxed)
     }
 
-    /// All sums so far.
+    /// Returns all counters' totals since the start of the process.
     #[must_use]
     pub fn sums(&self) -> Sums {
         Sums(
@@ -254,13 +254,13 @@
         )
     }
 
-    /// All of it in the text form that Prometheus reads.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
         for (name, sum) in &self.sums().0 {
-            let _ = writeln!(text, "{}_total {sum}", plain(name));
+            let _ = writeln!(text, "{}_total {sum}", prometheus_name(name));
         }
         for reason in Reason::iter() {
             let count = self.instruments.reasons[reason as usize].load(Ordering::Relaxed);
@@ -277,14 +277,14 @@
         }
         drop(services);
         for timing in Timing::iter() {
-            let name = plain(timing.into());
+            let name = prometheus_name(timing.into());
             self.instruments.latencies[timing as usize].write(&name, &mut text);
         }
         text
     }
 }
 
-/// A name as Prometheus allows it.
-fn plain(name: &str) -> String {
+/// Converts a metric name to the characters that Prometheus allows.
+fn prometheus_name(name: &str) -> String {
     name.replace(['.', '-'], "_")
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! One cornelhitch process: its tasks, started and ended.
+//! Starts and stops the tasks of one cornelhitch process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,51 +15,51 @@
 pub use crate::error::Error;
 use crate::error::SystemSnafu;
 use crate::metrics::Metrics;
-use crate::parts::{Parts, inboxes};
 use crate::secret::Token;
 use crate::server;
 use crate::session;
 use crate::socket::{Addresses, Sockets};
+use crate::startup::{Startup, inboxes};
 
-/// Time that operators' last answers may take at the end.
-const GOODBYE: Duration = Duration::from_secs(2);
+/// How long the last answers to operators may take at shutdown.
+const OPERATORS_GRACE: Duration = Duration::from_secs(2);
 
 /// A running process.
 #[derive(Debug)]
 pub struct Node {
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub addresses: Addresses,
-    /// Hosts with which nothing is exchanged, for tests of partitions.
+    /// Hosts with which nothing is exchanged, for tests of network partitions.
     pub cut: watch::Sender<Vec<HostId>>,
-    /// Counters.
+    /// The metrics of this process.
     pub metrics: Metrics,
     drain: Option<mpsc::UnboundedSender<Input>>,
     stop: CancellationToken,
-    /// Tasks that end by themselves once everything in progress has.
+    /// The entry task and its listener, which end once all requests in flight have.
     serving: Vec<JoinHandle<()>>,
-    /// The control task, which ends when it is stopped and then lets go of its folder.
+    /// The control task, which ends when it is stopped and then releases its data folder.
     control: Option<JoinHandle<()>>,
     /// The operators' listener, which answers until it is stopped.
     operators: JoinHandle<()>,
-    /// Cancelled when an operator asks for the graceful shutdown.
-    asked: CancellationToken,
+    /// Cancelled when an operator asks for a graceful shutdown.
+    drain_requested: CancellationToken,
     /// The session with the leader.
     session: session::Handle,
 }
 
 impl Node {
-    /// Starts the tasks of a process on sockets that are bound.
+    /// Starts a process with the project's own protocols on bound sockets.
     ///
     /// # Errors
-    /// A file cannot be read, or the data folder is refused.
+    /// Returns an error if a file cannot be read or the data folder cannot be opened.
     pub fn start(process: Process, sockets: Sockets) -> Result<Self, Error> {
         Self::speak(process, sockets, Dialect::default())
     }
 
-    /// Starts the tasks of a process that speaks other protocols with targets, callers and operators.
+    /// Starts a process that uses the given protocols with targets, callers and operators.
     ///
     /// # Errors
-    /// A file cannot be read, or the data folder is refused.
+    /// Returns an error if a file cannot be read or the data folder cannot be opened.
     pub fn speak(process: Process, sockets: Sockets, dialect: Dialect) -> Result<Self, Error> {
         let token = process.token.as_deref().map(Token::read).transpose()?;
         let (inbox, control_inbox, session_inbox) = inboxes(&process);
@@ -74,54 +74,54 @@
             metrics,
         } = sockets;
         let addresses = Addresses::of(&callers, &operators, &links);
-        let what = "the addresses are not known";
+        let what = "cannot read the local addresses of the listeners";
         let addresses = addresses.context(SystemSnafu { what })?;
-        let parts = Parts::connect(process, dialect, addresses, links, datagrams, inbox, cuts)?;
-        let control = control_inbox.map(|inbox| parts.control(inbox));
+        let startup = Startup::connect(process, dialect, addresses, links, datagrams, inbox, cuts)?;
+        let control = control_inbox.map(|inbox| startup.control(inbox));
         let (control, control_task) = control.transpose()?.unzip();
-        let (shown, host) = watch::channel(parts.host());
-        let (events, heard) = mpsc::unbounded_channel();
-        let session = parts.session(session_inbox, host, events);
+        let (host_state, host) = watch::channel(startup.host());
+        let (events, event_receiver) = mpsc::unbounded_channel();
+        let session = startup.session(session_inbox, host, events);
         if let (Some(control), Some(listener)) = (&control, registry) {
-            parts.registry(control.clone(), session.clone(), listener);
+            startup.registry(control.clone(), session.clone(), listener);
         }
         if let Some(listener) = metrics {
-            parts.exposition(listener);
+            startup.exposition(listener);
         }
         let mut serving = Vec::new();
         let mut drain = None;
-        if parts.process.has(Role::Entry) {
-            let (input, tasks) = parts.entry(&session, heard, shown, callers);
-            parts.pages(&input, pages);
+        if startup.process.has(Role::Entry) {
+            let (input, tasks) = startup.entry(&session, event_receiver, host_state, callers);
+            startup.pages(&input, pages);
             drain = Some(input);
             serving.extend(tasks);
         }
-        let asked = CancellationToken::new();
-        let service = parts.operators(token, &session, drain.clone(), control, asked.clone());
-        let serve = server::run(operators, Arc::new(service), parts.stop.clone());
+        let requested = CancellationToken::new();
+        let service = startup.operators(token, &session, drain.clone(), control, requested.clone());
+        let serve = server::run(operators, Arc::new(service), startup.stop.clone());
         let operators = tokio::spawn(serve);
         Ok(Self {
             addresses,
             cut,
-            metrics: parts.metrics,
+            metrics: startup.metrics,
             drain,
-            stop: parts.stop,
+            stop: startup.stop,
             serving,
             control: control_task,
             operators,
-            asked,
+            drain_requested: requested,
             session,
         })
     }
 
-    /// Takes over what may change in the settings of a process that runs.
+    /// Applies the settings that may change while the process runs: the seeds.
     pub fn reload(&self, process: &Process) {
         if !process.seeds.is_empty() {
             self.session.reseed(process.seed_peers());
         }
     }
 
-    /// Starts the graceful shutdown: no new callers, everything in progress ends.
+    /// Starts the graceful shutdown: takes no new callers and lets requests in flight end.
     pub fn drain(&self) {
         match &self.drain {
             Some(entry) => {
@@ -131,12 +131,12 @@
         }
     }
 
-    /// Waits until an operator asks for the graceful shutdown.
+    /// Waits until an operator asks for a graceful shutdown.
     pub async fn asked(&self) {
-        self.asked.cancelled().await;
+        self.drain_requested.cancelled().await;
     }
 
-    /// Waits until everything in progress has ended, then stops what is left.
+    /// Waits until all requests in flight have ended, then stops the remaining tasks.
     pub async fn ended(self) {
         for task in self.serving {
             let _ = task.await;
@@ -145,11 +145,11 @@
         if let Some(task) = self.control {
             let _ = task.await;
         }
-        // An operator who holds a connection open does not hold the end up.
-        let _ = tokio::time::timeout(GOODBYE, self.operators).await;
+        // An operator who keeps a connection open must not delay the shutdown further.
+        let _ = tokio::time::timeout(OPERATORS_GRACE, self.operators).await;
     }
 
-    /// Stops without any grace.
+    /// Stops at once, without waiting for requests in flight.
     pub fn stop(&self) {
         self.stop.cancel();
     }
