--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -1,4 +1,4 @@
-//! The HTTP side towards operators, on an address of its own and behind a token.
+//! The HTTP service for operators, on its own address and protected by a token.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -29,73 +29,73 @@
 use crate::server::Service;
 use crate::session;
 
-/// Time that an operator's call may take.
-const LIMIT: Duration = Duration::from_secs(10);
+/// Timeout for an operator's call to the leader.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time that a change of the voters may take.
-const MEMBERS: Duration = Duration::from_secs(90);
+/// Timeout for a membership change.
+const MEMBERSHIP_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// The largest settings text in bytes.
-const TEXT: usize = 1 << 20;
+/// The largest settings request, in bytes.
+const MAX_SETTINGS_BYTES: usize = 1 << 20;
 
-/// What operators' requests are served with.
+/// The HTTP service for operators.
 pub struct Operators {
-    /// What operators show.
+    /// The token that requests have to carry.
     pub token: Token,
-    /// This host's number.
+    /// This host's id.
     pub host: HostId,
-    /// This life of the process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// The way to the leader.
+    /// The session with the leader.
     pub session: session::Handle,
-    /// The entry task, on a host with that role.
+    /// The entry task's input queue, on a host with that role.
     pub entry: Option<mpsc::UnboundedSender<entry::Input>>,
-    /// The control task, on a host with that role.
-    pub control: Option<mpsc::UnboundedSender<control::Told>>,
-    /// Counters.
+    /// The control task's queue, on a host with that role.
+    pub control: Option<mpsc::UnboundedSender<control::TaskMessage>>,
+    /// The metrics of this process.
     pub metrics: Metrics,
-    /// Cancelled when an operator asks for the graceful shutdown.
-    pub asked: CancellationToken,
+    /// Cancelled when an operator asks for a graceful shutdown.
+    pub drain_requested: CancellationToken,
 }
 
-/// A settings text that is to be in force, as operators send it.
+/// An operator's request to bring a settings text in force.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Proposal {
-    /// Who applies it.
+pub struct ApplyRequest {
+    /// The operator's name.
     pub operator: String,
-    /// The id of this request; a resend with the same one gets the first answer.
+    /// The id of this request; a resend with the same id gets the first answer.
     pub request: String,
-    /// The version it was made from.
+    /// The settings version that the text was made from.
     pub base: Version,
-    /// The YAML text.
+    /// The settings as YAML.
     pub text: String,
 }
 
-/// What became of a settings text.
+/// The outcome of an [`ApplyRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "result")]
-pub enum Verdict {
-    /// It is accepted, under this version.
+pub enum ApplyOutcome {
+    /// The text was accepted.
     Accepted {
-        /// The version.
+        /// Its version.
         version: Version,
     },
-    /// Another text was accepted since; make the change from that one.
+    /// Another text was accepted since `base`; the change has to be made from that one.
     Conflict {
-        /// The version in force.
+        /// The version accepted last.
         version: Version,
     },
     /// The text has faults.
     Faulty {
-        /// One sentence a fault, with its line and column.
+        /// One sentence for each fault, with its line and column.
         faults: Vec<String>,
     },
     /// The request id was used before with another text or base.
     Reused,
 }
 
-impl From<Answer> for Verdict {
+impl From<Answer> for ApplyOutcome {
     fn from(answer: Answer) -> Self {
         match answer {
             Answer::Accepted { version } => Self::Accepted { version },
@@ -108,9 +108,9 @@
     }
 }
 
-/// The way of a request.
+/// An endpoint of the operators' interface.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Endpoint {
     Dump,
     Status,
     Settings,
@@ -123,35 +123,35 @@
     Dismiss,
 }
 
-/// One path and what it serves.
-struct Row {
+/// The method and path of an endpoint.
+struct Route {
     method: Method,
     path: &'static str,
-    way: Way,
+    endpoint: Endpoint,
 }
 
-/// One row a path.
+/// All endpoints.
 #[rustfmt::skip]
-const ROWS: &[Row] = &[
-    Row { method: Method::GET, path: "/dump", way: Way::Dump },
-    Row { method: Method::GET, path: "/status", way: Way::Status },
-    Row { method: Method::GET, path: "/settings", way: Way::Settings },
-    Row { method: Method::POST, path: "/settings", way: Way::Apply },
-    Row { method: Method::GET, path: "/in-force", way: Way::InForce },
-    Row { method: Method::GET, path: "/explain", way: Way::Explain },
-    Row { method: Method::POST, path: "/members", way: Way::Members },
-    Row { method: Method::POST, path: "/drain", way: Way::Drain },
-    Row { method: Method::POST, path: "/pardon", way: Way::Pardon },
-    Row { method: Method::POST, path: "/dismiss", way: Way::Dismiss },
+const ROUTES: &[Route] = &[
+    Route { method: Method::GET, path: "/dump", endpoint: Endpoint::Dump },
+    Route { method: Method::GET, path: "/status", endpoint: Endpoint::Status },
+    Route { method: Method::GET, path: "/settings", endpoint: Endpoint::Settings },
+    Route { method: Method::POST, path: "/settings", endpoint: Endpoint::Apply },
+    Route { method: Method::GET, path: "/in-force", endpoint: Endpoint::InForce },
+    Route { method: Method::GET, path: "/explain", endpoint: Endpoint::Explain },
+    Route { method: Method::POST, path: "/members", endpoint: Endpoint::Members },
+    Route { method: Method::POST, path: "/drain", endpoint: Endpoint::Drain },
+    Route { method: Method::POST, path: "/pardon", endpoint: Endpoint::Pardon },
+    Route { method: Method::POST, path: "/dismiss", endpoint: Endpoint::Dismiss },
 ];
 
 impl Service for Operators {
     async fn serve(&self, request: Request<Incoming>, _: SocketAddr) -> Response<Body> {
         let (parts, body) = request.into_parts();
-        if !self.allowed(&parts) {
+        if !self.is_authorized(&parts) {
             let mut problem = Problem::from(&not_run(
                 Reason::Malformed,
-                "the token is missing or wrong: send \"Authorization: Bearer TOKEN\"",
+                "the operator token is missing or wrong: send \"Authorization: Bearer TOKEN\"",
             ));
             problem.status = StatusCode::UNAUTHORIZED.as_u16();
             return problem.response();
@@ -162,46 +162,47 @@
 }
 
 impl Operators {
-    /// Whether the request carries the token.
-    fn allowed(&self, parts: &Parts) -> bool {
+    /// Returns whether the request carries the token.
+    fn is_authorized(&self, parts: &Parts) -> bool {
         let value = parts.headers.get(AUTHORIZATION);
-        let shown = value.and_then(|value| value.as_bytes().strip_prefix(b"Bearer "));
-        shown.is_some_and(|shown| self.token.is(shown))
+        let presented = value.and_then(|value| value.as_bytes().strip_prefix(b"Bearer "));
+        presented.is_some_and(|presented| self.token.matches(presented))
     }
 
-    /// Serves one request.
+    /// Dispatches a request to its endpoint.
     async fn route(&self, parts: &Parts, body: Incoming) -> Result<Response<Body>, Refusal> {
         let path = parts.uri.path();
-        let row = ROWS
+        let route = ROUTES
             .iter()
-            .find(|row| row.path == path && row.method == parts.method);
-        let Some(row) = row else {
+            .find(|route| route.path == path && route.method == parts.method);
+        let Some(route) = route else {
             let detail = format!("operators have no {} {path}", parts.method);
             return Err(not_run(Reason::Unknown, detail));
         };
-        match row.way {
-            Way::Dump => Ok(json(StatusCode::OK, &self.dump().await)),
-            Way::Status => self.ask(Question::Status, LIMIT).await,
-            Way::Settings => self.ask(Question::Settings, LIMIT).await,
-            Way::Apply => self.apply(collect(body, TEXT).await?).await,
-            Way::InForce => {
+        match route.endpoint {
+            Endpoint::Dump => Ok(json(StatusCode::OK, &self.dump().await)),
+            Endpoint::Status => self.ask(Question::Status, CALL_TIMEOUT).await,
+            Endpoint::Settings => self.ask(Question::Settings, CALL_TIMEOUT).await,
+            Endpoint::Apply => self.apply(collect(body, MAX_SETTINGS_BYTES).await?).await,
+            Endpoint::InForce => {
                 let version = query(parts, "version")?;
-                self.ask(Question::InForce(version), LIMIT).await
+                self.ask(Question::InForce(version), CALL_TIMEOUT).await
             }
-            Way::Explain => {
+            Endpoint::Explain => {
                 let model = query(parts, "model")?;
-                self.ask(Question::Explain(model), LIMIT).await
+                self.ask(Question::Explain(model), CALL_TIMEOUT).await
             }
-            Way::Members => {
+            Endpoint::Members => {
                 let membership = membership(parts)?;
-                self.ask(Question::Members(membership), MEMBERS).await
+                self.ask(Question::Members(membership), MEMBERSHIP_TIMEOUT)
+                    .await
             }
-            Way::Drain => Ok(self.drain()),
-            Way::Pardon => {
+            Endpoint::Drain => Ok(self.drain()),
+            Endpoint::Pardon => {
                 let fingerprint = query(parts, "fingerprint")?;
                 self.commit(Command::Pardon { fingerprint }).await
             }
-            Way::Dismiss => {
+            Endpoint::Dismiss => {
                 let target: String = query(parts, "target")?;
                 self.commit(Command::Dismiss {
                     target: target.into(),
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Passes a question on to the leader.
+    /// Asks the leader a question and returns its answer.
     async fn ask(&self, question: Question, limit: Duration) -> Result<Response<Body>, Refusal> {
         let answer = self.session.ask(question, limit).await;
         let bytes = answer.map_err(|error| unavailable(&error))?;
@@ -221,22 +222,22 @@
         Ok(json(StatusCode::OK, &value))
     }
 
-    /// Commits a command.
+    /// Commits a command and returns its reply.
     async fn propose(&self, command: &Command) -> Result<Reply, Refusal> {
-        let reply = self.session.propose(command.encode(), LIMIT).await;
+        let reply = self.session.propose(command.encode(), CALL_TIMEOUT).await;
         let bytes = reply.map_err(|error| unavailable(&error))?;
         postcard::from_bytes(&bytes).map_err(|error| unavailable(&error))
     }
 
-    /// Commits a command and answers with its reply.
+    /// Commits a command and returns a response with its reply.
     async fn commit(&self, command: Command) -> Result<Response<Body>, Refusal> {
         let reply = self.propose(&command).await?;
         Ok(json(StatusCode::OK, &reply))
     }
 
-    /// Brings a settings text in force.
+    /// Submits a settings text.
     async fn apply(&self, body: Bytes) -> Result<Response<Body>, Refusal> {
-        let proposal: Proposal = serde_json::from_slice(&body)
+        let proposal: ApplyRequest = serde_json::from_slice(&body)
             .map_err(|error| not_run(Reason::Malformed, format!("the body: {error}")))?;
         let command = Command::Apply(Apply {
             operator: proposal.operator.into(),
@@ -246,23 +247,25 @@
         });
         match self.propose(&command).await? {
             Reply::Settings(answer) => {
-                let verdict = Verdict::from(answer);
+                let verdict = ApplyOutcome::from(answer);
                 Ok(json(verdict.status(), &verdict))
             }
-            other => Err(unavailable(&format!("an odd reply: {other:?}"))),
+            other => Err(unavailable(&format!(
+                "expected the reply to a settings change, got {other:?}"
+            ))),
         }
     }
 
     /// Starts the graceful shutdown of this host.
     fn drain(&self) -> Response<Body> {
-        self.asked.cancel();
+        self.drain_requested.cancel();
         json(StatusCode::ACCEPTED, &"draining")
     }
 
-    /// The state of this process.
+    /// Returns the state of this process.
     async fn dump(&self) -> serde_json::Value {
-        let entry = state(self.entry.as_ref(), entry::Input::Dump).await;
-        let control = state(self.control.as_ref(), control::Told::Dump).await;
+        let entry = task_state(self.entry.as_ref(), entry::Input::Dump).await;
+        let control = task_state(self.control.as_ref(), control::TaskMessage::Dump).await;
         serde_json::json!({
             "host": self.host,
             "incarnation": self.incarnation,
@@ -275,8 +278,8 @@
     }
 }
 
-/// The state of a task, where the host has it.
-async fn state<M>(
+/// Asks a task for its state; `None` if this host doesn't run the task.
+async fn task_state<M>(
     task: Option<&mpsc::UnboundedSender<M>>,
     question: impl FnOnce(oneshot::Sender<serde_json::Value>) -> M,
 ) -> Option<serde_json::Value> {
@@ -286,8 +289,8 @@
     answered.await.ok()
 }
 
-impl Verdict {
-    /// The HTTP status of a verdict.
+impl ApplyOutcome {
+    /// Returns the HTTP status for the outcome.
     fn status(&self) -> StatusCode {
         match self {
             Self::Accepted { .. } => StatusCode::OK,
@@ -297,7 +300,7 @@
     }
 }
 
-/// A value of the query.
+/// Parses a parameter of the query.
 fn query<T: FromStr>(parts: &Parts, key: &str) -> Result<T, Refusal> {
     let pairs = parts.uri.query().unwrap_or_default().split('&');
     let value = pairs
@@ -305,12 +308,12 @@
         .find(|(name, _)| *name == key);
     let parsed = value.and_then(|(_, value)| value.parse().ok());
     parsed.ok_or_else(|| {
-        let detail = format!("the query needs {key}=VALUE with a proper value");
+        let detail = format!("the query needs {key}=VALUE; it is missing or cannot be parsed");
         not_run(Reason::Malformed, detail)
     })
 }
 
-/// The change of the voters that a query names.
+/// Parses the membership change in a query.
 fn membership(parts: &Parts) -> Result<Membership, Refusal> {
     let peer = || -> Result<Peer, Refusal> {
         Ok(Peer {
@@ -328,13 +331,15 @@
             new: peer()?,
         }),
         other => {
-            let detail = format!("{other:?} is no change: add, promote, remove or replace");
+            let detail = format!(
+                "{other:?} is no change of members; expected add, promote, remove or replace"
+            );
             Err(not_run(Reason::Malformed, detail))
         }
     }
 }
 
-/// The refusal of a call that no leader answered.
+/// Returns the refusal for a call without a usable answer from the leader.
 fn unavailable(error: &impl std::fmt::Display) -> Refusal {
     Refusal {
         reason: Reason::Unavailable,
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -1,4 +1,4 @@
-//! Sends one order, if the leader's lease still runs when its first byte leaves.
+//! Sends an order to a worker, if the leader's lease is still valid when the first byte leaves.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,60 +9,63 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use crate::control::{Lease, Told};
+use crate::control::{Lease, TaskMessage};
 use crate::metrics::{Count, Metrics, Timing};
 
-/// Time that an order and its answer may take.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Timeout for sending an order and receiving its answer.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a numbered order waits for its answer: a later one does no harm, since the worker
+/// Timeout for a numbered order. It is shorter since a late delivery does no harm: the worker
 /// refuses it by its number.
-const NUMBERED: Duration = Duration::from_secs(1);
+const NUMBERED_ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One order on its way.
-pub struct Sending {
+/// An order to send, with everything its task needs.
+pub struct OrderTask {
     /// The order.
     pub order: Order,
-    /// Where the worker takes it.
+    /// The worker's address.
     pub address: SocketAddr,
-    /// The leader's lease.
+    /// The leader's current lease.
     pub lease: watch::Receiver<Option<Lease>>,
-    /// The way to workers.
+    /// The client for orders to workers.
     pub client: Arc<dyn Client>,
-    /// Where the outcome goes.
-    pub tell: mpsc::UnboundedSender<Told>,
-    /// Counters.
+    /// The control task's queue, which gets the outcome.
+    pub task_sender: mpsc::UnboundedSender<TaskMessage>,
+    /// The metrics of this process.
     pub metrics: Metrics,
 }
 
-impl Sending {
-    /// Sends the order and tells its outcome.
+impl OrderTask {
+    /// Sends the order and reports its outcome to the control task.
     pub async fn run(self) {
         let fence = self.order.fence;
         let (lease, metrics) = (self.lease, self.metrics.clone());
         let gate = Box::new(move || {
             let held = *lease.borrow();
-            let sure = held.is_some_and(|held| held.term == fence && Instant::now() < held.until);
-            if !sure {
-                metrics.one(Count::OrdersWithheld);
+            let lease_valid =
+                held.is_some_and(|held| held.term == fence && Instant::now() < held.until);
+            if !lease_valid {
+                metrics.increment(Count::OrdersWithheld);
             }
-            sure
+            lease_valid
         });
         let limit = match self.order.after {
-            Some(_) => NUMBERED,
-            None => LIMIT,
+            Some(_) => NUMBERED_ORDER_TIMEOUT,
+            None => ORDER_TIMEOUT,
         };
         let sending = self.client.order(self.address, &self.order, limit, gate);
         let since = Instant::now();
         let outcome = sending.await;
-        self.metrics.took(Timing::Order, since.elapsed());
+        self.metrics.record(Timing::Order, since.elapsed());
         if outcome == Outcome::Unknown {
-            self.metrics.one(Count::OrdersUnknown);
+            self.metrics.increment(Count::OrdersUnknown);
         }
         tracing::info!(
             target = &*self.order.target, replica = self.order.replica,
-            action = ?self.order.action, ?outcome, "order"
+            action = ?self.order.action, ?outcome, "order to worker completed"
         );
-        let _ = self.tell.send(Told::Ordered(self.order, outcome));
+        let _ = self
+            .task_sender
+            .send(TaskMessage::Order(self.order, outcome));
     }
 }
--- a/crates/node/src/problem.rs
+++ b/crates/node/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as `application/problem+json` (RFC 9457).
+//! Refusals as `application/problem+json` documents (RFC 9457).
 
 use cornelhitch_types::refusal::{Reason, Refusal, Run};
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
@@ -10,36 +10,36 @@
 /// The media type of RFC 9457.
 const MEDIA_TYPE: HeaderValue = HeaderValue::from_static("application/problem+json");
 
-/// What stands before a reason in a problem's type.
+/// The prefix of the problem type; the reason follows.
 const TYPE_PREFIX: &str = "urn:cornelhitch:refusal:";
 
 /// A problem document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// The kind of problem, as a URN.
+    /// The problem type, as a URN.
     #[serde(rename = "type")]
     pub kind: String,
-    /// A sentence that is the same for all problems of the kind.
+    /// A summary that is the same for all problems of the type.
     pub title: &'static str,
     /// The HTTP status.
     pub status: u16,
-    /// What happened to this request.
+    /// What was wrong with this request.
     pub detail: String,
     /// Whether the request ran.
     pub run: Run,
-    /// When to come back, in whole seconds, where coming back can help.
+    /// After how many seconds to retry; `None` if a retry cannot help.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u64>,
 }
 
-/// What HTTP says of a reason.
+/// The HTTP status and title for a reason.
 struct Row {
     reason: Reason,
     status: StatusCode,
     title: &'static str,
 }
 
-/// One row a reason.
+/// The status and title for each reason.
 #[rustfmt::skip]
 const ROWS: &[Row] = &[
     Row { reason: Reason::Malformed, status: StatusCode::BAD_REQUEST, title: "The request is malformed." },
@@ -77,16 +77,16 @@
 }
 
 impl Problem {
-    /// The document's bytes.
+    /// Encodes the document as JSON.
     #[must_use]
     pub fn json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// The response that carries it.
+    /// Returns the response that carries the document.
     #[must_use]
     pub fn response(&self) -> Response<Body> {
-        let mut response = Response::new(body::whole(self.json()));
+        let mut response = Response::new(body::full(self.json()));
         *response.status_mut() = StatusCode::from_u16(self.status).unwrap_or_default();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, MEDIA_TYPE);
@@ -97,14 +97,14 @@
     }
 }
 
-/// The row of a reason.
+/// Returns the row of a reason.
 fn row(reason: Reason) -> &'static Row {
     ROWS.iter()
         .find(|row| row.reason == reason)
         .unwrap_or(&ROWS[0])
 }
 
-/// A refusal of a request that no byte of reached a target.
+/// Returns the refusal of a request of which no byte has reached a target.
 #[must_use]
 pub fn not_run(reason: Reason, detail: impl AsRef<str>) -> Refusal {
     Refusal {
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -1,7 +1,6 @@
-//! The listener of a control host where targets announce themselves and operators hand in tables
-//! of routes.
+//! The listener of a control host for announcements from targets and route tables from operators.
 //!
-//! The leader takes messages; other control hosts name it.
+//! The leader handles the messages; other control hosts redirect to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,85 +18,86 @@
 
 use crate::body::{self, Body};
 use crate::callers::collect;
-use crate::control::Told;
+use crate::control::TaskMessage;
 use crate::problem::Problem;
 use crate::server::Service;
 use crate::session;
 
-/// The largest message in bytes; a table of some thousand routes is below it.
-const MESSAGE: usize = 8 << 20;
+/// The largest message in bytes; a table of a few thousand routes is smaller.
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// How long an answer is waited for; those who ask move on after a time of this order.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Timeout for an answer of the control task; clients turn to another host after a similar time.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What an operator asks of the table of routes.
+/// An operator's request about route tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verb {
-    /// Bring one in force.
+    /// Bring a table in force.
     Publish,
-    /// Give back the one in force.
+    /// Return the table in force.
     Read,
 }
 
-/// What an operator is told.
+/// The outcome of an operator's request about route tables.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The table, or a newer one, is in force.
     Accepted,
-    /// The table cannot be brought in force, with the reason.
+    /// The table is invalid, for this reason.
     Faulty(String),
-    /// The table in force, as it was handed in.
+    /// The table in force, as it was submitted.
     Text(Bytes),
     /// There is no table yet.
     Nothing,
-    /// The host at this address takes tables.
+    /// The host at this address is the leader and takes tables.
     Redirect(SocketAddr),
-    /// It is not known which table is the newest, or whether this one was taken.
+    /// The leader is unknown, or did not confirm the request in time; a table may have been
+    /// accepted.
     Unavailable,
 }
 
-/// How operators hand in tables of routes; one for each protocol of operators.
+/// An operators' protocol for route tables.
 pub trait Documents: Send + Sync + 'static {
-    /// What a request asks, if it is about tables.
+    /// Returns what a request asks, or `None` if it isn't about route tables.
     fn verb(&self, method: &Method, path: &str) -> Option<Verb>;
 
-    /// The table in a text.
+    /// Decodes a table.
     ///
     /// # Errors
-    /// What is wrong, with its place.
+    /// Returns what is wrong, and where in the text.
     fn decode(&self, text: &Bytes) -> Result<Table, String>;
 
-    /// The answer.
+    /// Returns the response for an outcome.
     fn answer(&self, outcome: &Outcome) -> Response<Bytes>;
 }
 
-/// Who takes a message.
+/// The error of a request to the control task of a host that does not lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NotLeader;
 
-/// An answer of the control task; none where the outcome is not known.
+/// Where the control task's answer goes; dropped without one if the outcome is unknown.
 pub type Answer<T> = oneshot::Sender<Result<T, NotLeader>>;
 
-/// The listener of targets and operators.
+/// The HTTP service for targets and operators on a control host.
 pub struct Registry {
-    /// The control task.
-    pub control: mpsc::UnboundedSender<Told>,
-    /// The session, which knows where the leader takes messages.
+    /// The control task's queue.
+    pub control: mpsc::UnboundedSender<TaskMessage>,
+    /// The session, which knows the leader's registry address.
     pub session: session::Handle,
-    /// How targets' messages are encoded.
+    /// The encoding of targets' messages.
     pub targets: Arc<dyn Protocol>,
-    /// How tables are handed in.
+    /// The encoding of route tables; `None` if they aren't taken.
     pub documents: Option<Arc<dyn Documents>>,
-    /// Where this host takes messages.
+    /// The address of this listener, as given to targets.
     pub address: SocketAddr,
-    /// The region of each availability zone.
+    /// The availability zones with their regions.
     pub zones: Vec<Zone>,
 }
 
 impl Service for Registry {
     async fn serve(&self, request: Request<Incoming>, _: SocketAddr) -> Response<Body> {
         let (parts, body) = request.into_parts();
-        let body = match collect(body, MESSAGE).await {
+        let body = match collect(body, MAX_MESSAGE_BYTES).await {
             Ok(body) => body,
             Err(refusal) => return Problem::from(&refusal).response(),
         };
@@ -105,20 +105,24 @@
             && let Some(verb) = documents.verb(&parts.method, parts.uri.path())
         {
             let outcome = self.document(documents.as_ref(), verb, body).await;
-            tracing::info!(?verb, outcome = outcome.name(), "table of routes");
-            return documents.answer(&outcome).map(body::whole);
+            tracing::info!(
+                ?verb,
+                outcome = outcome.name(),
+                "answered an operator's route table request"
+            );
+            return documents.answer(&outcome).map(body::full);
         }
         if self.targets.takes(parts.uri.path()) {
             return self.target(&parts, &body).await;
         }
-        let mut response = Response::new(body::whole(Bytes::new()));
+        let mut response = Response::new(body::full(Bytes::new()));
         *response.status_mut() = StatusCode::NOT_FOUND;
         response
     }
 }
 
 impl Registry {
-    /// Serves an operator.
+    /// Handles an operator's request about route tables.
     async fn document(&self, documents: &dyn Documents, verb: Verb, text: Bytes) -> Outcome {
         match verb {
             Verb::Publish => {
@@ -131,34 +135,39 @@
                 }
                 let table = Arc::new(table);
                 let publish = Publish { table, text };
-                let taken = self.ask(|answer| Told::Publish(publish, answer)).await;
-                taken.map_or_else(|| self.elsewhere(), |()| Outcome::Accepted)
+                let taken = self
+                    .ask_control(|answer| TaskMessage::Publish(publish, answer))
+                    .await;
+                taken.map_or_else(|| self.redirect(), |()| Outcome::Accepted)
             }
-            Verb::Read => match self.ask(Told::Read).await {
+            Verb::Read => match self.ask_control(TaskMessage::Read).await {
                 Some(Some(text)) => Outcome::Text(text),
                 Some(None) => Outcome::Nothing,
-                None => self.elsewhere(),
+                None => self.redirect(),
             },
         }
     }
 
-    /// Serves a target.
+    /// Handles a target's message.
     async fn target(&self, parts: &Parts, body: &[u8]) -> Response<Body> {
         let message = self.targets.decode(&parts.method, parts.uri.path(), body);
         let receipt = match message {
-            Ok(message) => Ok(self.told(message).await),
+            Ok(message) => Ok(self.forward_message(message).await),
             Err(error) => {
-                tracing::info!(%error, path = parts.uri.path(), "a target's message was refused");
+                tracing::info!(
+                    %error, path = parts.uri.path(),
+                    "refused a target's message: cannot decode it"
+                );
                 Err(error)
             }
         };
         self.targets
             .answer(parts.uri.path(), receipt)
-            .map(body::whole)
+            .map(body::full)
     }
 
-    /// Hands on what a target told.
-    async fn told(&self, mut message: Message) -> Receipt {
+    /// Passes a target's message to the control task, with the region of its zone filled in.
+    async fn forward_message(&self, mut message: Message) -> Receipt {
         if let Message::Presence(presence) = &mut message {
             let announcement = &mut presence.announcement;
             let mut zones = self.zones.iter();
@@ -167,7 +176,7 @@
             }
         }
         let taken = self
-            .ask(|answer| Told::Target(Box::new(message), answer))
+            .ask_control(|answer| TaskMessage::Target(Box::new(message), answer))
             .await;
         match (taken, self.leader()) {
             (Some(()), _) => Receipt::Steered(self.address),
@@ -176,21 +185,21 @@
         }
     }
 
-    /// Asks the control task; none where it does not lead or does not know.
-    async fn ask<T>(&self, told: impl FnOnce(Answer<T>) -> Told) -> Option<T> {
+    /// Asks the control task; `None` if this host does not lead or the outcome is unknown.
+    async fn ask_control<T>(&self, request: impl FnOnce(Answer<T>) -> TaskMessage) -> Option<T> {
         let (answer, answered) = oneshot::channel();
-        let _ = self.control.send(told(answer));
-        let answered = tokio::time::timeout(PATIENCE, answered).await;
+        let _ = self.control.send(request(answer));
+        let answered = tokio::time::timeout(ANSWER_TIMEOUT, answered).await;
         answered.ok()?.ok()?.ok()
     }
 
-    /// What an operator is told that cannot be served here.
-    fn elsewhere(&self) -> Outcome {
+    /// Returns the outcome of a request that cannot be handled here.
+    fn redirect(&self) -> Outcome {
         self.leader()
             .map_or(Outcome::Unavailable, Outcome::Redirect)
     }
 
-    /// Where the leader takes messages, if that is another host.
+    /// Returns the leader's registry address, if the leader is another host.
     fn leader(&self) -> Option<SocketAddr> {
         let leader = self.session.status().registry?;
         (leader != self.address).then_some(leader)
@@ -198,7 +207,7 @@
 }
 
 impl Outcome {
-    /// Its name for the log.
+    /// Returns the outcome's name for the log.
     fn name(&self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,4 +1,4 @@
-//! One send of a request that came by a route: the answer goes back as the target gave it.
+//! An attempt for a routed request: passes the target's answer back unchanged.
 
 use bytes::{Bytes, BytesMut};
 use cornelhitch_entry::event::{Event, Failure};
@@ -7,22 +7,22 @@
 use futures_util::StreamExt;
 use tokio::sync::oneshot;
 
-use crate::attempt::{Attempt, End, Record, Waits, passed_on};
+use crate::attempt::{AnswerRecord, Attempt, AttemptEnd, SignalReceivers, end_to_end_headers};
 use crate::exchange::{Head, Part, Payload, Routed};
 
-/// The largest answer that is read whole, in bytes.
-const WHOLE: usize = 16 << 20;
+/// The largest answer that is buffered, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// The longest rest of a refusal that is read so that its connection can be kept, in bytes.
-const REST: usize = 64 << 10;
+/// How much of a refusal's body is read in order to keep its connection, in bytes.
+const MAX_DRAIN_BYTES: usize = 64 << 10;
 
 impl Attempt {
-    /// Passes a request on, and its answer back.
-    pub(crate) async fn relay(&self, waits: Waits) -> Result<(), End> {
+    /// Forwards the request and passes the answer back.
+    pub(crate) async fn relay(&self, waits: SignalReceivers) -> Result<(), AttemptEnd> {
         let Payload::Routed(routed) = &*self.exchange.payload else {
-            return Err(End::Withdrawn);
+            return Err(AttemptEnd::Withdrawn);
         };
-        let Waits {
+        let SignalReceivers {
             proceed,
             deliver,
             finish,
@@ -30,48 +30,48 @@
         let gate = self.gate(proceed);
         let sending = self
             .client
-            .relay(self.address(), self.message(routed), gate);
-        let answer = sending.await.map_err(|error| self.failed(error))?;
+            .relay(self.address(), self.relay_request(routed), gate);
+        let answer = sending.await.map_err(|error| self.target_error(error))?;
         if let Some(load) = answer.load {
-            self.tell(Event::Loaded {
+            self.send_event(Event::Loaded {
                 target: self.to.target.clone(),
                 incarnation: self.to.incarnation,
                 load,
             });
         }
         if let Some(declined) = answer.declined {
-            return Err(self.declined(declined, answer.body).await);
+            return Err(self.target_declined(declined, answer.body).await);
         }
-        self.tell(Event::Answered {
+        self.send_event(Event::Answered {
             target: self.to.target.clone(),
             incarnation: self.to.incarnation,
             error: answer.status.is_server_error(),
         });
         let failed = answer.status.is_server_error() && self.may_repeat(routed);
-        // The caller has a part of a success, which no other answer can go on with.
+        // The caller has part of a successful answer, which a failure cannot continue.
         let unfit = self.resume.is_some() && !answer.status.is_success();
         if failed || unfit {
-            return Err(End::Failed(Failure::Status));
+            return Err(AttemptEnd::Failed(Failure::Status));
         }
         let mut deliver = Some(deliver);
         if routed.streams && answer.status.is_success() {
-            let mut head = self.events(answer, &mut deliver).await?;
+            let mut head = self.forward_events(answer, &mut deliver).await?;
             return self
-                .end(finish, Record::default(), &mut head, Bytes::new())
+                .finish_answer(finish, AnswerRecord::default(), &mut head, Bytes::new())
                 .await;
         }
         let head = Head {
             status: answer.status,
-            headers: passed_on(&answer.headers),
+            headers: end_to_end_headers(&answer.headers),
         };
-        let body = self.whole(answer.body).await?;
-        self.begin(&mut deliver).await?;
-        self.end(finish, Record::default(), &mut Some(head), body)
+        let body = self.read_whole(answer.body).await?;
+        self.begin_answer(&mut deliver).await?;
+        self.finish_answer(finish, AnswerRecord::default(), &mut Some(head), body)
             .await
     }
 
-    /// The request as the target gets it.
-    fn message(&self, routed: &Routed) -> Relay {
+    /// Builds the request for the target.
+    fn relay_request(&self, routed: &Routed) -> Relay {
         Relay {
             request: routed.id.clone(),
             target: self.to.target.clone(),
@@ -80,77 +80,78 @@
             headers: routed.headers.clone(),
             body: routed.body.clone(),
             reuse: self.exchange.repeatable,
-            deadline: self.exchange.left(),
+            deadline: self.exchange.time_left(),
             rank: routed.rank,
             resume: self.resume,
         }
     }
 
-    /// Whether another target may run the request after this one.
+    /// Returns whether another target may run the request after this one.
     fn may_repeat(&self, routed: &Routed) -> bool {
         self.exchange.repeatable && self.number < routed.attempts
     }
 
-    /// Reads the rest of a refusal, so that its connection can be kept.
-    async fn declined(&self, declined: Declined, body: Chunks) -> End {
-        let mut rest = body.map(|chunk| chunk.map_or(REST, |bytes| bytes.len()));
+    /// Logs a refusal and reads the rest of its body, so that the connection can be reused.
+    async fn target_declined(&self, declined: Declined, body: Chunks) -> AttemptEnd {
+        let mut rest = body.map(|chunk| chunk.map_or(MAX_DRAIN_BYTES, |bytes| bytes.len()));
         let mut length = 0;
         while let Some(bytes) = rest.next().await {
             length += bytes;
-            if length >= REST {
+            if length >= MAX_DRAIN_BYTES {
                 break;
             }
         }
         tracing::info!(
-            request = &*self.request, target = &*self.to.target, %declined, "not run by the target"
+            request = &*self.request, target = &*self.to.target, %declined,
+            "target declined the request without running it"
         );
-        End::Failed(match declined {
+        AttemptEnd::Failed(match declined {
             Declined::Busy => Failure::Refused,
             Declined::Absent => Failure::Absent,
         })
     }
 
-    /// Reads an answer whole.
-    async fn whole(&self, mut body: Chunks) -> Result<Bytes, End> {
+    /// Buffers a whole answer body; fails if it is over [`MAX_ANSWER_BYTES`].
+    async fn read_whole(&self, mut body: Chunks) -> Result<Bytes, AttemptEnd> {
         let mut whole = BytesMut::new();
         while let Some(chunk) = body.next().await {
-            whole.extend_from_slice(&chunk.map_err(|error| self.failed(error))?);
-            if whole.len() > WHOLE {
-                return Err(End::Failed(Failure::Status));
+            whole.extend_from_slice(&chunk.map_err(|error| self.target_error(error))?);
+            if whole.len() > MAX_ANSWER_BYTES {
+                return Err(AttemptEnd::Failed(Failure::Status));
             }
         }
         Ok(whole.freeze())
     }
 
-    /// Passes the events of a stream on, each once it is whole; returns the head if nothing was.
-    async fn events(
+    /// Passes on each event of a stream once it is complete; returns the head if no event came.
+    async fn forward_events(
         &self,
         answer: Relayed,
         deliver: &mut Option<oneshot::Receiver<()>>,
-    ) -> Result<Option<Head>, End> {
+    ) -> Result<Option<Head>, AttemptEnd> {
         let mut head = self.resume.is_none().then(|| Head {
             status: answer.status,
-            headers: passed_on(&answer.headers),
+            headers: end_to_end_headers(&answer.headers),
         });
         let mut body = answer.body;
         let mut splitter = Splitter::default();
-        let mut record = Record::default();
+        let mut record = AnswerRecord::default();
         while let Some(chunk) = body.next().await {
-            splitter.push(&chunk.map_err(|error| self.failed(error))?);
+            splitter.push(&chunk.map_err(|error| self.target_error(error))?);
             while let Some(event) = splitter.event() {
                 let id = sse::Event::parse(&event).and_then(|event| event.id?.parse().ok());
-                self.begin(deliver).await?;
+                self.begin_answer(deliver).await?;
                 if let Some(head) = head.take() {
-                    self.reply(Part::Head(head)).await?;
+                    self.send_part(Part::Head(head)).await?;
                 }
                 let to = id.unwrap_or_else(|| self.delivered());
-                self.pass(to, event, &mut record).await?;
+                self.forward(to, event, &mut record).await?;
             }
         }
         if splitter.rest() > 0 {
-            return Err(End::Failed(Failure::Truncated));
+            return Err(AttemptEnd::Failed(Failure::Truncated));
         }
-        self.begin(deliver).await?;
+        self.begin_answer(deliver).await?;
         Ok(head)
     }
 }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's HTTP request into what the core and the target need.
+//! Reads a caller's HTTP request and prepares it for the core and the target.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -19,36 +19,36 @@
 use crate::header;
 use crate::problem::not_run;
 
-/// What stands before the path of a plain service.
-pub const SERVICES: &str = "/services/";
+/// The path prefix of requests to plain services; the service's name follows.
+pub const SERVICE_PATH_PREFIX: &str = "/services/";
 
-/// The longest deadline that a caller may name.
-const LONGEST: Duration = Duration::from_hours(24);
+/// The longest deadline that a caller may set.
+const MAX_DEADLINE: Duration = Duration::from_hours(24);
 
-/// The longest caller, class or key in bytes.
-const LONGEST_NAME: usize = 256;
+/// The longest caller, class or key, in bytes.
+const MAX_NAME_BYTES: usize = 256;
 
-/// Bytes of a prompt that share one prefix digest.
-const PREFIX_BLOCK: usize = 256;
+/// Bytes of a prompt between two prefix digests.
+const PREFIX_BLOCK_BYTES: usize = 256;
 
-/// Prefix digests of one prompt at most.
-const PREFIXES: usize = 32;
+/// Most prefix digests of one prompt.
+const MAX_PREFIXES: usize = 32;
 
-/// What a request is for, by its path.
+/// What a request is for, according to its path.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Way {
-    /// A model.
+pub enum Endpoint {
+    /// A model, in the API that the path belongs to.
     Model(Form),
-    /// A plain service, and the path that it knows.
+    /// A plain service.
     Service {
-        /// Its name.
+        /// The service's name.
         name: Name,
-        /// Path and query below it.
+        /// Path and query below the service's own path.
         path: String,
     },
 }
 
-/// The fields that this system reads of a model request's JSON.
+/// The fields that are read from a model request's JSON.
 #[derive(Debug, Deserialize)]
 struct Envelope {
     model: String,
@@ -58,11 +58,11 @@
     user: Option<String>,
 }
 
-impl Way {
-    /// The way of a path, if it is one.
+impl Endpoint {
+    /// Returns the endpoint for a request's path, or `None` if the path is for no model or service.
     ///
     /// # Errors
-    /// The path belongs to this system, but the method is wrong.
+    /// Returns a refusal if the method is wrong for the path.
     pub fn of(parts: &Parts) -> Option<Result<Self, Refusal>> {
         let path = parts.uri.path();
         if let Ok(form) = Form::from_str(path) {
@@ -73,7 +73,7 @@
                 Err(not_run(Reason::Malformed, detail))
             });
         }
-        let rest = path.strip_prefix(SERVICES)?;
+        let rest = path.strip_prefix(SERVICE_PATH_PREFIX)?;
         let (name, below) = rest.split_once('/').unwrap_or((rest, ""));
         let query = parts.uri.query().map(|query| format!("?{query}"));
         Some(Ok(Self::Service {
@@ -83,23 +83,23 @@
     }
 }
 
-/// Reads a request whose body is there whole.
+/// Reads a request with its complete body.
 ///
-/// Whether its class, model and service exist is for the core to say, which
-/// knows whether this host has settings at all.
+/// Whether its class, model and service exist is checked by the core, which knows whether this host
+/// has settings at all.
 ///
 /// # Errors
-/// The refusal names the header or the field that is wrong.
+/// Returns a refusal that names the wrong header or field.
 pub fn read(
     id: CallId,
-    way: Way,
+    endpoint: Endpoint,
     parts: &Parts,
     body: Bytes,
     from: SocketAddr,
 ) -> Result<(Request, Payload), Refusal> {
-    let (mut request, payload) = match way {
-        Way::Model(form) => model(id, form, body)?,
-        Way::Service { name, path } => service(id, name, path, parts, body),
+    let (mut request, payload) = match endpoint {
+        Endpoint::Model(form) => model(id, form, body)?,
+        Endpoint::Service { name, path } => service(id, name, path, parts, body),
     };
     let headers = &parts.headers;
     if let Some(caller) = name(headers, header::CALLER)? {
@@ -142,10 +142,10 @@
 fn service(id: CallId, name: Name, path: String, parts: &Parts, body: Bytes) -> (Request, Payload) {
     let method = parts.method.as_str().into();
     let mut request = Request::new(id, "", What::Service { name, method });
-    // The path is part of what is asked, so it is part of the digest.
-    let asked = [path.as_bytes(), &[0], &body].concat();
-    request.fingerprint = fingerprint::of(&request.what, &asked);
-    request.digest = fingerprint::digest(&request.what, &asked);
+    // The path selects what the service does, so it is part of the digest.
+    let content = [path.as_bytes(), &[0], &body].concat();
+    request.fingerprint = fingerprint::of(&request.what, &content);
+    request.digest = fingerprint::digest(&request.what, &content);
     request.bytes = body.len() as u64;
     let mut headers = parts.headers.clone();
     for hop in header::HOP_BY_HOP {
@@ -161,23 +161,25 @@
     (request, payload)
 }
 
-/// A header that holds a name.
+/// Reads a header that holds a name; `None` if there is no such header.
 fn name(headers: &HeaderMap, header: &'static str) -> Result<Option<Name>, Refusal> {
     let Some(value) = headers.get(header) else {
         return Ok(None);
     };
     let malformed = |what: &str| not_run(Reason::Malformed, format!("{header}: {what}"));
-    let text = value.to_str().map_err(|_| malformed("it is not text"))?;
+    let text = value
+        .to_str()
+        .map_err(|_| malformed("it is not visible ASCII text"))?;
     if text.is_empty() {
         return Err(malformed("it is empty"));
     }
-    if text.len() > LONGEST_NAME {
+    if text.len() > MAX_NAME_BYTES {
         return Err(malformed("it is longer than 256 bytes"));
     }
     Ok(Some(text.into()))
 }
 
-/// The deadline header.
+/// Reads the deadline header.
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Refusal> {
     let Some(value) = headers.get(header::DEADLINE) else {
         return Ok(None);
@@ -185,19 +187,19 @@
     let text = value.to_str().unwrap_or_default();
     let milliseconds = text.parse::<u64>().ok().map(Duration::from_millis);
     match milliseconds {
-        Some(deadline) if !deadline.is_zero() && deadline <= LONGEST => Ok(Some(deadline)),
+        Some(deadline) if !deadline.is_zero() && deadline <= MAX_DEADLINE => Ok(Some(deadline)),
         _ => {
             let detail = format!(
                 "{}: {text:?} is not a number of milliseconds from 1 to {}",
                 header::DEADLINE,
-                LONGEST.as_millis()
+                MAX_DEADLINE.as_millis()
             );
             Err(not_run(Reason::Malformed, detail))
         }
     }
 }
 
-/// Digests of the prefixes of a body, block by block, shortest first.
+/// Returns digests of the prefixes of a body, block by block, shortest first.
 fn prefixes(body: &[u8]) -> Vec<u64> {
     let mut hasher = std::hash::DefaultHasher::new();
     let digest = |block: &[u8]| {
@@ -205,8 +207,8 @@
         hasher.write(block);
         hasher.finish()
     };
-    body.chunks_exact(PREFIX_BLOCK)
-        .take(PREFIXES)
+    body.chunks_exact(PREFIX_BLOCK_BYTES)
+        .take(MAX_PREFIXES)
         .map(digest)
         .collect()
 }
--- a/crates/node/src/reservation.rs
+++ b/crates/node/src/reservation.rs
@@ -1,20 +1,20 @@
-//! Which entry host may send suspect requests to a target.
+//! Reservations of targets for the suspect requests of one entry host.
 
 use std::collections::HashMap;
 
 use cornelhitch_types::id::{HostId, Incarnation, TargetId, Time};
 
-/// How long a reservation lasts when it is not given back.
-const LENGTH: Time = Time::from_mins(1);
+/// How long a reservation lasts unless it is released.
+const RESERVATION_TTL: Time = Time::from_mins(1);
 
-/// One life of a target.
+/// One incarnation of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Life {
+struct TargetIncarnation {
     target: TargetId,
     incarnation: Incarnation,
 }
 
-/// Who holds a reservation.
+/// The host that holds a reservation.
 #[derive(Debug, Clone, Copy)]
 struct Holder {
     host: HostId,
@@ -23,14 +23,14 @@
 
 /// The reservations of the leader's term.
 ///
-/// They only keep suspect requests of several hosts from one target at once; a
-/// new leader starts without any, and the limit of targets that one request may
-/// take down is kept by the committed strikes.
+/// They only keep several hosts from sending suspect requests to one target at a time. A new leader
+/// starts without any: the limit on targets that one request may take down is enforced by the
+/// committed strikes.
 #[derive(Debug, Default)]
-pub struct Reservations(HashMap<Life, Holder>);
+pub struct Reservations(HashMap<TargetIncarnation, Holder>);
 
 impl Reservations {
-    /// Whether the host has the target for suspect requests now.
+    /// Reserves a target for a host; returns whether the host holds the reservation now.
     pub fn reserve(
         &mut self,
         host: HostId,
@@ -38,27 +38,27 @@
         incarnation: Incarnation,
         now: Time,
     ) -> bool {
-        let life = Life {
+        let key = TargetIncarnation {
             target,
             incarnation,
         };
-        let taken = self.0.get(&life);
+        let taken = self.0.get(&key);
         if taken.is_some_and(|holder| holder.host != host && holder.until > now) {
             return false;
         }
-        let until = now + LENGTH;
-        self.0.insert(life, Holder { host, until });
+        let until = now + RESERVATION_TTL;
+        self.0.insert(key, Holder { host, until });
         true
     }
 
-    /// Gives a reservation back.
+    /// Releases a host's reservation of a target.
     pub fn release(&mut self, host: HostId, target: TargetId, incarnation: Incarnation) {
-        let life = Life {
+        let key = TargetIncarnation {
             target,
             incarnation,
         };
-        if self.0.get(&life).is_some_and(|holder| holder.host == host) {
-            self.0.remove(&life);
+        if self.0.get(&key).is_some_and(|holder| holder.host == host) {
+            self.0.remove(&key);
         }
     }
 }
--- a/crates/node/src/secret.rs
+++ b/crates/node/src/secret.rs
@@ -1,4 +1,4 @@
-//! The files that hold secrets: the keys of peers and the operators' token.
+//! Files with secrets: the peers' keys and the operators' token.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -11,98 +11,99 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// Time between two looks at the key file.
-const LOOK: Duration = Duration::from_secs(2);
+/// Interval between checks of the key file for changes.
+const KEY_FILE_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The shortest token in bytes.
-const SHORTEST: usize = 16;
+/// The shortest token, in bytes.
+const MIN_TOKEN_BYTES: usize = 16;
 
-/// What stands before a cluster's name in a key that is no secret.
+/// The prefix of a key that is made from a cluster's name and is no secret.
 const PUBLIC: &str = "trusted network of ";
 
 /// Why a file is refused.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[snafu(display("{}: {source}", path.display()))]
     Read {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// It holds no keys.
+    /// The file does not hold valid keys.
     #[snafu(display("{}: {source}", path.display()))]
     Keys {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: key::Error,
     },
     /// The token is too short.
-    #[snafu(display("{}: the token needs at least {SHORTEST} bytes", path.display()))]
+    #[snafu(display("{}: the token needs at least {MIN_TOKEN_BYTES} bytes", path.display()))]
     Token {
         /// The file.
         path: PathBuf,
     },
 }
 
-/// What operators show.
+/// The token that operators' requests have to carry.
 #[derive(Clone)]
 pub struct Token(Option<Bytes>);
 
 impl Token {
-    /// Reads the token of a file.
+    /// Reads the token from a file, without surrounding whitespace.
     ///
     /// # Errors
-    /// The file cannot be read, or the token is too short.
+    /// Returns an error if the file cannot be read or the token is too short.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
         let token = text.trim();
-        ensure!(token.len() >= SHORTEST, TokenSnafu { path });
+        ensure!(token.len() >= MIN_TOKEN_BYTES, TokenSnafu { path });
         Ok(Self(Some(Bytes::copy_from_slice(token.as_bytes()))))
     }
 
-    /// A token that nothing matches.
+    /// Returns a token that no text matches.
     #[must_use]
-    pub fn none() -> Self {
+    pub fn unmatchable() -> Self {
         Self(None)
     }
 
-    /// Whether a text is the token, compared in constant time.
+    /// Returns whether a text is the token, comparing in constant time.
     #[must_use]
-    pub fn is(&self, text: &[u8]) -> bool {
+    pub fn matches(&self, text: &[u8]) -> bool {
         let token = self.0.as_ref();
         token.is_some_and(|token| bool::from(token.as_ref().ct_eq(text)))
     }
 }
 
-/// Reads the keys of a file.
+/// Reads the peers' keys from a file.
 ///
 /// # Errors
-/// The file cannot be read, or holds no keys.
+/// Returns an error if the file cannot be read or does not hold valid keys.
 pub fn keys(path: &Path) -> Result<Keyring, Error> {
     let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
     text.parse().context(KeysSnafu { path })
 }
 
-/// The key of a network that only hosts of one cluster reach; it keeps clusters apart and no secret.
+/// Returns the key for a trusted network. It is made from the cluster's name, so it keeps clusters
+/// apart but protects nothing.
 ///
 /// # Errors
-/// The cluster's name makes no key.
+/// Returns an error if no key can be made from the cluster's name.
 pub fn public_key(cluster: &str) -> Result<Keyring, Error> {
     let text = format!("{PUBLIC}{cluster}");
     text.parse().context(KeysSnafu { path: "cluster" })
 }
 
-/// Takes over changes of the key file until the process stops.
+/// Reloads the key file when it changes, until the process stops.
 ///
-/// A file that cannot be read leaves the keys as they are.
+/// If the file cannot be read, the current keys stay in use.
 pub async fn watch(path: PathBuf, identity: watch::Sender<Identity>, stop: CancellationToken) {
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(KEY_FILE_POLL_INTERVAL) => {}
         }
         match keys(&path) {
             Ok(keys) => {
@@ -112,10 +113,10 @@
                     changed
                 });
                 if changed {
-                    tracing::info!("the peers' keys were changed");
+                    tracing::info!("reloaded the peers' keys from the key file");
                 }
             }
-            Err(error) => tracing::warn!(%error, "the peers' keys stay as they are"),
+            Err(error) => tracing::warn!(%error, "key file not reloaded; keeping the old keys"),
         }
     }
 }
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 and HTTP/2 cleartext listener over hyper.
+//! A cleartext HTTP/1.1 and HTTP/2 listener over hyper.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,16 +17,16 @@
 
 use crate::body::Body;
 
-/// Time that a caller may take to send the head of a request.
-pub const HEAD: Duration = Duration::from_secs(10);
+/// Timeout for the head of a request.
+pub const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Header lines of one request; a head of 16 KiB holds so many of 16 bytes each.
-const HEADERS: usize = 1_024;
+/// Most header lines of a request: as many as fit into a head of 16 KiB at 16 bytes each.
+const MAX_HEADERS: usize = 1_024;
 
-/// Pause after a connection could not be accepted, when descriptors have run out.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a connection could not be accepted, as when file descriptors have run out.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What a listener serves.
+/// A service behind a listener.
 pub trait Service: Send + Sync + 'static {
     /// Answers one request.
     fn serve(
@@ -35,20 +35,20 @@
         from: SocketAddr,
     ) -> impl Future<Output = Response<Body>> + Send;
 
-    /// Time for the head of a request from the end of the one before it, so also the time for which a
-    /// connection may stay idle.
-    fn patience(&self) -> Duration {
-        HEAD
+    /// Returns the time from the end of one request to the end of the next one's head, so also the
+    /// time for which a connection may stay idle.
+    fn idle_timeout(&self) -> Duration {
+        HEAD_TIMEOUT
     }
 
-    /// What came over a connection is no request; the connection was ended, with an answer of the HTTP
-    /// library where it has one.
-    fn unread(&self, from: SocketAddr, error: &hyper::Error) {
-        tracing::debug!(%from, %error, "what came over a connection is no request");
+    /// Called when a connection was closed because a request cannot be parsed. The HTTP library has
+    /// sent a response if it has one for the error.
+    fn parse_failed(&self, from: SocketAddr, error: &hyper::Error) {
+        tracing::debug!(%from, %error, "closed a connection: cannot parse a request");
     }
 }
 
-/// Accepts connections until `close`, then lets those that are open finish their requests.
+/// Accepts connections until `close` is cancelled, then lets open ones finish their requests.
 pub async fn run<S: Service>(listener: TcpListener, service: Arc<S>, close: CancellationToken) {
     let connections = TaskTracker::new();
     loop {
@@ -62,8 +62,8 @@
                 connections.spawn(task);
             }
             Err(error) => {
-                tracing::warn!(%error, "a connection cannot be accepted");
-                tokio::time::sleep(PAUSE).await;
+                tracing::warn!(%error, "cannot accept a connection; retrying after a pause");
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
@@ -84,8 +84,8 @@
     builder
         .http1()
         .timer(TokioTimer::new())
-        .max_headers(HEADERS)
-        .header_read_timeout(service.patience());
+        .max_headers(MAX_HEADERS)
+        .header_read_timeout(service.idle_timeout());
     builder.http2().timer(TokioTimer::new());
     let requests = service.clone();
     let answer = service_fn(move |request| {
@@ -105,7 +105,7 @@
         return;
     };
     match error.downcast_ref::<hyper::Error>() {
-        Some(error) if error.is_parse() => service.unread(from, error),
-        _ => tracing::debug!(%from, %error, "a connection ended"),
+        Some(error) if error.is_parse() => service.parse_failed(from, error),
+        _ => tracing::debug!(%from, %error, "connection ended with an error"),
     }
 }
--- a/crates/node/src/session.rs
+++ b/crates/node/src/session.rs
@@ -1,4 +1,5 @@
-//! A host's session with the leader: who leads, the lease, the view, and calls.
+//! A host's session with the leader: finds the leader, renews the lease, follows the view and makes
+//! calls.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -16,97 +17,97 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::beacon::Beacon;
-use crate::candidates::{Candidates, PAUSE};
-use crate::message::{Datagram, Downward, Incoming, Message, Question, Said, Upward};
-use crate::switch::Switch;
+use crate::candidates::{Candidates, SWITCH_PAUSE};
+use crate::datagrams::DatagramSocket;
+use crate::links::Links;
+use crate::message::{Datagram, Downward, Incoming, Message, PeerEvent, Question, Upward};
 
-/// Time between two renewals of the lease.
-const RENEWAL: Duration = Duration::from_millis(500);
+/// Interval between lease renewals.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Silence of the leader after which another voter is asked.
-const SILENCE: Duration = Duration::from_millis(1_600);
+/// Time without a message from the leader after which another voter is tried.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 /// Time after which an unanswered call is sent again.
-const RESEND: Duration = Duration::from_secs(1);
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two looks at what is due.
+/// Interval between checks for due work.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Renewals whose times are remembered.
-const REMEMBERED: usize = 64;
+/// Most lease renewals whose send times are kept.
+const MAX_PENDING_RENEWALS: usize = 64;
 
-/// What the leader tells a host.
+/// An event for the entry task.
 #[derive(Debug)]
 pub enum Event {
     /// The view changed.
     View(View),
     /// The lease was renewed.
     Lease {
-        /// Until when.
+        /// When the lease ends.
         until: Instant,
-        /// The settings version it is for.
+        /// The settings version that the lease is for.
         version: Version,
     },
 }
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// No leader answered in time; the command may be committed or not.
-    #[snafu(display("no leader answered in time"))]
+    #[snafu(display("no leader answered before the deadline; the outcome is unknown"))]
     Unavailable,
 }
 
-/// A call's answer.
+/// Where the answer to a call goes.
 type Answer = oneshot::Sender<Result<Bytes, Error>>;
 
-/// What other tasks ask of the session.
+/// A command to the session's task.
 #[derive(Debug)]
 enum Command {
-    /// Commit a command.
+    /// Commit a command within a time limit.
     Propose(Bytes, Duration, Answer),
-    /// Ask a question.
+    /// Ask the leader a question within a time limit.
     Ask(Question, Duration, Answer),
-    /// Tell the leader; it may be lost.
+    /// Send the leader a message, which may be lost.
     Tell(Box<Upward>),
-    /// Ask for the whole view.
+    /// Request the whole view.
     Resync,
-    /// The settings name other hosts to ask who votes.
+    /// Replace the seeds, the hosts of the settings that are asked for the leader.
     Seeds(Vec<process::Peer>),
 }
 
-/// The way to the session's task.
+/// A handle to the session's task.
 #[derive(Debug, Clone)]
 pub struct Handle {
     commands: mpsc::UnboundedSender<Command>,
     status: watch::Receiver<Status>,
 }
 
-/// What the dump shows of a session.
+/// The state of a session, as the dump shows it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Status {
-    /// The voter that is taken for the leader.
+    /// The voter that the session currently treats as the leader.
     pub leader: Option<HostId>,
     /// The term of the view.
     pub term: Term,
-    /// The place up to which the view is known.
+    /// The sequence number up to which the view is known.
     pub view: u64,
-    /// Calls that wait for an answer.
+    /// Calls without an answer so far.
     pub calls: usize,
-    /// Milliseconds since the leader was last heard.
+    /// Milliseconds since the last message from the leader.
     pub silent_ms: u128,
-    /// Where the leader takes what targets and operators tell.
+    /// Where the leader takes messages from targets and operators, if known.
     pub registry: Option<SocketAddr>,
 }
 
 impl Handle {
-    /// Commits a command and returns the state machine's reply, encoded.
+    /// Commits a command and returns the state machine's reply, encoded with postcard.
     ///
-    /// The command may be proposed more than once; it has to be idempotent.
+    /// The command may be proposed more than once, so it has to be idempotent.
     ///
     /// # Errors
-    /// No leader answered in time.
+    /// Returns [`Error::Unavailable`] if no leader answers within `limit`.
     pub async fn propose(&self, command: Bytes, limit: Duration) -> Result<Bytes, Error> {
         let (answer, answered) = oneshot::channel();
         let _ = self.commands.send(Command::Propose(command, limit, answer));
@@ -116,56 +117,56 @@
     /// Asks the leader a question and returns its answer as JSON.
     ///
     /// # Errors
-    /// No leader answered in time.
+    /// Returns [`Error::Unavailable`] if no leader answers within `limit`.
     pub async fn ask(&self, question: Question, limit: Duration) -> Result<Bytes, Error> {
         let (answer, answered) = oneshot::channel();
         let _ = self.commands.send(Command::Ask(question, limit, answer));
         answered.await.unwrap_or(Err(Error::Unavailable))
     }
 
-    /// Tells the leader something; it may be lost.
+    /// Sends the leader a message, which may be lost.
     pub fn tell(&self, upward: Upward) {
         let _ = self.commands.send(Command::Tell(Box::new(upward)));
     }
 
-    /// Asks for the whole view, since changes were lost.
+    /// Requests the whole view after changes of it were lost.
     pub fn resync(&self) {
         let _ = self.commands.send(Command::Resync);
     }
 
-    /// Asks other hosts who votes, besides those that are known.
+    /// Replaces the seeds, the hosts of the settings that are asked for the leader.
     pub fn reseed(&self, seeds: Vec<process::Peer>) {
         let _ = self.commands.send(Command::Seeds(seeds));
     }
 
-    /// What the dump shows.
+    /// Returns the session's state for the dump.
     #[must_use]
     pub fn status(&self) -> Status {
         self.status.borrow().clone()
     }
 }
 
-/// What a session is started with.
+/// Everything that [`start`] needs.
 pub struct Setup {
-    /// This host's number.
+    /// This host's id.
     pub me: HostId,
-    /// The voters of the settings; others are learned.
+    /// The voters named in the settings; the session learns of others.
     pub voters: Vec<process::Peer>,
-    /// Links.
-    pub switch: Switch,
-    /// Datagrams.
-    pub beacon: Beacon,
-    /// What comes from the leader.
+    /// The links to peers.
+    pub links: Links,
+    /// The socket for lease datagrams.
+    pub datagrams: DatagramSocket,
+    /// Messages and datagrams from voters.
     pub incoming: mpsc::UnboundedReceiver<Incoming>,
-    /// This host as the leader knows it; none where it is no entry host.
+    /// The description of this host that goes with renewals; `None` unless it is an entry host.
     pub host: Option<watch::Receiver<Host>>,
-    /// Where events go.
+    /// Where view changes and lease renewals go.
     pub events: mpsc::UnboundedSender<Event>,
-    /// Ends the task.
+    /// Cancelled when the process stops.
     pub stop: CancellationToken,
 }
 
-/// A call that waits for its answer.
+/// A call without an answer so far.
 #[derive(Debug)]
 struct Call {
     upward: Upward,
@@ -174,66 +175,66 @@
     sent: Instant,
 }
 
-/// The session itself, owned by its task.
+/// The state of the session's task.
 struct Session {
     setup: Setup,
     candidates: Candidates,
-    heard: Instant,
+    last_heard: Instant,
     term: Term,
     view: u64,
-    subscribed: Instant,
+    last_subscribe: Instant,
     peers: HashMap<HostId, Peer>,
     renewals: BTreeMap<u64, Instant>,
     sequence: u64,
-    renewed: Option<Instant>,
+    last_renewal: Option<Instant>,
     calls: BTreeMap<u64, Call>,
-    call: u64,
+    last_call: u64,
     status: watch::Sender<Status>,
-    /// Which leader takes what targets and operators tell, and where.
+    /// Where a leader takes messages from targets and operators, and which host that leader is.
     registry: Option<(HostId, SocketAddr)>,
 }
 
 /// Starts the session's task.
 #[must_use]
 pub fn start(setup: Setup) -> Handle {
-    let (commands, asked) = mpsc::unbounded_channel();
-    let (status, shown) = watch::channel(Status::default());
+    let (commands, command_queue) = mpsc::unbounded_channel();
+    let (status, status_receiver) = watch::channel(Status::default());
     let session = Session {
         candidates: Candidates::new(setup.voters.clone(), setup.me),
-        heard: Instant::now(),
+        last_heard: Instant::now(),
         term: 0,
         view: 0,
-        subscribed: Instant::now(),
+        last_subscribe: Instant::now(),
         peers: HashMap::new(),
         renewals: BTreeMap::new(),
         sequence: 0,
-        renewed: None,
+        last_renewal: None,
         calls: BTreeMap::new(),
-        call: 0,
+        last_call: 0,
         status,
         registry: None,
         setup,
     };
-    tokio::spawn(session.run(asked));
+    tokio::spawn(session.run(command_queue));
     Handle {
         commands,
-        status: shown,
+        status: status_receiver,
     }
 }
 
 impl Session {
-    /// Serves until the process stops.
-    async fn run(mut self, mut asked: mpsc::UnboundedReceiver<Command>) {
+    /// Processes commands, messages and timers until the process stops.
+    async fn run(mut self, mut command_queue: mpsc::UnboundedReceiver<Command>) {
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         for candidate in self.candidates.iter() {
-            self.setup.switch.open(candidate.host);
+            self.setup.links.open(candidate.host);
         }
         self.subscribe();
         loop {
             tokio::select! {
                 () = self.setup.stop.cancelled() => return,
-                command = asked.recv() => match command {
+                command = command_queue.recv() => match command {
                     Some(command) => self.command(command),
                     None => return,
                 },
@@ -246,7 +247,7 @@
         }
     }
 
-    /// Serves another task.
+    /// Handles a command from another task.
     fn command(&mut self, command: Command) {
         match command {
             Command::Propose(command, limit, answer) => {
@@ -259,8 +260,8 @@
             }
             Command::Tell(upward) => self.send(*upward),
             Command::Seeds(seeds) => {
-                let seeds: Vec<_> = seeds.iter().map(|seed| self.learn(seed)).collect();
-                self.candidates.reseed(seeds);
+                let seeds: Vec<_> = seeds.iter().map(|seed| self.learn_address(seed)).collect();
+                self.candidates.replace_seeds(seeds);
             }
             Command::Resync => {
                 self.view = 0;
@@ -269,13 +270,13 @@
         }
     }
 
-    /// The number of a new call.
+    /// Returns the number for a new call.
     fn next_call(&mut self) -> u64 {
-        self.call += 1;
-        self.call
+        self.last_call += 1;
+        self.last_call
     }
 
-    /// Sends a call and remembers it until it is answered.
+    /// Sends a call and keeps it until it is answered or times out.
     fn call(&mut self, number: u64, upward: Upward, limit: Duration, answer: Answer) {
         let now = Instant::now();
         self.send(upward.clone());
@@ -288,29 +289,32 @@
         self.calls.insert(number, call);
     }
 
-    /// Takes what a voter says.
+    /// Handles a message, datagram or new link from a peer.
     fn incoming(&mut self, incoming: Incoming) {
         let from = incoming.from;
         self.peers.insert(from.host, from);
-        match incoming.said {
-            Said::Linked => {
+        match incoming.event {
+            PeerEvent::Linked => {
                 if self.leader() == Some(from.host) {
                     self.subscribe();
-                    self.repeat();
+                    self.resend_calls();
                 }
             }
-            Said::Message(Message::Downward(downward)) => self.downward(from, downward),
-            Said::Datagram(datagram, _) => self.datagram(from, &datagram),
-            Said::Message(_) => tracing::debug!(host = from.host, "a message for the leader"),
+            PeerEvent::Message(Message::Downward(downward)) => self.downward(from, downward),
+            PeerEvent::Datagram(datagram, _) => self.lease_granted(from, &datagram),
+            PeerEvent::Message(_) => tracing::debug!(
+                host = from.host,
+                "ignoring a message that is meant for the leader"
+            ),
         }
     }
 
-    /// Takes what a voter answers.
+    /// Handles a message from a voter.
     fn downward(&mut self, from: Peer, downward: Downward) {
         match downward {
             Downward::NotLeader { leader, .. } => {
-                if self.candidates.heeds(from.host, leader.is_some()) {
-                    self.turn(leader);
+                if self.candidates.accepts_hint(from.host, leader.is_some()) {
+                    self.redirect(leader);
                 }
             }
             Downward::Voters {
@@ -318,16 +322,16 @@
                 voters,
                 registry,
             } => {
-                self.hear(from);
+                self.leader_spoke(from);
                 if self.leader() == Some(from.host) {
                     self.registry = registry.map(|address| (from.host, address));
                 }
-                let known = voters.iter().map(|voter| self.learn(voter));
+                let known = voters.iter().map(|voter| self.learn_address(voter));
                 let known = known.collect();
-                self.candidates.tell(term, known);
+                self.candidates.update_voters(term, known);
             }
             Downward::View(view) => {
-                self.hear(from);
+                self.leader_spoke(from);
                 if view.term >= self.term {
                     self.term = view.term;
                     self.view = view.to;
@@ -339,16 +343,16 @@
         }
     }
 
-    /// Hands an answer to who asked.
+    /// Delivers the answer to a call.
     fn answer(&mut self, from: Peer, call: u64, answer: Bytes) {
-        self.hear(from);
+        self.leader_spoke(from);
         if let Some(call) = self.calls.remove(&call) {
             let _ = call.answer.send(Ok(answer));
         }
     }
 
-    /// Takes the answer to a renewal.
-    fn datagram(&mut self, from: Peer, datagram: &Datagram) {
+    /// Handles a lease grant; subscribes again if the view has fallen behind.
+    fn lease_granted(&mut self, from: Peer, datagram: &Datagram) {
         let Datagram::Lease {
             sequence,
             length,
@@ -359,7 +363,7 @@
         else {
             return;
         };
-        self.hear(from);
+        self.leader_spoke(from);
         if let Some(sent) = self.renewals.get(&sequence)
             && !length.is_zero()
         {
@@ -367,26 +371,29 @@
             let _ = self.setup.events.send(Event::Lease { until, version });
         }
         let behind = term != self.term || view > self.view;
-        if behind && self.subscribed.elapsed() > RENEWAL {
+        if behind && self.last_subscribe.elapsed() > RENEWAL_INTERVAL {
             self.subscribe();
         }
     }
 
-    /// Notes that the leader lives.
-    fn hear(&mut self, from: Peer) {
-        if self.candidates.hear(from.host) {
-            self.heard = Instant::now();
+    /// Notes that the current leader is alive, if the peer is that leader.
+    fn leader_spoke(&mut self, from: Peer) {
+        if self.candidates.leader_spoke(from.host) {
+            self.last_heard = Instant::now();
         }
     }
 
-    /// Does what is due.
+    /// Does what is due: switches leaders, renews the lease, times out and resends calls.
     fn tick(&mut self) {
         let now = Instant::now();
-        if self.heard + SILENCE < now {
-            self.follow();
+        if self.last_heard + LEADER_TIMEOUT < now {
+            self.switch_leader();
         }
-        if self.renewed.is_none_or(|renewed| renewed + RENEWAL <= now) {
-            self.renew(now);
+        if self
+            .last_renewal
+            .is_none_or(|renewed| renewed + RENEWAL_INTERVAL <= now)
+        {
+            self.renew_lease(now);
         }
         let late = self.calls.extract_if(.., |_, call| call.until <= now);
         for (_, call) in late {
@@ -395,26 +402,26 @@
         for call in self
             .calls
             .values_mut()
-            .filter(|call| call.sent + RESEND <= now)
+            .filter(|call| call.sent + RESEND_INTERVAL <= now)
         {
             call.sent = now;
             let Some(leader) = self.candidates.leader() else {
                 break;
             };
             let message = Message::Upward(call.upward.clone());
-            self.setup.switch.send(leader.host, message);
+            self.setup.links.send(leader.host, message);
         }
-        self.show();
+        self.publish_status();
     }
 
-    /// Shows the state of the session.
-    fn show(&self) {
+    /// Publishes the session's state.
+    fn publish_status(&self) {
         self.status.send_replace(Status {
             leader: self.leader(),
             term: self.term,
             view: self.view,
             calls: self.calls.len(),
-            silent_ms: self.heard.elapsed().as_millis(),
+            silent_ms: self.last_heard.elapsed().as_millis(),
             registry: self
                 .registry
                 .filter(|(host, _)| self.leader() == Some(*host))
@@ -422,12 +429,12 @@
         });
     }
 
-    /// Renews the lease.
-    fn renew(&mut self, now: Instant) {
+    /// Sends a lease renewal, if this is an entry host and the leader's incarnation is known.
+    fn renew_lease(&mut self, now: Instant) {
         let Some((peer, address)) = self.known_leader() else {
-            // The first message makes the link, which tells the peer's incarnation.
+            // The first message opens the link, whose handshake tells the peer's incarnation.
             self.subscribe();
-            self.renewed = Some(now);
+            self.last_renewal = Some(now);
             return;
         };
         let Some(host) = &self.setup.host else {
@@ -435,7 +442,7 @@
         };
         self.sequence += 1;
         self.renewals.insert(self.sequence, now);
-        if self.renewals.len() > REMEMBERED {
+        if self.renewals.len() > MAX_PENDING_RENEWALS {
             self.renewals.pop_first();
         }
         let renew = Datagram::Renew {
@@ -444,15 +451,15 @@
             term: self.term,
             view: self.view,
         };
-        self.setup.beacon.send(peer, address, renew);
-        self.renewed = Some(now);
+        self.setup.datagrams.send(peer, address, renew);
+        self.last_renewal = Some(now);
     }
 
-    /// The leader with its life and address, once they are known.
+    /// Returns the leader's identity and address, once both are known.
     fn known_leader(&self) -> Option<(Peer, SocketAddr)> {
         let voter = self.candidates.leader()?;
         if voter.host == self.setup.me {
-            let incarnation = self.setup.beacon.incarnation();
+            let incarnation = self.setup.datagrams.incarnation();
             let host = voter.host;
             return Some((Peer { host, incarnation }, voter.address));
         }
@@ -460,62 +467,65 @@
         Some((*peer, voter.address))
     }
 
-    /// The voter that is taken for the leader.
+    /// Returns the voter that is currently treated as the leader.
     fn leader(&self) -> Option<HostId> {
         self.candidates.leader().map(|voter| voter.host)
     }
 
-    /// Turns to the leader that a voter named, or soon to the next voter.
-    fn turn(&mut self, leader: Option<process::Peer>) {
-        let named = leader.map(|leader| self.learn(&leader));
+    /// Switches to the leader that a voter named, or after a pause to the next voter.
+    fn redirect(&mut self, leader: Option<process::Peer>) {
+        let named = leader.map(|leader| self.learn_address(&leader));
         let now = Instant::now();
-        if named.is_some_and(|leader| self.candidates.name(leader, now)) {
-            self.follow();
+        if named.is_some_and(|leader| self.candidates.hint_leader(leader, now)) {
+            self.switch_leader();
         } else {
-            self.heard = now - SILENCE + PAUSE;
+            self.last_heard = now - LEADER_TIMEOUT + SWITCH_PAUSE;
         }
     }
 
-    /// Takes over where a voter is reached, and returns it with the address that counts here.
-    fn learn(&self, voter: &process::Peer) -> process::Peer {
+    /// Stores a voter's address and returns the voter with the address to use from here.
+    fn learn_address(&self, voter: &process::Peer) -> process::Peer {
         let host = voter.host;
-        let address = self.setup.switch.learn(voter);
+        let address = self.setup.links.learn(voter);
         process::Peer { host, address }
     }
 
-    /// Turns to another voter: the one that was named last, or else the next.
-    fn follow(&mut self) {
-        self.candidates.turn();
-        tracing::debug!(leader = ?self.leader(), "turns to another leader");
-        self.heard = Instant::now();
+    /// Switches to another voter: the one last named as the leader, or else the next.
+    fn switch_leader(&mut self) {
+        self.candidates.advance();
+        tracing::debug!(
+            leader = ?self.leader(),
+            "switched to another voter as the presumed leader"
+        );
+        self.last_heard = Instant::now();
         self.subscribe();
-        self.repeat();
+        self.resend_calls();
     }
 
-    /// Asks for changes of the view from where it is known.
+    /// Subscribes to view changes after the last one that is known.
     fn subscribe(&mut self) {
-        self.subscribed = Instant::now();
+        self.last_subscribe = Instant::now();
         self.send(Upward::Subscribe {
             term: self.term,
             sequence: self.view,
         });
     }
 
-    /// Sends all waiting calls again.
-    fn repeat(&mut self) {
+    /// Sends all unanswered calls again.
+    fn resend_calls(&mut self) {
         let now = Instant::now();
         let Some(leader) = self.leader() else { return };
         for call in self.calls.values_mut() {
             call.sent = now;
             let message = Message::Upward(call.upward.clone());
-            self.setup.switch.send(leader, message);
+            self.setup.links.send(leader, message);
         }
     }
 
-    /// Sends to the leader.
+    /// Sends a message to the presumed leader.
     fn send(&self, upward: Upward) {
         if let Some(leader) = self.leader() {
-            self.setup.switch.send(leader, Message::Upward(upward));
+            self.setup.links.send(leader, Message::Upward(upward));
         }
     }
 }
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -1,4 +1,4 @@
-//! The sockets of one process.
+//! Binds the sockets of one process.
 
 use std::net::SocketAddr;
 
@@ -6,26 +6,26 @@
 use snafu::{ResultExt, Snafu};
 use tokio::net::{TcpListener, UdpSocket};
 
-/// Tries to find a port that is free for TCP and UDP, where the settings leave it open.
-const TRIES: usize = 32;
+/// How often to try for a port that is free for both TCP and UDP, if the settings leave it open.
+const MAX_BIND_TRIES: usize = 32;
 
-/// Why a socket cannot be had.
+/// Why a socket cannot be bound.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// An address is taken or not this host's.
+    /// An address is in use or not an address of this host.
     #[snafu(display("{what} on {address}: {source}"))]
     Bind {
-        /// What the socket is for.
+        /// What was attempted.
         what: &'static str,
-        /// Its address.
+        /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
 }
 
 impl Error {
-    /// Whether another socket has the address.
+    /// Returns whether the address is in use by another socket.
     #[must_use]
     pub fn is_taken(&self) -> bool {
         let Self::Bind { source, .. } = self;
@@ -33,7 +33,7 @@
     }
 }
 
-/// The sockets of one process, bound and not yet served.
+/// The bound sockets of one process, not yet served.
 #[derive(Debug)]
 pub struct Sockets {
     /// For callers and targets.
@@ -44,11 +44,11 @@
     pub links: TcpListener,
     /// For datagrams from peers, on the same port as `links`.
     pub datagrams: UdpSocket,
-    /// For targets and operators of a control host.
+    /// For targets and operators, on a control host.
     pub registry: Option<TcpListener>,
-    /// For the pages that need no target.
+    /// For requests that this host answers without a target.
     pub pages: Vec<TcpListener>,
-    /// For those who read counters.
+    /// For readers of metrics.
     pub metrics: Option<TcpListener>,
 }
 
@@ -64,44 +64,51 @@
 }
 
 impl Sockets {
-    /// Binds the addresses of the settings; a port of 0 lets the system choose.
+    /// Binds the addresses of the settings; with port 0 the system chooses a port.
     ///
     /// # Errors
-    /// An address is taken or not this host's.
+    /// Returns an error if an address is in use or not an address of this host.
     pub async fn bind(process: &Process) -> Result<Self, Error> {
         let callers = listen("cannot listen for callers", process.callers).await?;
         let operators = listen("cannot listen for operators", process.operators).await?;
         let listen_at = process.peers_listen.unwrap_or(process.peers);
-        let (links, datagrams) = peers(listen_at).await?;
+        let (links, datagrams) = bind_peers(listen_at).await?;
         let mut pages = Vec::new();
         for address in [process.directory, process.ready].into_iter().flatten() {
-            pages.push(listen("cannot listen for questions of callers", address).await?);
+            pages.push(
+                listen(
+                    "cannot listen for readiness checks and directory queries",
+                    address,
+                )
+                .await?,
+            );
         }
         Ok(Self {
             callers,
             operators,
             links,
             datagrams,
-            registry: maybe("cannot listen for targets", process.registry).await?,
+            registry: listen_optional("cannot listen for targets", process.registry).await?,
             pages,
-            metrics: maybe("cannot listen for readers of counters", process.metrics).await?,
+            metrics: listen_optional("cannot listen for readers of metrics", process.metrics)
+                .await?,
         })
     }
 
-    /// The addresses that were bound.
+    /// Returns the addresses that were bound.
     ///
     /// # Errors
-    /// The system does not tell.
+    /// Returns an error if the system cannot report an address.
     pub fn addresses(&self) -> std::io::Result<Addresses> {
         Addresses::of(&self.callers, &self.operators, &self.links)
     }
 }
 
 impl Addresses {
-    /// The addresses of listeners.
+    /// Returns the local addresses of listeners.
     ///
     /// # Errors
-    /// The system does not tell.
+    /// Returns an error if the system cannot report an address.
     pub fn of(
         callers: &TcpListener,
         operators: &TcpListener,
@@ -115,8 +122,8 @@
     }
 }
 
-/// Listens on an address that may be left out.
-async fn maybe(
+/// Listens on an address, if there is one.
+async fn listen_optional(
     what: &'static str,
     address: Option<SocketAddr>,
 ) -> Result<Option<TcpListener>, Error> {
@@ -126,18 +133,22 @@
     }
 }
 
-/// Listens on one address.
+/// Listens on an address.
 async fn listen(what: &'static str, address: SocketAddr) -> Result<TcpListener, Error> {
     let bound = TcpListener::bind(address).await;
     bound.context(BindSnafu { what, address })
 }
 
 /// Binds TCP and UDP on the same port.
-async fn peers(address: SocketAddr) -> Result<(TcpListener, UdpSocket), Error> {
-    let mut tries = if address.port() == 0 { TRIES } else { 1 };
+async fn bind_peers(address: SocketAddr) -> Result<(TcpListener, UdpSocket), Error> {
+    let mut tries = if address.port() == 0 {
+        MAX_BIND_TRIES
+    } else {
+        1
+    };
     loop {
         let links = listen("cannot listen for peers", address).await?;
-        let what = "cannot take datagrams of peers";
+        let what = "cannot receive datagrams from peers";
         let bound = links.local_addr().context(BindSnafu { what, address })?;
         let datagrams = UdpSocket::bind(bound).await;
         tries -= 1;
--- a/crates/node/src/parts.rs
+++ b/crates/node/src/startup.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one process share, and how each of them is started.
+//! Starts the tasks of a process from what they share.
 
 use std::collections::HashSet;
 use std::sync::atomic::AtomicU64;
@@ -27,14 +27,15 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::beacon::{self, Beacon};
 use crate::callers::Callers;
-use crate::control::{self, Told};
+use crate::control::{self, TaskMessage};
+use crate::datagrams::{self, DatagramSocket};
 use crate::dialect::Dialect;
 use crate::entry::{self, Input};
 use crate::error::{DataSnafu, Error, FleetSnafu, SystemSnafu};
 use crate::exposition::Exposition;
-use crate::ingress::{Door, Pages, Routes, WARM_UP};
+use crate::ingress::{FIRST_TABLE_WAIT, PageService, RoutedService, Routes};
+use crate::links::{self, Inbox, Links};
 use crate::message::Incoming;
 use crate::metrics::Metrics;
 use crate::operators::Operators;
@@ -43,17 +44,16 @@
 use crate::server;
 use crate::session;
 use crate::socket::Addresses;
-use crate::switch::{self, Inbox, Switch};
 
-/// Silence of the leader after which a cluster without operators elects another one: several times
-/// the way between regions and back, and less than callers wait.
-const ELECTION: Duration = Duration::from_millis(500);
+/// Time without the leader after which a cluster without operators elects another one: several
+/// round trips between regions, and less than callers wait.
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between two messages of such a cluster's leader.
-const HEARTBEAT: Duration = Duration::from_millis(100);
+/// Interval between the leader's heartbeats in such a cluster.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the tasks of one process share while they are started.
-pub(crate) struct Parts {
+/// What the tasks of a process share when they are started.
+pub(crate) struct Startup {
     pub(crate) process: Process,
     pub(crate) incarnation: Incarnation,
     pub(crate) addresses: Addresses,
@@ -61,12 +61,12 @@
     pub(crate) stop: CancellationToken,
     pub(crate) metrics: Metrics,
     pub(crate) dialect: Dialect,
-    pub(crate) switch: Switch,
-    pub(crate) beacon: Beacon,
+    pub(crate) links: Links,
+    pub(crate) datagrams: DatagramSocket,
 }
 
-impl Parts {
-    /// Starts what carries messages between processes.
+impl Startup {
+    /// Starts the links and the datagram socket.
     pub(crate) fn connect(
         process: Process,
         dialect: Dialect,
@@ -94,9 +94,9 @@
         if let Some(path) = &process.keys {
             tokio::spawn(secret::watch(path.clone(), identity, stop.clone()));
         } else {
-            tracing::info!("links are not authenticated: the settings trust the network");
+            tracing::info!("links to peers are not authenticated: no key file is set");
         }
-        let switch = Switch::start(switch::Setup {
+        let links = Links::start(links::Setup {
             identity: identities.clone(),
             listener,
             voters: process.voters.clone(),
@@ -107,7 +107,7 @@
             stop: stop.clone(),
             cut: cut.clone(),
         });
-        let beacon = Beacon::start(beacon::Setup {
+        let datagrams = DatagramSocket::start(datagrams::Setup {
             identity: identities,
             socket,
             inbox,
@@ -123,8 +123,8 @@
             stop,
             metrics,
             dialect,
-            switch,
-            beacon,
+            links,
+            datagrams,
         })
     }
 
@@ -138,8 +138,8 @@
         session::start(session::Setup {
             me: self.process.host,
             voters: self.process.voters.clone(),
-            switch: self.switch.clone(),
-            beacon: self.beacon.clone(),
+            links: self.links.clone(),
+            datagrams: self.datagrams.clone(),
             incoming,
             host: self.process.has(Role::Entry).then_some(host),
             events,
@@ -147,7 +147,7 @@
         })
     }
 
-    /// This host as the leader knows it.
+    /// Returns the initial description of this host for the leader.
     pub(crate) fn host(&self) -> Host {
         Host {
             host: self.process.host,
@@ -165,7 +165,7 @@
     pub(crate) fn control(
         &self,
         incoming: mpsc::UnboundedReceiver<Incoming>,
-    ) -> Result<(mpsc::UnboundedSender<Told>, JoinHandle<()>), Error> {
+    ) -> Result<(mpsc::UnboundedSender<TaskMessage>, JoinHandle<()>), Error> {
         let folder = self.process.data.clone().context(DataSnafu)?;
         let disk = Disk::open(
             folder,
@@ -177,22 +177,22 @@
             },
         )?;
         let recovered = disk.recovered();
-        let (tell, told) = mpsc::unbounded_channel();
-        let report = tell.clone();
+        let (task_sender, task_messages) = mpsc::unbounded_channel();
+        let done_sender = task_sender.clone();
         let written = move |done| {
-            let _ = report.send(Told::Written(done));
+            let _ = done_sender.send(TaskMessage::Written(done));
         };
-        let what = "the disk's thread cannot be started";
+        let what = "cannot start the disk writer's thread";
         let writer = Writer::start(Box::new(disk), written).context(SystemSnafu { what })?;
         let voters: HashSet<HostId> = self.process.voters.iter().map(|peer| peer.host).collect();
         let me = self.process.host;
         let seeded = !self.process.seeds.is_empty();
-        let config = self.quorum(&voters);
+        let config = self.quorum_config(&voters);
         let now = self.epoch.elapsed();
         let seed = quorum::core::seed(me, self.incarnation);
         let core = quorum::core::Core::new(config, recovered, seed, now);
         for voter in core.status().members.voters() {
-            self.switch.open(voter);
+            self.links.open(voter);
         }
         let setup = control::Setup {
             me,
@@ -201,13 +201,13 @@
             writer,
             leader: Leader::new(Box::new(Policy::default())),
             incoming,
-            told,
-            tell: tell.clone(),
-            switch: self.switch.clone(),
-            beacon: self.beacon.clone(),
+            task_messages,
+            task_sender: task_sender.clone(),
+            links: self.links.clone(),
+            datagrams: self.datagrams.clone(),
             client: self.dialect.client.clone(),
             metrics: self.metrics.clone(),
-            first: self.first()?,
+            initial_settings: self.initial_settings()?,
             registry: self.process.registry,
             steward: seeded.then(|| Steward {
                 voters: 2 * self.process.losses as usize + 1,
@@ -217,11 +217,11 @@
             epoch: self.epoch,
             started: since_unix_epoch(),
         };
-        Ok((tell, tokio::spawn(control::run(setup))))
+        Ok((task_sender, tokio::spawn(control::run(setup))))
     }
 
-    /// The settings of this host's member of the log.
-    fn quorum(&self, voters: &HashSet<HostId>) -> quorum::config::Config {
+    /// Returns the configuration of this host's member of the log.
+    fn quorum_config(&self, voters: &HashSet<HostId>) -> quorum::config::Config {
         let me = self.process.host;
         let seeded = !self.process.seeds.is_empty();
         let mut config = quorum::config::Config {
@@ -231,14 +231,14 @@
             ..quorum::config::Config::default()
         };
         if seeded {
-            config.election = ELECTION;
-            config.heartbeat = HEARTBEAT;
+            config.election = ELECTION_TIMEOUT;
+            config.heartbeat = HEARTBEAT_INTERVAL;
         }
         config
     }
 
-    /// The command that brings the first fleet settings in.
-    fn first(&self) -> Result<Option<bytes::Bytes>, Error> {
+    /// Returns the command that applies the first fleet settings, if the settings name their file.
+    fn initial_settings(&self) -> Result<Option<bytes::Bytes>, Error> {
         let Some(path) = &self.process.fleet else {
             return Ok(None);
         };
@@ -252,12 +252,12 @@
         Ok(Some(apply.encode()))
     }
 
-    /// Starts the entry task and the listener of callers.
+    /// Starts the entry task and the callers' listener.
     pub(crate) fn entry(
         &self,
         session: &session::Handle,
         events: mpsc::UnboundedReceiver<session::Event>,
-        shown: watch::Sender<Host>,
+        host_state: watch::Sender<Host>,
         listener: TcpListener,
     ) -> (mpsc::UnboundedSender<Input>, [JoinHandle<()>; 2]) {
         let host = self.host();
@@ -268,17 +268,17 @@
             .seed(self.incarnation ^ host.host);
         let (input, inputs) = mpsc::unbounded_channel();
         let (fleet, settings) = watch::channel(Arc::new(Fleet::default()));
-        let (routes, shown_routes) = watch::channel(None);
+        let (routes, route_receiver) = watch::channel(None);
         let close = CancellationToken::new();
         let setup = entry::Setup {
             core: Core::new(config, self.epoch.elapsed()),
             host,
             inputs,
-            input: input.clone(),
+            input_sender: input.clone(),
             events,
             session: session.clone(),
             client: self.dialect.client.clone(),
-            shown,
+            host_state,
             fleet,
             routes,
             metrics: self.metrics.clone(),
@@ -287,12 +287,12 @@
             epoch: self.epoch,
         };
         let entry = tokio::spawn(entry::run(setup));
-        let serving = self.callers(listener, close, input.clone(), settings, shown_routes);
+        let serving = self.serve_callers(listener, close, input.clone(), settings, route_receiver);
         (input, [entry, serving])
     }
 
-    /// Starts the listener of callers, in whichever form they speak.
-    fn callers(
+    /// Starts the callers' listener, for routed requests or the project's own interface.
+    fn serve_callers(
         &self,
         listener: TcpListener,
         close: CancellationToken,
@@ -303,16 +303,16 @@
         let metrics = self.metrics.clone();
         let next = AtomicU64::new(1);
         if let Some(ingress) = self.dialect.callers.clone() {
-            let door = Door {
+            let service = RoutedService {
                 inputs,
                 routes,
                 ingress,
                 metrics,
                 next,
-                warm: Instant::now() + WARM_UP,
-                lines: Mutex::default(),
+                first_table_until: Instant::now() + FIRST_TABLE_WAIT,
+                log_limit: Mutex::default(),
             };
-            return tokio::spawn(server::run(listener, Arc::new(door), close));
+            return tokio::spawn(server::run(listener, Arc::new(service), close));
         }
         let callers = Callers {
             inputs,
@@ -324,10 +324,10 @@
         tokio::spawn(server::run(listener, Arc::new(callers), close))
     }
 
-    /// Starts the listener of targets and operators of a control host.
+    /// Starts the registry listener of a control host, if the settings have an address for it.
     pub(crate) fn registry(
         &self,
-        control: mpsc::UnboundedSender<Told>,
+        control: mpsc::UnboundedSender<TaskMessage>,
         session: session::Handle,
         listener: TcpListener,
     ) {
@@ -345,28 +345,28 @@
         tokio::spawn(server::run(listener, Arc::new(registry), self.stop.clone()));
     }
 
-    /// What operators are served with; without a token they are refused.
+    /// Creates the operators' service; without a token it refuses all requests.
     pub(crate) fn operators(
         &self,
         token: Option<Token>,
         session: &session::Handle,
         entry: Option<mpsc::UnboundedSender<Input>>,
-        control: Option<mpsc::UnboundedSender<Told>>,
-        asked: CancellationToken,
+        control: Option<mpsc::UnboundedSender<TaskMessage>>,
+        drain_requested: CancellationToken,
     ) -> Operators {
         Operators {
-            token: token.unwrap_or_else(Token::none),
+            token: token.unwrap_or_else(Token::unmatchable),
             host: self.process.host,
             incarnation: self.incarnation,
             session: session.clone(),
             entry,
             control,
             metrics: self.metrics.clone(),
-            asked,
+            drain_requested,
         }
     }
 
-    /// Starts the listener of those who read counters.
+    /// Starts the metrics listener.
     pub(crate) fn exposition(&self, listener: TcpListener) {
         let exposition = Exposition {
             metrics: self.metrics.clone(),
@@ -378,13 +378,13 @@
         ));
     }
 
-    /// Starts the listeners for the pages that need no target.
+    /// Starts the listeners for requests that need no target.
     pub(crate) fn pages(&self, inputs: &mpsc::UnboundedSender<Input>, listeners: Vec<TcpListener>) {
         let Some(ingress) = &self.dialect.callers else {
             return;
         };
         for listener in listeners {
-            let pages = Pages {
+            let pages = PageService {
                 inputs: inputs.clone(),
                 ingress: ingress.clone(),
             };
@@ -393,7 +393,8 @@
     }
 }
 
-/// Where messages go, and the receiving ends of the control and the session task.
+/// Creates the queues for messages from peers, with the receiving ends for the control task and the
+/// session.
 pub(crate) fn inboxes(
     process: &Process,
 ) -> (
@@ -411,13 +412,13 @@
     (inbox, is_control.then_some(control_inbox), session_inbox)
 }
 
-/// The number of this life of the process: the time of its start, in microseconds.
+/// Returns a new incarnation: the start time of the process in microseconds since the Unix epoch.
 fn incarnation() -> Incarnation {
     let micros = since_unix_epoch().as_micros();
     Incarnation::try_from(micros).unwrap_or(Incarnation::MAX)
 }
 
-/// The time of now, since the Unix epoch.
+/// Returns the current time since the Unix epoch.
 fn since_unix_epoch() -> Duration {
     let now = SystemTime::now();
     now.duration_since(UNIX_EPOCH).unwrap_or_default()
--- a/crates/node/src/stamp.rs
+++ b/crates/node/src/timestamped.rs
@@ -1,29 +1,29 @@
-//! What the log carries: a command with the time at which its leader proposed it.
+//! The payload of log entries: a command with the time at which the leader proposed it.
 
 use bytes::Bytes;
 use cornelhitch_types::id::Time;
 use serde::{Deserialize, Serialize};
 
-/// One payload of the log.
+/// The payload of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamped {
-    /// Since the Unix epoch, by the leader's clock.
+pub struct TimestampedCommand {
+    /// The leader's time of the proposal, since the Unix epoch.
     pub time: Time,
-    /// The command, encoded.
+    /// The encoded command.
     pub command: Bytes,
 }
 
-impl Stamped {
-    /// The bytes for the log.
+impl TimestampedCommand {
+    /// Encodes the payload for the log.
     #[must_use]
     pub fn encode(&self) -> Bytes {
         postcard::to_stdvec(self).unwrap_or_default().into()
     }
 
-    /// The payload in the bytes.
+    /// Decodes a payload.
     ///
     /// # Errors
-    /// The bytes are none.
+    /// Returns an error if the bytes are not a payload.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
--- a/crates/node/src/upward.rs
+++ b/crates/node/src/upward.rs
@@ -1,4 +1,4 @@
-//! What hosts ask of a control host and tell it.
+//! Handles messages and questions of other hosts to the leader.
 
 use std::fmt::Write;
 
@@ -15,7 +15,7 @@
 use crate::control::{Control, Renewal};
 use crate::message::{Membership, Question, Upward};
 
-/// The settings in force, for operators.
+/// The settings accepted and in force, as operators read them.
 #[derive(Debug, Serialize)]
 struct Settings<'a> {
     version: u64,
@@ -24,34 +24,34 @@
 }
 
 impl Control {
-    /// Takes what a host says to the leader.
+    /// Handles a message to the leader; names the leader if this host does not lead.
     pub(crate) fn upward(&mut self, from: Peer, upward: Upward) {
         if !self.leading {
             let call = match upward {
                 Upward::Propose { call, .. } | Upward::Ask { call, .. } => Some(call),
                 _ => None,
             };
-            let leader = self.following.filter(|leader| *leader != self.setup.me);
-            self.not_leader(from.host, call, leader);
+            let leader = self.known_leader.filter(|leader| *leader != self.setup.me);
+            self.send_not_leader(from.host, call, leader);
             if leader.is_none() {
-                self.unled.insert(from.host);
+                self.awaiting_leader.insert(from.host);
             }
             return;
         }
         match upward {
             Upward::Subscribe { term, sequence } => {
                 self.subscribers.insert(from.host);
-                self.tell_voters(from.host);
-                self.lead(Input::Subscribe {
+                self.send_voters(from.host);
+                self.handle(Input::Subscribe {
                     host: from.host,
                     term,
                     sequence,
                 });
             }
-            Upward::Report(report) => self.lead(Input::Report(report)),
-            Upward::Announce(announcement) => self.lead(Input::Announcement(announcement)),
-            Upward::Heartbeat(heartbeat) => self.lead(Input::Heartbeat(heartbeat)),
-            Upward::Presence(presence) => self.lead(Input::Presence(presence)),
+            Upward::Report(report) => self.handle(Input::Report(report)),
+            Upward::Announce(announcement) => self.handle(Input::Announcement(announcement)),
+            Upward::Heartbeat(heartbeat) => self.handle(Input::Heartbeat(heartbeat)),
+            Upward::Presence(presence) => self.handle(Input::Presence(presence)),
             Upward::Leaving {
                 target,
                 incarnation,
@@ -65,7 +65,7 @@
             Upward::Lost {
                 target,
                 incarnation,
-            } => self.lead(Input::Lost {
+            } => self.handle(Input::Lost {
                 target,
                 incarnation,
             }),
@@ -74,23 +74,23 @@
                 incarnation,
             } => self.reservations.release(from.host, target, incarnation),
             Upward::Propose { call, command } => self.propose(command, Some((from.host, call))),
-            Upward::Ask { call, question } => self.ask(from.host, call, question),
+            Upward::Ask { call, question } => self.answer_question(from.host, call, question),
         }
     }
 
-    /// Takes an entry host's renewal.
-    pub(crate) fn renewal(&mut self, renewal: Renewal, host: Host) {
+    /// Handles an entry host's lease renewal.
+    pub(crate) fn lease_renewal(&mut self, renewal: Renewal, host: Host) {
         if !self.leading {
-            let leader = self.following.filter(|leader| *leader != self.setup.me);
-            self.not_leader(renewal.peer.host, None, leader);
+            let leader = self.known_leader.filter(|leader| *leader != self.setup.me);
+            self.send_not_leader(renewal.peer.host, None, leader);
             return;
         }
         self.renewals.insert(renewal.peer.host, renewal);
-        self.lead(Input::Renewal(host));
+        self.handle(Input::Renewal(host));
     }
 
-    /// Answers an operator.
-    fn ask(&mut self, host: HostId, call: u64, question: Question) {
+    /// Answers a question that only the leader can answer.
+    fn answer_question(&mut self, host: HostId, call: u64, question: Question) {
         let json = match question {
             Question::InForce(version) => json(&(self.in_force >= version)),
             Question::Settings => json(&Settings {
@@ -99,8 +99,8 @@
                 text: self.state.catalogue().text(),
             }),
             Question::Status => json(&self.dump()),
-            Question::Explain(model) => json(&self.setup.leader.explain(&model, self.unix())),
-            Question::Members(membership) => return self.members(host, call, &membership),
+            Question::Explain(model) => json(&self.setup.leader.explain(&model, self.unix_time())),
+            Question::Members(membership) => return self.operator_change(host, call, &membership),
             Question::Reserve {
                 target,
                 incarnation,
@@ -109,11 +109,11 @@
                 json(&self.reservations.reserve(host, target, incarnation, now))
             }
         };
-        self.answer(host, call, json);
+        self.send_answer(host, call, json);
     }
 
-    /// Changes the voters.
-    fn members(&mut self, host: HostId, call: u64, membership: &Membership) {
+    /// Starts the membership change that an operator asks for.
+    fn operator_change(&mut self, host: HostId, call: u64, membership: &Membership) {
         let change = match *membership {
             Membership::Add(peer) => Change::Add(member(peer)),
             Membership::Promote(id) => Change::Promote(id),
@@ -123,10 +123,10 @@
                 new: member(new),
             },
         };
-        self.change(change, host, call);
+        self.change_members(change, host, call);
     }
 
-    /// The state of this control host, for operators.
+    /// Returns the state of this control host as JSON.
     pub(crate) fn dump(&self) -> serde_json::Value {
         serde_json::json!({
             "quorum": self.setup.core.status(),
@@ -135,12 +135,12 @@
             "in_force": self.in_force,
             "digest": hex(&self.state.digest()),
             "state": self.state.dump(),
-            "leader": self.setup.leader.dump(&self.state, self.unix()),
+            "leader": self.setup.leader.dump(&self.state, self.unix_time()),
         })
     }
 }
 
-/// A member of the log's group.
+/// Converts a peer to a member of the log's group.
 fn member(peer: Peer) -> Member {
     Member {
         id: peer.host,
@@ -148,12 +148,12 @@
     }
 }
 
-/// A value as JSON.
+/// Encodes a value as JSON.
 fn json(value: &impl Serialize) -> Bytes {
     serde_json::to_vec(value).unwrap_or_default().into()
 }
 
-/// Bytes in hexadecimal digits.
+/// Formats bytes as lowercase hexadecimal.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
         // Writing to a string cannot fail.
--- a/crates/node/tests/switch.rs
+++ b/crates/node/tests/links.rs
@@ -1,13 +1,13 @@
-//! Links between processes: one that falls silent without a reset is replaced.
+//! Tests of links between processes: a link that falls silent without a reset is replaced.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use cornelhitch_node::message::{Downward, Incoming, Message, Said};
+use cornelhitch_node::links::{Inbox, Links, Setup};
+use cornelhitch_node::message::{Downward, Incoming, Message, PeerEvent};
 use cornelhitch_node::metrics::Metrics;
-use cornelhitch_node::switch::{Inbox, Setup, Switch};
 use cornelhitch_settings::process::Peer;
 use cornelhitch_wire::hello::{Identity, cluster};
 use tokio::io::copy_bidirectional;
@@ -16,18 +16,18 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// A link that is silent has to be replaced before hosts without it count as out of touch.
+/// The time in which a silent link has to be replaced, before the hosts count as out of touch.
 const BOUND: Duration = Duration::from_secs(4);
 
-/// Time between two messages of the test.
+/// Interval between two messages of the test.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// A switch and what arrives there.
-fn switch(
+/// Starts the links of a host and returns them with the queue of incoming events.
+fn start_links(
     host: u64,
     listener: TcpListener,
     voters: Vec<Peer>,
-) -> (Switch, mpsc::UnboundedReceiver<Incoming>) {
+) -> (Links, mpsc::UnboundedReceiver<Incoming>) {
     let identity = Identity {
         cluster: cluster("test"),
         host,
@@ -38,7 +38,7 @@
     let (session, inbox) = mpsc::unbounded_channel();
     let (_, identity) = watch::channel(identity);
     let (_, cut) = watch::channel(Vec::new());
-    let switch = Switch::start(Setup {
+    let links = Links::start(Setup {
         identity,
         listener,
         voters,
@@ -52,10 +52,11 @@
         stop: CancellationToken::new(),
         cut,
     });
-    (switch, inbox)
+    (links, inbox)
 }
 
-/// Passes connections on; the first falls silent when it is told to, and is never closed.
+/// Relays connections to an address and counts them. On `mute` the first falls silent without being
+/// closed.
 async fn relay(to: SocketAddr, mute: CancellationToken) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -83,33 +84,34 @@
     (address, opened)
 }
 
-/// A message that names a number.
+/// Returns a message that carries a number.
 fn message(call: u64) -> Message {
     let json = bytes::Bytes::new();
     Message::Downward(Downward::Answer { call, json })
 }
 
-/// The number of the next message that arrives.
+/// Returns the number of the next message that arrives.
 async fn next(inbox: &mut mpsc::UnboundedReceiver<Incoming>) -> u64 {
     loop {
-        let incoming = inbox.recv().await.expect("a switch");
-        if let Said::Message(Message::Downward(Downward::Answer { call, .. })) = incoming.said {
+        let incoming = inbox.recv().await.expect("an open inbox");
+        if let PeerEvent::Message(Message::Downward(Downward::Answer { call, .. })) = incoming.event
+        {
             return call;
         }
     }
 }
 
-/// Seen as seed 101 of the soak: two of two voters could not reach each other any more, since the
-/// link that one had dialled was silent for good.
+/// Guards against two voters that can no longer reach each other because the link that one of them
+/// dialed has fallen silent without a reset, which nothing but a timeout detects.
 #[tokio::test]
 async fn a_link_that_falls_silent_is_replaced() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let mute = CancellationToken::new();
     let behind = listener.local_addr().expect("an address");
     let (address, opened) = relay(behind, mute.clone()).await;
-    let (_accepts, mut inbox) = switch(2, listener, Vec::new());
+    let (_accepts, mut inbox) = start_links(2, listener, Vec::new());
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let (dials, _answers) = switch(1, listener, vec![Peer { host: 2, address }]);
+    let (dials, _answers) = start_links(1, listener, vec![Peer { host: 2, address }]);
     dials.send(2, message(0));
     assert_eq!(next(&mut inbox).await, 0);
 
@@ -125,15 +127,15 @@
     assert_eq!(opened.load(Ordering::Relaxed), 2);
 }
 
-/// A link on which there is nothing to say stays.
+/// A link without messages is kept open by keep-alive frames.
 #[tokio::test]
-async fn an_idle_link_stays() {
+async fn an_idle_link_is_kept() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let behind = listener.local_addr().expect("an address");
     let (address, opened) = relay(behind, CancellationToken::new()).await;
-    let (_accepts, mut inbox) = switch(2, listener, Vec::new());
+    let (_accepts, mut inbox) = start_links(2, listener, Vec::new());
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let (dials, _answers) = switch(1, listener, vec![Peer { host: 2, address }]);
+    let (dials, _answers) = start_links(1, listener, vec![Peer { host: 2, address }]);
     dials.send(2, message(0));
     assert_eq!(next(&mut inbox).await, 0);
     tokio::time::sleep(BOUND).await;
--- a/crates/node/tests/lines.rs
+++ b/crates/node/tests/log_limit.rs
@@ -1,11 +1,11 @@
-//! What the metrics and the log tell of requests that no core ever saw, and of repeats by service.
+//! Tests of the log rate limit and of the repeat counters of each service.
 
 use cornelhitch_entry::tally::Tallies;
-use cornelhitch_node::lines::Lines;
+use cornelhitch_node::log_limit::LogLimiter;
 use cornelhitch_node::metrics::Metrics;
 
 #[test]
-fn repeats_are_shown_for_each_service_alone() {
+fn repeats_are_counted_for_each_service_separately() {
     let metrics = Metrics::default();
     let mut tallies = Tallies::default();
     tallies.of(&"engines".into()).repeats = 40;
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn a_burst_of_lines_is_bounded() {
-    let mut lines = Lines::default();
-    let written = (0..10_000).filter(|_| lines.admits()).count();
+fn a_burst_of_log_lines_is_limited() {
+    let mut limiter = LogLimiter::default();
+    let written = (0..10_000).filter(|_| limiter.allow()).count();
     assert!(written > 0 && written < 10_000, "{written}");
 }
--- a/crates/node/tests/metrics.rs
+++ b/crates/node/tests/metrics.rs
@@ -1,11 +1,11 @@
-//! What readers of a host's metrics see.
+//! Tests of the metrics in the Prometheus text format.
 
 use std::time::Duration;
 
 use cornelhitch_node::metrics::{Count, Metrics, Timing};
 use cornelhitch_types::refusal::{Reason, Refusal, Run};
 
-/// The value on the line of a name.
+/// Returns the value of a sample.
 fn value(text: &str, name: &str) -> f64 {
     let mut lines = text.lines().filter_map(|line| line.rsplit_once(' '));
     let (_, value) = lines
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn latencies_fall_into_buckets_that_add_up() {
+fn latency_buckets_are_cumulative() {
     let metrics = Metrics::default();
     for ms in [0, 7, 30, 30, 90_000] {
         metrics.ended(Duration::from_millis(ms));
@@ -64,9 +64,9 @@
 }
 
 #[test]
-fn every_kind_of_latency_is_shown_from_the_start() {
+fn every_latency_histogram_is_exported_from_the_start() {
     let metrics = Metrics::default();
-    metrics.took(Timing::Order, Duration::from_millis(1));
+    metrics.record(Timing::Order, Duration::from_millis(1));
     let text = metrics.text();
     for kind in ["request_start", "request_whole", "request_refused", "order"] {
         let name = format!("cornelhitch_{kind}_seconds_count");
