--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -309,7 +309,8 @@
         self.send_part(Part::Head(head)).await
     }
 
-    /// Passes one event to the caller; `to` is the number of tokens that the caller has with it.
+    /// Passes one event to the caller; `to` is the caller's position in the answer after it: a
+    /// number of tokens, or the id of the event in a routed stream.
     pub(crate) async fn forward(
         &self,
         to: u64,
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -20,7 +20,7 @@
 
 use crate::body::{self, Body};
 use crate::entry::Input;
-use crate::exchange::{NewRequest, PART_QUEUE, Part};
+use crate::exchange::{NewRequest, PART_QUEUE_CAPACITY, Part};
 use crate::metrics::{Count, Metrics};
 use crate::problem::{Problem, not_run};
 use crate::request::{self, Endpoint};
@@ -109,7 +109,7 @@
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let (request, payload) = request::read(id, endpoint, &parts, body, from)?;
         let streaming = request.streaming;
-        let (reply, answer) = mpsc::channel(PART_QUEUE);
+        let (reply, answer) = mpsc::channel(PART_QUEUE_CAPACITY);
         let intake = NewRequest {
             request,
             payload,
--- a/crates/node/src/control/leading.rs
+++ b/crates/node/src/control/leading.rs
@@ -127,7 +127,7 @@
             Output::InForce { version } => self.in_force = version,
             Output::Ask { target } => tracing::debug!(
                 target = &*target,
-                "message from a target that has not announced itself"
+                "message from a target incarnation that has not announced itself"
             ),
         }
     }
--- a/crates/node/src/control/requests.rs
+++ b/crates/node/src/control/requests.rs
@@ -70,7 +70,7 @@
         tracing::info!(
             target = &*target,
             incarnation,
-            "target announced that it leaves; committing it"
+            "committing that a target leaves"
         );
         let command = Command::Leave {
             target,
--- a/crates/node/src/datagrams.rs
+++ b/crates/node/src/datagrams.rs
@@ -135,7 +135,7 @@
     let identity = setup.identity.borrow().clone();
     let refused = |error: &dyn std::fmt::Display| {
         setup.metrics.increment(Count::DatagramsRefused);
-        tracing::debug!(%address, %error, "refused a datagram: cannot authenticate or decode it");
+        tracing::debug!(%address, %error, "refused a datagram: cannot verify or decode it");
     };
     let (from, payload) = match opener.open(&identity, bytes) {
         Ok(pair) => pair,
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -192,7 +192,7 @@
         self.last_report = Instant::now();
         self.urgent = false;
         let report = self.setup.core.report();
-        self.setup.session.tell(Upward::Report(report));
+        self.setup.session.send(Upward::Report(report));
         let core = &self.setup.core;
         self.setup.metrics.show_services(core.tallies());
         let (load, draining, settings) = (core.load(), core.draining(), core.settings());
@@ -366,7 +366,7 @@
                 return;
             }
         };
-        self.setup.session.tell(upward);
+        self.setup.session.send(upward);
         let _ = receipt.send(answer);
     }
 
@@ -430,7 +430,7 @@
             } => self.reserve(target, incarnation),
             action @ (Action::Suspect { .. } | Action::Unreserve { .. }) => self.forward(action),
             Action::Report => self.urgent = true,
-            Action::RequestView { .. } => self.setup.session.resync(),
+            Action::RequestView { .. } => self.setup.session.request_full_view(),
             Action::BadSettings { version, error } => {
                 tracing::error!(version, error, "cannot parse the fleet settings");
             }
@@ -445,14 +445,14 @@
             Action::Suspect {
                 target,
                 incarnation,
-            } => self.setup.session.tell(Upward::Lost {
+            } => self.setup.session.send(Upward::Lost {
                 target,
                 incarnation,
             }),
             Action::Unreserve {
                 target,
                 incarnation,
-            } => self.setup.session.tell(Upward::Unreserve {
+            } => self.setup.session.send(Upward::Unreserve {
                 target,
                 incarnation,
             }),
--- a/crates/node/src/entry/background.rs
+++ b/crates/node/src/entry/background.rs
@@ -48,7 +48,7 @@
                 Err(error) => {
                     tracing::info!(
                         %error, ?leave,
-                        "leave not committed; target told to use another host"
+                        "commit of a leave not confirmed; target told to use another host"
                     );
                     Receipt::Elsewhere
                 }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 
 /// Parts queued for a slow caller before the connection to the target has to wait.
-pub const PART_QUEUE: usize = 64;
+pub const PART_QUEUE_CAPACITY: usize = 64;
 
 /// What is sent to a target.
 #[derive(Debug, Clone)]
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -25,7 +25,7 @@
 use crate::body::{self, Body};
 use crate::callers::{CallerGuard, caller_response, collect};
 use crate::entry::Input;
-use crate::exchange::{NewRequest, PART_QUEUE, Payload, Routed};
+use crate::exchange::{NewRequest, PART_QUEUE_CAPACITY, Payload, Routed};
 use crate::header;
 use crate::log_limit::LogLimiter;
 use crate::metrics::{Count, Metrics};
@@ -199,7 +199,7 @@
         let read = self.read(id, &routes, parts, body, from).await;
         let (mut call, payload) =
             read.inspect_err(|refusal| self.log_refusal(&summary, refusal, routes.table.version))?;
-        let (reply, answer) = mpsc::channel(PART_QUEUE);
+        let (reply, answer) = mpsc::channel(PART_QUEUE_CAPACITY);
         call.spend(waited);
         let streams = payload.streams;
         let intake = NewRequest {
@@ -276,12 +276,7 @@
     body: Bytes,
     from: SocketAddr,
 ) -> Result<(Call, Routed), Refusal> {
-    let no_service = || {
-        not_run(
-            Reason::Unavailable,
-            "the route has no service to send the request to",
-        )
-    };
+    let no_service = || not_run(Reason::Unavailable, "the route leads to no service");
     let service = route.pick(rand::random()).ok_or_else(no_service)?;
     let what = what(service, table, &metadata, &parts.method);
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -100,9 +100,9 @@
     metrics: Metrics,
     stop: CancellationToken,
     /// Addresses of the hosts in the settings; reported addresses don't change them.
-    settings: HashMap<HostId, SocketAddr>,
+    configured: HashMap<HostId, SocketAddr>,
     /// The port of all peers, if a host's id stands for its IPv4 address.
-    numbered: Option<u16>,
+    common_port: Option<u16>,
     /// The local address to connect from, if it has to be a particular one.
     local: Option<IpAddr>,
     /// Reported addresses of other hosts.
@@ -125,7 +125,7 @@
     /// The voters of the settings, with their fixed addresses.
     pub voters: Vec<process::Peer>,
     /// The port of all peers, if a host's id stands for its IPv4 address.
-    pub numbered: Option<u16>,
+    pub common_port: Option<u16>,
     /// The local address to connect from, if it has to be a particular one.
     pub local: Option<IpAddr>,
     /// Where incoming messages go.
@@ -150,15 +150,15 @@
             }
         };
         let others = setup.voters.iter().filter(|voter| voter.host != me.host);
-        let settings = others.map(|voter| (voter.host, voter.address));
+        let configured = others.map(|voter| (voter.host, voter.address));
         let shared = Arc::new(Shared {
             me,
             inbox: setup.inbox,
             identity: setup.identity,
             metrics: setup.metrics,
             stop: setup.stop,
-            settings: settings.collect(),
-            numbered: setup.numbered,
+            configured: configured.collect(),
+            common_port: setup.common_port,
             local: setup.local,
             learned: Mutex::default(),
             dialed: Mutex::default(),
@@ -182,12 +182,12 @@
     ///
     /// The settings, and the address that the host itself gave on an open link, take precedence.
     #[must_use]
-    pub fn learn(&self, reported: &process::Peer) -> SocketAddr {
+    pub fn learn_address(&self, reported: &process::Peer) -> SocketAddr {
         let host = reported.host;
         let linked = lock(&self.shared.accepted).contains_key(&host);
         let usable = !reported.address.ip().is_unspecified();
         if !linked && usable && host != self.shared.me.host {
-            self.shared.learn(host, reported.address);
+            self.shared.learn_address(host, reported.address);
         }
         self.address(host).unwrap_or(reported.address)
     }
@@ -206,12 +206,12 @@
         if to == self.shared.me.host {
             return self.shared.send_to_self(message);
         }
-        self.shared.send(to, &mut Encoded::new(&message));
+        self.shared.send(to, &mut LazyMessage::new(&message));
     }
 
     /// Sends a message to several hosts, encoding it at most once.
     pub fn send_all(&self, hosts: impl IntoIterator<Item = HostId>, message: &Message) {
-        let mut encoded = Encoded::new(message);
+        let mut encoded = LazyMessage::new(message);
         for to in hosts {
             if to == self.shared.me.host {
                 self.shared.send_to_self(message.clone());
@@ -223,12 +223,12 @@
 }
 
 /// A message that is encoded on first use.
-struct Encoded<'a> {
+struct LazyMessage<'a> {
     message: &'a Message,
     bytes: Option<Bytes>,
 }
 
-impl<'a> Encoded<'a> {
+impl<'a> LazyMessage<'a> {
     /// Wraps a message without encoding it yet.
     fn new(message: &'a Message) -> Self {
         Self {
@@ -258,7 +258,7 @@
     }
 
     /// Queues a message for another host, if its address is known.
-    fn send(self: &Arc<Self>, to: HostId, message: &mut Encoded) {
+    fn send(self: &Arc<Self>, to: HostId, message: &mut LazyMessage) {
         if self.cut.borrow().contains(&to) {
             return;
         }
@@ -277,7 +277,7 @@
 
     /// Returns the queue of the link to a host; starts dialing if there is none.
     fn queue(self: &Arc<Self>, to: HostId) -> Option<mpsc::Sender<Bytes>> {
-        if !self.settings.contains_key(&to)
+        if !self.configured.contains_key(&to)
             && let Some(link) = lock(&self.accepted).get(&to)
         {
             return Some(link.queue.clone());
@@ -299,14 +299,14 @@
 
     /// Returns another host's address: from the settings, reported, or derived from its id.
     fn address(&self, host: HostId) -> Option<SocketAddr> {
-        let settings = self.settings.get(&host).copied();
-        let known = settings.or_else(|| lock(&self.learned).get(&host).copied());
-        known.or_else(|| numbered(host, self.numbered?))
+        let configured = self.configured.get(&host).copied();
+        let known = configured.or_else(|| lock(&self.learned).get(&host).copied());
+        known.or_else(|| address_from_id(host, self.common_port?))
     }
 
     /// Stores a reported address, unless the settings have one.
-    fn learn(&self, host: HostId, address: SocketAddr) {
-        if !self.settings.contains_key(&host) {
+    fn learn_address(&self, host: HostId, address: SocketAddr) {
+        if !self.configured.contains_key(&host) {
             lock(&self.learned).insert(host, address);
         }
     }
@@ -336,7 +336,7 @@
 }
 
 /// Converts a host id to the IPv4 address it stands for; `None` if it is over 32 bits.
-fn numbered(host: HostId, port: u16) -> Option<SocketAddr> {
+fn address_from_id(host: HostId, port: u16) -> Option<SocketAddr> {
     let ip = Ipv4Addr::from_bits(u32::try_from(host).ok()?);
     Some(SocketAddr::new(ip.into(), port))
 }
@@ -416,7 +416,7 @@
 async fn serve_accepted(shared: &Arc<Shared>, link: Link) {
     let peer = link.peer;
     let (queue, mut queued) = mpsc::channel(QUEUE_CAPACITY);
-    shared.learn(peer.host, link.address);
+    shared.learn_address(peer.host, link.address);
     let generation = {
         let mut accepted = lock(&shared.accepted);
         let generation = accepted
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -42,7 +42,7 @@
     /// The operators' listener, which answers until it is stopped.
     operators: JoinHandle<()>,
     /// Cancelled when an operator asks for a graceful shutdown.
-    drain_requested: CancellationToken,
+    drain_token: CancellationToken,
     /// The session with the leader.
     session: session::Handle,
 }
@@ -77,27 +77,28 @@
         let what = "cannot read the local addresses of the listeners";
         let addresses = addresses.context(SystemSnafu { what })?;
         let startup = Startup::connect(process, dialect, addresses, links, datagrams, inbox, cuts)?;
-        let control = control_inbox.map(|inbox| startup.control(inbox));
+        let control = control_inbox.map(|inbox| startup.start_control(inbox));
         let (control, control_task) = control.transpose()?.unzip();
         let (host_state, host) = watch::channel(startup.host());
         let (events, event_receiver) = mpsc::unbounded_channel();
-        let session = startup.session(session_inbox, host, events);
+        let session = startup.start_session(session_inbox, host, events);
         if let (Some(control), Some(listener)) = (&control, registry) {
-            startup.registry(control.clone(), session.clone(), listener);
+            startup.start_registry(control.clone(), session.clone(), listener);
         }
         if let Some(listener) = metrics {
-            startup.exposition(listener);
+            startup.start_exposition(listener);
         }
         let mut serving = Vec::new();
         let mut drain = None;
         if startup.process.has(Role::Entry) {
-            let (input, tasks) = startup.entry(&session, event_receiver, host_state, callers);
-            startup.pages(&input, pages);
+            let (input, tasks) = startup.start_entry(&session, event_receiver, host_state, callers);
+            startup.start_pages(&input, pages);
             drain = Some(input);
             serving.extend(tasks);
         }
-        let requested = CancellationToken::new();
-        let service = startup.operators(token, &session, drain.clone(), control, requested.clone());
+        let drain_token = CancellationToken::new();
+        let service =
+            startup.operators(token, &session, drain.clone(), control, drain_token.clone());
         let serve = server::run(operators, Arc::new(service), startup.stop.clone());
         let operators = tokio::spawn(serve);
         Ok(Self {
@@ -109,7 +110,7 @@
             serving,
             control: control_task,
             operators,
-            drain_requested: requested,
+            drain_token,
             session,
         })
     }
@@ -117,7 +118,7 @@
     /// Applies the settings that may change while the process runs: the seeds.
     pub fn reload(&self, process: &Process) {
         if !process.seeds.is_empty() {
-            self.session.reseed(process.seed_peers());
+            self.session.replace_seeds(process.seed_peers());
         }
     }
 
@@ -133,7 +134,7 @@
 
     /// Waits until an operator asks for a graceful shutdown.
     pub async fn asked(&self) {
-        self.drain_requested.cancelled().await;
+        self.drain_token.cancelled().await;
     }
 
     /// Waits until all requests in flight have ended, then stops the remaining tasks.
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -55,7 +55,7 @@
     /// The metrics of this process.
     pub metrics: Metrics,
     /// Cancelled when an operator asks for a graceful shutdown.
-    pub drain_requested: CancellationToken,
+    pub drain_token: CancellationToken,
 }
 
 /// An operator's request to bring a settings text in force.
@@ -258,7 +258,7 @@
 
     /// Starts the graceful shutdown of this host.
     fn drain(&self) -> Response<Body> {
-        self.drain_requested.cancel();
+        self.drain_token.cancel();
         json(StatusCode::ACCEPTED, &"draining")
     }
 
--- a/crates/node/src/session.rs
+++ b/crates/node/src/session.rs
@@ -70,9 +70,9 @@
     /// Ask the leader a question within a time limit.
     Ask(Question, Duration, Answer),
     /// Send the leader a message, which may be lost.
-    Tell(Box<Upward>),
+    Send(Box<Upward>),
     /// Request the whole view.
-    Resync,
+    FullView,
     /// Replace the seeds, the hosts of the settings that are asked for the leader.
     Seeds(Vec<process::Peer>),
 }
@@ -125,17 +125,17 @@
     }
 
     /// Sends the leader a message, which may be lost.
-    pub fn tell(&self, upward: Upward) {
-        let _ = self.commands.send(Command::Tell(Box::new(upward)));
+    pub fn send(&self, upward: Upward) {
+        let _ = self.commands.send(Command::Send(Box::new(upward)));
     }
 
     /// Requests the whole view after changes of it were lost.
-    pub fn resync(&self) {
-        let _ = self.commands.send(Command::Resync);
+    pub fn request_full_view(&self) {
+        let _ = self.commands.send(Command::FullView);
     }
 
     /// Replaces the seeds, the hosts of the settings that are asked for the leader.
-    pub fn reseed(&self, seeds: Vec<process::Peer>) {
+    pub fn replace_seeds(&self, seeds: Vec<process::Peer>) {
         let _ = self.commands.send(Command::Seeds(seeds));
     }
 
@@ -258,12 +258,12 @@
                 let call = self.next_call();
                 self.call(call, Upward::Ask { call, question }, limit, answer);
             }
-            Command::Tell(upward) => self.send(*upward),
+            Command::Send(upward) => self.send(*upward),
             Command::Seeds(seeds) => {
                 let seeds: Vec<_> = seeds.iter().map(|seed| self.learn_address(seed)).collect();
                 self.candidates.replace_seeds(seeds);
             }
-            Command::Resync => {
+            Command::FullView => {
                 self.view = 0;
                 self.subscribe();
             }
@@ -486,7 +486,7 @@
     /// Stores a voter's address and returns the voter with the address to use from here.
     fn learn_address(&self, voter: &process::Peer) -> process::Peer {
         let host = voter.host;
-        let address = self.setup.links.learn(voter);
+        let address = self.setup.links.learn_address(voter);
         process::Peer { host, address }
     }
 
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -100,7 +100,7 @@
             identity: identities.clone(),
             listener,
             voters: process.voters.clone(),
-            numbered: (!process.seeds.is_empty()).then_some(process.peers.port()),
+            common_port: (!process.seeds.is_empty()).then_some(process.peers.port()),
             local: process.peers_listen.map(|listen| listen.ip()),
             inbox: inbox.clone(),
             metrics: metrics.clone(),
@@ -129,7 +129,7 @@
     }
 
     /// Starts the session with the leader.
-    pub(crate) fn session(
+    pub(crate) fn start_session(
         &self,
         incoming: mpsc::UnboundedReceiver<Incoming>,
         host: watch::Receiver<Host>,
@@ -162,7 +162,7 @@
     }
 
     /// Starts the control task.
-    pub(crate) fn control(
+    pub(crate) fn start_control(
         &self,
         incoming: mpsc::UnboundedReceiver<Incoming>,
     ) -> Result<(mpsc::UnboundedSender<TaskMessage>, JoinHandle<()>), Error> {
@@ -253,7 +253,7 @@
     }
 
     /// Starts the entry task and the callers' listener.
-    pub(crate) fn entry(
+    pub(crate) fn start_entry(
         &self,
         session: &session::Handle,
         events: mpsc::UnboundedReceiver<session::Event>,
@@ -325,7 +325,7 @@
     }
 
     /// Starts the registry listener of a control host, if the settings have an address for it.
-    pub(crate) fn registry(
+    pub(crate) fn start_registry(
         &self,
         control: mpsc::UnboundedSender<TaskMessage>,
         session: session::Handle,
@@ -352,7 +352,7 @@
         session: &session::Handle,
         entry: Option<mpsc::UnboundedSender<Input>>,
         control: Option<mpsc::UnboundedSender<TaskMessage>>,
-        drain_requested: CancellationToken,
+        drain_token: CancellationToken,
     ) -> Operators {
         Operators {
             token: token.unwrap_or_else(Token::unmatchable),
@@ -362,12 +362,12 @@
             entry,
             control,
             metrics: self.metrics.clone(),
-            drain_requested,
+            drain_token,
         }
     }
 
     /// Starts the metrics listener.
-    pub(crate) fn exposition(&self, listener: TcpListener) {
+    pub(crate) fn start_exposition(&self, listener: TcpListener) {
         let exposition = Exposition {
             metrics: self.metrics.clone(),
         };
@@ -379,7 +379,11 @@
     }
 
     /// Starts the listeners for requests that need no target.
-    pub(crate) fn pages(&self, inputs: &mpsc::UnboundedSender<Input>, listeners: Vec<TcpListener>) {
+    pub(crate) fn start_pages(
+        &self,
+        inputs: &mpsc::UnboundedSender<Input>,
+        listeners: Vec<TcpListener>,
+    ) {
         let Some(ingress) = &self.dialect.callers else {
             return;
         };
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -42,7 +42,7 @@
         identity,
         listener,
         voters,
-        numbered: None,
+        common_port: None,
         local: None,
         inbox: Inbox {
             control: None,
