--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -196,7 +196,7 @@
         let waited = since.elapsed();
         let summary = RequestSummary::from(&parts);
         let id = self.next.fetch_add(1, Ordering::Relaxed);
-        let read = self.read(id, &routes, parts, body, from).await;
+        let read = self.prepare(id, &routes, parts, body, from).await;
         let (mut call, payload) =
             read.inspect_err(|refusal| self.log_refusal(&summary, refusal, routes.table.version))?;
         let (reply, answer) = mpsc::channel(PART_QUEUE_CAPACITY);
@@ -216,7 +216,7 @@
     }
 
     /// Finds the route of a request, reads its body and prepares it for the core.
-    async fn read(
+    async fn prepare(
         &self,
         id: u64,
         routes: &Routes,
@@ -229,7 +229,7 @@
             .ok_or_else(|| not_run(Reason::Unknown, "no route matches this host and path"))?;
         let metadata = self.ingress.read(&parts.headers)?;
         let body = collect(body, routes.table.limits.body).await?;
-        read(id, route, &routes.table, metadata, parts, body, from)
+        build_call(id, route, &routes.table, metadata, parts, body, from)
     }
 
     /// Logs a request that was refused before it reached the core.
@@ -267,7 +267,7 @@
 }
 
 /// Prepares a request for the core and the target.
-fn read(
+fn build_call(
     id: u64,
     route: &Route,
     table: &Table,
@@ -278,7 +278,7 @@
 ) -> Result<(Call, Routed), Refusal> {
     let no_service = || not_run(Reason::Unavailable, "the route leads to no service");
     let service = route.pick(rand::random()).ok_or_else(no_service)?;
-    let what = what(service, table, &metadata, &parts.method);
+    let what = requested(service, table, &metadata, &parts.method);
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let content = [path.as_bytes(), &[0], &body].concat();
     let mut call = Call::new(id, from.ip().to_string(), what);
@@ -321,7 +321,7 @@
 
 /// Returns what a request is for: a model if the service runs models and the request names one, or
 /// else the service itself.
-fn what(service: &Name, table: &Table, metadata: &Ask, method: &Method) -> What {
+fn requested(service: &Name, table: &Table, metadata: &Ask, method: &Method) -> What {
     let engine = table.service(service).and_then(|it| it.engine.as_ref());
     match (&metadata.model, engine) {
         (Some(model), Some(_)) => What::Model(Reference {
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -102,13 +102,13 @@
         Endpoint::Service { name, path } => service(id, name, path, parts, body),
     };
     let headers = &parts.headers;
-    if let Some(caller) = name(headers, header::CALLER)? {
+    if let Some(caller) = name_header(headers, header::CALLER)? {
         request.caller = caller;
     } else if request.caller.is_empty() {
         request.caller = from.ip().to_string().into();
     }
-    request.class = name(headers, header::CLASS)?;
-    request.key = name(headers, header::KEY)?;
+    request.class = name_header(headers, header::CLASS)?;
+    request.key = name_header(headers, header::KEY)?;
     request.deadline = deadline(headers)?;
     Ok((request, payload))
 }
@@ -162,7 +162,7 @@
 }
 
 /// Reads a header that holds a name; `None` if there is no such header.
-fn name(headers: &HeaderMap, header: &'static str) -> Result<Option<Name>, Refusal> {
+fn name_header(headers: &HeaderMap, header: &'static str) -> Result<Option<Name>, Refusal> {
     let Some(value) = headers.get(header) else {
         return Ok(None);
     };
