--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -267,6 +267,6 @@
         reason: Reason::TargetFailed,
         run: cornelhitch_types::refusal::Run::Unknown,
         retry_after: None,
-        detail: "this process stopped before the answer was complete".into(),
+        detail: "this process stopped before the answer was whole".into(),
     }
 }
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -226,7 +226,7 @@
     ) -> Result<(Call, Routed), Refusal> {
         let route = routes
             .find(&parts)
-            .ok_or_else(|| not_run(Reason::Unknown, "no route matches this host and path"))?;
+            .ok_or_else(|| not_run(Reason::Unknown, "no route has this host and path"))?;
         let metadata = self.ingress.read(&parts.headers)?;
         let body = collect(body, routes.table.limits.body).await?;
         build_call(id, route, &routes.table, metadata, parts, body, from)
@@ -258,10 +258,7 @@
         let known = known.and_then(|routes| routes.clone());
         known.ok_or_else(|| Refusal {
             retry_after: Some(NO_ROUTES_RETRY_AFTER),
-            ..not_run(
-                Reason::Unavailable,
-                "this host has not received a route table yet",
-            )
+            ..not_run(Reason::Unavailable, "this host knows no routes yet")
         })
     }
 }
@@ -276,7 +273,7 @@
     body: Bytes,
     from: SocketAddr,
 ) -> Result<(Call, Routed), Refusal> {
-    let no_service = || not_run(Reason::Unavailable, "the route leads to no service");
+    let no_service = || not_run(Reason::Unavailable, "the route leads nowhere");
     let service = route.pick(rand::random()).ok_or_else(no_service)?;
     let what = requested(service, table, &metadata, &parts.method);
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -373,7 +370,7 @@
                 match answered.await {
                     Ok(entries) if !entries.addresses.is_empty() => self.ingress.entries(&entries),
                     _ => {
-                        let detail = "this host knows no entry hosts to connect to";
+                        let detail = "this host knows no entry hosts";
                         self.ingress.refusal(&not_run(Reason::Unavailable, detail))
                     }
                 }
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -151,7 +151,7 @@
         if !self.is_authorized(&parts) {
             let mut problem = Problem::from(&not_run(
                 Reason::Malformed,
-                "the operator token is missing or wrong: send \"Authorization: Bearer TOKEN\"",
+                "the token is missing or wrong: send \"Authorization: Bearer TOKEN\"",
             ));
             problem.status = StatusCode::UNAUTHORIZED.as_u16();
             return problem.response();
@@ -250,9 +250,7 @@
                 let verdict = ApplyOutcome::from(answer);
                 Ok(json(verdict.status(), &verdict))
             }
-            other => Err(unavailable(&format!(
-                "expected the reply to a settings change, got {other:?}"
-            ))),
+            other => Err(unavailable(&format!("an odd reply: {other:?}"))),
         }
     }
 
@@ -308,7 +306,7 @@
         .find(|(name, _)| *name == key);
     let parsed = value.and_then(|(_, value)| value.parse().ok());
     parsed.ok_or_else(|| {
-        let detail = format!("the query needs {key}=VALUE; it is missing or cannot be parsed");
+        let detail = format!("the query needs {key}=VALUE with a proper value");
         not_run(Reason::Malformed, detail)
     })
 }
@@ -331,9 +329,7 @@
             new: peer()?,
         }),
         other => {
-            let detail = format!(
-                "{other:?} is no change of members; expected add, promote, remove or replace"
-            );
+            let detail = format!("{other:?} is no change: add, promote, remove or replace");
             Err(not_run(Reason::Malformed, detail))
         }
     }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -167,9 +167,7 @@
         return Ok(None);
     };
     let malformed = |what: &str| not_run(Reason::Malformed, format!("{header}: {what}"));
-    let text = value
-        .to_str()
-        .map_err(|_| malformed("it is not visible ASCII text"))?;
+    let text = value.to_str().map_err(|_| malformed("it is not text"))?;
     if text.is_empty() {
         return Err(malformed("it is empty"));
     }
--- a/crates/node/src/session.rs
+++ b/crates/node/src/session.rs
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// No leader answered in time; the command may be committed or not.
-    #[snafu(display("no leader answered before the deadline; the outcome is unknown"))]
+    #[snafu(display("no leader answered in time"))]
     Unavailable,
 }
 
