--- a/crates/control/src/beats.rs
+++ b/crates/control/src/beats.rs
@@ -1,4 +1,4 @@
-//! Announcements, heartbeats and their absence.
+//! Announcements and heartbeats of targets, reconciliation with the replicas, and silence.
 
 use cornelhitch_types::id::{Incarnation, ReplicaId, TargetId};
 use cornelhitch_types::order::Action;
@@ -12,11 +12,11 @@
 use crate::turn::Turn;
 use crate::workers::{Leave, Stranger, explains};
 
-/// Heartbeats in a row that show a copy before it counts as one that no replica explains.
+/// The number of consecutive heartbeats that must show a copy before it is adopted or unloaded.
 const PERSISTENT: u64 = 2;
 
 impl Reign {
-    /// A target says what it is.
+    /// Handles an announcement: proposes to register what is new.
     pub(crate) fn announcement(&mut self, announcement: Announcement, turn: &mut Turn) {
         let known = turn.state.fleet().get(&announcement.target);
         let old = known.map(|known| &known.announcement);
@@ -32,9 +32,10 @@
         }
     }
 
-    /// A target says what it is and how it is.
+    /// Handles an announcement that comes with a heartbeat.
     ///
-    /// The heartbeat of a life that is not registered yet waits for that.
+    /// The heartbeat of an incarnation that is not registered yet is kept until its registration is
+    /// applied.
     pub(crate) fn presence(&mut self, presence: Presence, turn: &mut Turn) {
         let Presence {
             announcement,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// A target says how it is.
+    /// Handles a heartbeat.
     pub(crate) fn heartbeat(&mut self, mut heartbeat: Heartbeat, turn: &mut Turn) {
         let target = heartbeat.target.clone();
         let cache = std::mem::take(&mut heartbeat.cache);
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Notes in the state that a silent target is heard again.
+    /// Proposes to record that a silent target is heard again.
     fn unsilence(&mut self, target: &TargetId, turn: &mut Turn) {
         let known = turn.state.fleet().get(target);
         if let Some(known) = known.filter(|known| known.silent) {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Compares a worker's inventory with its replicas.
+    /// Reconciles a worker's inventory with its replicas.
     fn compare(&mut self, target: &TargetId, turn: &mut Turn) {
         let state = turn.state;
         let replicas: Vec<&Replica> = state.replicas().on(target).collect();
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Publishes what changed of the observed copies on a worker.
+    /// Publishes the changes to the observed copies on a worker.
     pub(crate) fn publish_observed(
         &mut self,
         before: &[view::Replica],
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Compares one replica with the newest inventory of its worker.
+    /// Reconciles one replica with the newest inventory of its worker.
     fn compare_replica(&mut self, replica: &Replica, turn: &mut Turn) {
         let Some(worker) = self.workers.get(&replica.target) else {
             return;
@@ -188,7 +189,7 @@
         self.drive(replica.id, turn);
     }
 
-    /// Notes what a worker shows of a replica.
+    /// Records what a worker shows of a replica.
     fn shown(&mut self, replica: &Replica, holding: &Holding, sequence: u64, turn: &mut Turn) {
         if holding.stage == Stage::Ready && replica.state == State::Loading {
             let command = Command::Ready {
@@ -211,12 +212,11 @@
         }
     }
 
-    /// Deals with a copy that no replica explains.
+    /// Adopts or unloads a copy that belongs to no decided replica.
     ///
-    /// In managed groups a copy without an id is made a replica where the rules
-    /// allow it, so that moving a group over ends no request; others are
-    /// unloaded. In unmanaged groups, and where the catalogue does not know
-    /// the model, it is left alone.
+    /// In managed groups a copy without a replica id is adopted where the rules allow it, so that a
+    /// change from unmanaged to managed ends no request; other copies are unloaded. Copies in
+    /// unmanaged groups, and of models that the settings do not list, are left alone.
     fn meet(&mut self, target: &TargetId, stranger: &Stranger, turn: &mut Turn) {
         let settings = turn.state.catalogue().fleet();
         let model = settings.model(&stranger.model.model);
@@ -249,7 +249,7 @@
         self.unload_stranger(target, stranger, sequence, turn);
     }
 
-    /// Orders a copy that no replica explains to be unloaded, once nothing runs on it.
+    /// Orders the unload of a copy that belongs to no decided replica, once nothing runs on it.
     fn unload_stranger(
         &mut self,
         target: &TargetId,
@@ -257,7 +257,7 @@
         sequence: u64,
         turn: &mut Turn,
     ) {
-        // A worker that knows only model names would unload the replica's copy.
+        // A worker that identifies copies by model name only would unload the replica's copy.
         let mut peers = turn.state.replicas().on(target);
         let named = stranger.replica.is_some() || stranger.model.version.is_some();
         if !named && peers.any(|replica| replica.model == stranger.model.model) {
@@ -287,21 +287,22 @@
         }
     }
 
-    /// An entry host lost its connections to a target.
+    /// Handles a report that an entry host lost its connections to a target.
     pub(crate) fn lost(&mut self, target: &TargetId, incarnation: Incarnation, turn: &mut Turn) {
         let worker = self.workers.get_mut(target);
         let Some(worker) = worker.filter(|worker| worker.incarnation == incarnation) else {
             return;
         };
         worker.hinted = true;
-        // A host that cannot reach a target which others reach must not close it again and again.
+        // An entry host that cannot reach a target which others do reach must not close it
+        // repeatedly.
         if !worker.suspected && turn.now >= worker.distrusted {
             worker.suspected = true;
             self.suspect(target, turn);
         }
     }
 
-    /// A target leaves, as the log says.
+    /// Handles the committed notice that a target is leaving.
     pub(crate) fn left(&mut self, target: &TargetId, turn: &mut Turn) {
         if let Some(worker) = self.workers.get_mut(target) {
             worker.leave = Leave::Told;
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Suspects targets that are silent, and lets go of those that have been for long.
+    /// Suspects targets that are silent, and removes those that have been silent for long.
     pub(crate) fn watch(&mut self, turn: &mut Turn) {
         let mut suspects = Vec::new();
         for (target, worker) in self.workers.iter_mut() {
@@ -337,7 +338,7 @@
         }
     }
 
-    /// Keeps new work from a target.
+    /// Publishes that a target gets no new work, and drives its replicas.
     fn suspect(&mut self, target: &TargetId, turn: &mut Turn) {
         self.feed.target(target, true);
         self.sketch.worker(target);
@@ -345,7 +346,7 @@
         self.drive_all(target, turn);
     }
 
-    /// Sends or gives back what the replicas of a target need now.
+    /// Sends the due orders of all replicas on a target.
     fn drive_all(&mut self, target: &TargetId, turn: &mut Turn) {
         let on = turn.state.replicas().on(target);
         let ids: Vec<ReplicaId> = on.map(|replica| replica.id).collect();
@@ -354,7 +355,7 @@
         }
     }
 
-    /// Notes in the state that a target is silent, or lets it go.
+    /// Proposes to record that a target is silent, or to remove it.
     fn silent(&mut self, target: &TargetId, long: bool, turn: &mut Turn) {
         let Some(known) = turn.state.fleet().get(target) else {
             return;
@@ -379,7 +380,7 @@
     }
 }
 
-/// Whether a replica's worker refuses orders with an old fencing number.
+/// Returns whether a replica's worker refuses orders with an old fencing number.
 pub(crate) fn fencing(replica: &Replica, turn: &Turn) -> bool {
     let target = turn.state.fleet().get(&replica.target);
     target.is_some_and(|target| target.announcement.fencing)
--- a/crates/control/src/catalogue.rs
+++ b/crates/control/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The settings in force, and the operators' requests to change them.
+//! The settings in force, and the requests of operators to change them.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,29 +11,29 @@
 use crate::error::{Error, SettingsSnafu};
 use crate::mutation::{self, Mutation};
 
-/// Answers to operators that are kept for resends.
+/// The maximum number of answers to operators that are kept for resends.
 pub const ANSWERS: usize = 4_096;
 
-/// The longest settings text in bytes.
+/// The longest settings text, in bytes.
 pub const TEXT: usize = 1 << 20;
 
-/// The longest operator name and request id in bytes.
+/// The longest operator name and request id, in bytes.
 pub const NAME: usize = 256;
 
-/// An operator's request to bring a text in force.
+/// An operator's request to bring a settings text into force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Apply {
-    /// Who asks.
+    /// The name of the operator.
     pub operator: Name,
-    /// The operator's own id of the request; a resend has the same one.
+    /// The operator's id of the request; a resend has the same one.
     pub request: Name,
-    /// The version that the text was made from.
+    /// The version that the text was based on.
     pub base: Version,
     /// The settings as YAML.
     pub text: Name,
 }
 
-/// What became of a request to apply.
+/// The result of a request to apply settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
     /// The text was accepted.
@@ -41,21 +41,21 @@
         /// Its version.
         version: Version,
     },
-    /// The text was made from another version than the one in force.
+    /// The text was based on another version than the one in force.
     Conflict {
         /// The version in force.
         version: Version,
     },
     /// The text is not valid.
     Faulty {
-        /// One line a fault, each with line and column.
+        /// The faults, one on each line with line and column.
         faults: Name,
     },
     /// The request id was used before with another text or base.
     Reused,
 }
 
-/// An answer that a resend gets again.
+/// An answer that is repeated to a resend.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Kept {
     operator: Name,
@@ -64,7 +64,7 @@
     answer: Answer,
 }
 
-/// The settings in force; before the first accepted text there are none.
+/// The settings in force, none before the first accepted text, and the answers kept for resends.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Catalogue {
     version: Version,
@@ -73,7 +73,7 @@
     kept: VecDeque<Kept>,
 }
 
-/// A catalogue as a snapshot holds it.
+/// A catalogue as stored in a snapshot.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Image {
     version: Version,
@@ -82,25 +82,26 @@
 }
 
 impl Catalogue {
-    /// The version in force; 0 when there is none.
+    /// Returns the version in force; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The text in force, as its operator wrote it.
+    /// Returns the text in force, as the operator wrote it.
     #[must_use]
     pub fn text(&self) -> &Name {
         &self.text
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     #[must_use]
     pub fn fleet(&self) -> &Arc<Fleet> {
         &self.fleet
     }
 
-    /// Answers a request, and brings its text in force when it is valid and made from that version.
+    /// Answers a request; brings its text into force if it is valid and based on the current
+    /// version.
     pub(crate) fn apply(&mut self, apply: Apply) -> Answer {
         let digest = digest(&apply);
         let same = |kept: &&Kept| kept.operator == apply.operator && kept.request == apply.request;
@@ -120,7 +121,7 @@
         answer
     }
 
-    /// The answer to a request that was not seen before.
+    /// Answers a request that was not seen before.
     fn decide(&mut self, apply: &Apply) -> Answer {
         if let Some(faults) = oversized(apply) {
             return Answer::Faulty { faults };
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Keeps an answer, and lets the oldest go when there are too many.
+    /// Keeps an answer, and drops the oldest above the limit.
     fn keep(&mut self, mut kept: Kept) {
         kept.operator = cut(&kept.operator);
         kept.request = cut(&kept.request);
@@ -155,7 +156,7 @@
         }
     }
 
-    /// What a snapshot holds.
+    /// Returns the form that is stored in a snapshot.
     pub(crate) fn image(&self) -> Image {
         Image {
             version: self.version,
@@ -164,7 +165,7 @@
         }
     }
 
-    /// The catalogue of a snapshot.
+    /// Restores the catalogue of a snapshot.
     pub(crate) fn from_image(image: Image) -> Result<Self, Error> {
         let fleet = match image.version {
             0 => Fleet::default(),
@@ -179,7 +180,7 @@
     }
 }
 
-/// What makes two requests under one id the same.
+/// Returns the digest that two requests under the same id must share.
 fn digest(apply: &Apply) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&apply.base.to_le_bytes());
@@ -187,7 +188,7 @@
     *hasher.finalize().as_bytes()
 }
 
-/// Says what is too long, if anything is.
+/// Returns the fault if the text or a name is too long.
 fn oversized(apply: &Apply) -> Option<Name> {
     if apply.text.len() > TEXT {
         let found = apply.text.len();
@@ -200,7 +201,7 @@
     })
 }
 
-/// The first bytes of a name that is too long; no such request is ever accepted.
+/// Truncates a name that is too long; a request with such a name is never accepted.
 fn cut(name: &Name) -> Name {
     if name.len() <= NAME {
         return name.clone();
--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -1,9 +1,9 @@
-//! Claims on requests that may not be repeated.
+//! Claims on requests that must not be repeated.
 //!
-//! An entry host claims `(caller, key)` before the first byte leaves, and
-//! records the outcome afterwards. Within the retention time a key is granted
-//! once: whatever is dropped for its size leaves a tombstone, and when those
-//! are full too, new claims are refused as not run.
+//! An entry host claims `(caller, key)` before it sends the first byte, and records the outcome
+//! afterwards. Within the retention time a key is granted once: a record dropped to save space
+//! leaves a tombstone, and when the tombstones are full too, new claims are refused and their
+//! requests are not run.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -16,25 +16,25 @@
 pub use crate::outcome::{BODY, CONTENT, Outcome};
 use crate::tombstones::Tombstones;
 
-/// What the table may hold before the oldest outcomes shrink.
+/// The size limits of the claims table; beyond them the oldest outcomes lose data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of all kept bodies.
+    /// The total size of kept bodies, in bytes.
     pub bodies: usize,
-    /// Claims with their outcome.
+    /// The number of claims with a record.
     pub records: usize,
-    /// Claims of which only a digest is left.
+    /// The number of claims of which only a digest is left.
     pub tombstones: usize,
 }
 
-/// The limits of every member; they decide replies, so they may not differ within a cluster.
+/// The limits on every control host. They affect replies, so they must not differ within a cluster.
 pub const LIMITS: Limits = Limits {
     bodies: 8 << 20,
     records: 20_000,
     tombstones: 200_000,
 };
 
-/// A claim.
+/// A claim and its outcome; `None` while in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Record {
     digest: [u8; 32],
@@ -43,7 +43,7 @@
     outcome: Option<Outcome>,
 }
 
-/// When a claim ended.
+/// The end of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct End {
     time: Time,
@@ -55,19 +55,19 @@
 #[serde(from = "Image")]
 pub struct Claims {
     records: BTreeMap<Key, Record>,
-    /// Ended claims with a record, oldest first.
+    /// Ended claims that still have a record, oldest first.
     ended: VecDeque<End>,
-    /// How many of `ended` have lost their body, from the front.
+    /// The number of entries at the front of `ended` that have lost their body.
     bare: usize,
     tombstones: Tombstones,
     watermark: Time,
-    /// Follows from `records`.
+    /// Derived from `records`.
     bodies: usize,
-    /// Follows from `records`.
+    /// Derived from `records`.
     running: BTreeMap<Holder, BTreeSet<Key>>,
 }
 
-/// Claims as a snapshot holds them.
+/// Claims as decoded from a snapshot.
 #[derive(Debug, Deserialize)]
 struct Image {
     records: BTreeMap<Key, Record>,
@@ -77,7 +77,7 @@
     watermark: Time,
 }
 
-/// What a snapshot is written from, in the shape of [`Image`].
+/// Claims as encoded into a snapshot, with the layout of [`Image`].
 #[derive(Serialize)]
 struct Borrowed<'a> {
     records: &'a BTreeMap<Key, Record>,
@@ -121,36 +121,36 @@
 }
 
 impl Claims {
-    /// How many claims have a record.
+    /// Returns the number of claims with a record.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no claim has a record.
+    /// Returns whether no claim has a record.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Claims of which only a digest is left.
+    /// Returns the number of claims of which only a digest is left.
     #[must_use]
     pub fn tombstones(&self) -> usize {
         self.tombstones.len()
     }
 
-    /// Requests first sent before this are answered as forgotten.
+    /// Returns the time before which first-sent requests are answered as forgotten.
     #[must_use]
     pub fn watermark(&self) -> Time {
         self.watermark
     }
 
-    /// The lives of entry hosts that hold claims in progress.
+    /// Returns the incarnations of entry hosts that hold claims in progress.
     pub fn holders(&self) -> impl Iterator<Item = Holder> {
         self.running.keys().copied()
     }
 
-    /// Grants a key that was not claimed, or says what became of it.
+    /// Grants a key that was not claimed before, or returns its outcome.
     pub(crate) fn claim(&mut self, claim: &Claim, limits: &Limits) -> Answer {
         if !claim.key.is_valid() {
             return Answer::Refused(Refusal::Malformed);
@@ -189,7 +189,7 @@
         let outcome = finish.outcome.bounded();
         match &record.outcome {
             Some(Outcome::Unknown) => {
-                // It keeps its place among the ended ones, which may be past those that lost
+                // The claim keeps its position in `ended`, which may be among those that have lost
                 // their bodies, so only the short form is kept.
                 record.outcome = Some(outcome.short());
                 return Answer::Done;
@@ -206,7 +206,7 @@
 
     /// Frees a claim whose request was not sent.
     ///
-    /// The call is checked too: a late repeat of an earlier abandonment must
+    /// The call number is checked too: a delayed duplicate of an earlier call's abandonment must
     /// not free a later claim of the same holder.
     pub(crate) fn abandon(&mut self, key: &Key, holder: Holder, call: u64) -> Answer {
         let Some(record) = self.records.get(key) else {
@@ -223,7 +223,7 @@
         Answer::Done
     }
 
-    /// Marks what the ended lives of a host held as unknown.
+    /// Marks the claims held by the ended incarnations of a host as unknown.
     pub(crate) fn host_ended(
         &mut self,
         host: HostId,
@@ -260,7 +260,7 @@
         Answer::Done
     }
 
-    /// Forgets what ended before the retention time.
+    /// Drops records and tombstones that ended before the retention time.
     pub(crate) fn expire(&mut self, retention: Duration, now: Time) {
         let watermark = now.saturating_sub(retention);
         if watermark <= self.watermark {
@@ -273,7 +273,7 @@
         self.tombstones.expire(watermark);
     }
 
-    /// Holds the limits: bodies go first, then records leave tombstones.
+    /// Enforces the limits: the oldest bodies are dropped first, then records become tombstones.
     fn shrink(&mut self, limits: &Limits) {
         while self.bodies > limits.bodies && self.bare < self.ended.len() {
             let record = self.records.get_mut(&self.ended[self.bare].key);
@@ -301,18 +301,18 @@
         Some(end)
     }
 
-    /// Notes that a claim is no longer in progress.
+    /// Records that a claim is no longer in progress.
     fn ended(&mut self, holder: Holder, key: Key, now: Time) {
         self.drop_hold(holder, &key);
         self.ended.push_back(End { time: now, key });
     }
 
-    /// Notes that a holder has a claim in progress.
+    /// Records that a holder has a claim in progress.
     fn hold(&mut self, holder: Holder, key: &Key) {
         self.running.entry(holder).or_default().insert(key.clone());
     }
 
-    /// Notes that a holder no longer has a claim in progress.
+    /// Records that a holder no longer has a claim in progress.
     fn drop_hold(&mut self, holder: Holder, key: &Key) {
         if let Some(keys) = self.running.get_mut(&holder) {
             keys.remove(key);
@@ -324,12 +324,12 @@
 }
 
 impl Record {
-    /// Whether a holder claimed it under this number.
+    /// Returns whether a holder claimed it under this call number.
     fn is_held(&self, holder: Holder, call: u64) -> bool {
         self.holder == holder && self.call == call
     }
 
-    /// What a resend is told; the holder's own repeat is granted again.
+    /// Returns the answer to a resend; the holder's own repeat is granted again.
     fn answer(&self, claim: &Claim) -> Answer {
         if self.digest != claim.digest {
             return Answer::Mismatch;
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log, their bytes and their replies.
+//! Commands of the replicated log, their encoding and their replies.
 
 use bytes::Bytes;
 use cornelhitch_types::id::{HostId, Incarnation, ReplicaId, TargetId, Term, Time};
@@ -16,23 +16,23 @@
 use crate::replicas::{self, Decide, Evidence};
 use crate::strikes::{self, Strike};
 
-/// The first byte of an encoded command.
+/// The format version of an encoded command, its first byte.
 pub const FORM: u8 = 1;
 
-/// The second byte of one command.
+/// The second byte of an encoded single command.
 const ONE: u8 = 0;
 
-/// The second byte of a batch.
+/// The second byte of an encoded batch.
 const MANY: u8 = 1;
 
-/// What the log says of a command besides its bytes.
+/// The log metadata of a command.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place in the log, from 1.
+    /// The index in the log, from 1.
     pub index: u64,
-    /// The term of the leader that proposed it.
+    /// The term of the leader that proposed the command.
     pub term: Term,
-    /// When that leader proposed it, since the Unix epoch; it never goes back along the log.
+    /// The leader's clock at the proposal, since the Unix epoch; never decreases along the log.
     pub time: Time,
 }
 
@@ -41,130 +41,132 @@
 #[strum_discriminants(name(Kind), derive(Display), doc = "The names of the commands.")]
 #[strum_discriminants(strum(serialize_all = "kebab-case"))]
 pub enum Command {
-    /// Nothing; a new leader commits it to learn what is committed.
+    /// No operation; a new leader commits one to learn what is committed.
     Nothing,
-    /// Bring a settings text in force.
+    /// Brings a settings text into force.
     Apply(Apply),
-    /// Take a target in, and end its earlier incarnation.
+    /// Registers a target and ends its earlier incarnation.
     Register(Announcement),
-    /// Let a target go.
+    /// Removes a target.
     Dismiss {
-        /// The target.
+        /// The target to remove.
         target: TargetId,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
         /// Whether an operator attests that the machine no longer runs.
         attested: bool,
     },
-    /// A target has been silent for long, or is heard again.
+    /// Records that a target has been silent for long, or is heard again.
     Silence {
-        /// The target.
+        /// The target concerned.
         target: TargetId,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// Whether it is silent.
+        /// Whether it is silent now.
         silent: bool,
     },
-    /// Decide a replica and reserve its memory.
+    /// Decides a replica and reserves its memory.
     Decide(Decide),
-    /// The worker showed a replica ready.
+    /// Records that a heartbeat showed a replica ready.
     Ready {
-        /// The replica.
+        /// The replica shown.
         replica: ReplicaId,
-        /// The heartbeat that showed it.
+        /// The sequence number of that heartbeat.
         sequence: u64,
     },
-    /// Send a replica nothing new.
+    /// Retires a replica: it gets no new requests.
     Retire {
-        /// The replica.
+        /// The replica to retire.
         replica: ReplicaId,
     },
-    /// End a replica's reservation.
+    /// Ends a replica's reservation.
     Release {
-        /// The replica.
+        /// The replica to release.
         replica: ReplicaId,
-        /// What shows that its memory is free.
+        /// What proves that its memory is free.
         evidence: Evidence,
-        /// Whether an order for it may still arrive.
+        /// Whether an order for it may still arrive at the worker.
         unknown: bool,
     },
-    /// Claim a request that may not be repeated, before it is sent.
+    /// Claims a request that must not be repeated, before it is sent.
     Claim(Claim),
-    /// Record the outcome of a claimed request.
+    /// Records the outcome of a claimed request.
     Finish(Finish),
-    /// Give a claim back, since the request was not sent.
+    /// Gives a claim back because the request was not sent.
     Abandon {
-        /// The request.
+        /// The key of the request.
         key: Key,
-        /// Who holds the claim.
+        /// The holder of the claim.
         holder: Holder,
-        /// The number under which the holder claimed it.
+        /// The call number under which the holder claimed it.
         call: u64,
     },
-    /// An entry host's life ended; what it held has unknown outcomes.
+    /// Ends an incarnation of an entry host; the outcomes of the claims it held become unknown.
     HostEnded {
         /// The entry host.
         host: HostId,
-        /// Its newest life that ended.
+        /// Its newest incarnation that ended.
         incarnation: Incarnation,
     },
-    /// A target was lost with requests in progress.
+    /// Records that a target was lost with requests in progress.
     Strike(Strike),
-    /// A request is no longer suspected.
+    /// Clears the strikes of a request.
     Pardon {
-        /// Its fingerprint.
+        /// The fingerprint of the request.
         fingerprint: u64,
     },
-    /// A target leaves and gets no new work in this life.
+    /// Records that a target is leaving and gets no new work in this incarnation.
     Leave {
-        /// The target.
+        /// The target that leaves.
         target: TargetId,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// A worker that counts its orders holds these models now.
+    /// Records which models a worker that counts its orders holds.
     Hold {
-        /// The worker.
+        /// The worker concerned.
         target: TargetId,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// The models.
+        /// The models it holds.
         models: Vec<Reference>,
     },
-    /// Bring a table of routes in force.
+    /// Brings a route table into force.
     Publish(Publish),
-    /// Several commands in one entry, in their order.
+    /// Several commands in one entry, applied in order.
     ///
-    /// Batches inside batches are flattened when they are encoded.
+    /// Nested batches are flattened by the encoding.
     #[serde(skip)]
     Batch(Vec<Command>),
 }
 
-/// What became of a command.
+/// The result of applying a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Nothing was to be done.
+    /// No result.
     Nothing,
-    /// Of [`Command::Apply`].
+    /// The result of [`Command::Apply`].
     Settings(catalogue::Answer),
-    /// Of [`Command::Register`], [`Command::Dismiss`], [`Command::Silence`], [`Command::Leave`] and
-    /// [`Command::Hold`].
+    /// The result of [`Command::Register`], [`Command::Dismiss`], [`Command::Silence`],
+    /// [`Command::Leave`] and [`Command::Hold`].
     Target(fleet::Answer),
-    /// Of [`Command::Decide`], [`Command::Ready`], [`Command::Retire`] and [`Command::Release`].
+    /// The result of [`Command::Decide`], [`Command::Ready`], [`Command::Retire`] and
+    /// [`Command::Release`].
     Replica(replicas::Answer),
-    /// Of [`Command::Claim`], [`Command::Finish`], [`Command::Abandon`] and [`Command::HostEnded`].
+    /// The result of [`Command::Claim`], [`Command::Finish`], [`Command::Abandon`] and
+    /// [`Command::HostEnded`].
     Claim(claims::Answer),
-    /// Of [`Command::Strike`] and [`Command::Pardon`].
+    /// The result of [`Command::Strike`] and [`Command::Pardon`].
     Strike(strikes::Answer),
-    /// Of [`Command::Publish`].
+    /// The result of [`Command::Publish`].
     Document(document::Answer),
-    /// Of [`Command::Batch`], one a command.
+    /// The results of [`Command::Batch`], one for each command.
     #[serde(skip)]
     Batch(Vec<Reply>),
 }
 
 impl Command {
-    /// The bytes for the log.
+    /// Encodes the command for the log.
     ///
     /// ```
     /// use cornelhitch_control::command::Command;
@@ -189,10 +191,12 @@
         bytes.into()
     }
 
-    /// The command in the bytes.
+    /// Decodes a command.
     ///
     /// # Errors
-    /// When the bytes are of another form, malformed, cut or too many.
+    ///
+    /// If the bytes have another format version, are malformed, truncated or followed by extra
+    /// bytes.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         let what = "command";
         let (&form, rest) = bytes.split_first().ok_or(Error::Empty { what })?;
@@ -225,7 +229,7 @@
     }
 }
 
-/// Lists commands without the batches around them.
+/// Collects the commands of nested batches in order.
 fn flatten<'a>(commands: &'a [Command], flat: &mut Vec<&'a Command>) {
     for command in commands {
         match command {
--- a/crates/control/src/document.rs
+++ b/crates/control/src/document.rs
@@ -1,4 +1,4 @@
-//! The table of routes in force, and the text that operators handed it in with.
+//! The route table in force, with the text from which operators submitted it.
 
 use std::sync::Arc;
 
@@ -7,28 +7,28 @@
 use cornelhitch_types::route::Table;
 use serde::{Deserialize, Serialize};
 
-/// A table that an operator hands in.
+/// A route table submitted by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publish {
-    /// The table, checked.
+    /// The parsed and validated table.
     pub table: Arc<Table>,
-    /// The text that it was read from, which is given back as it came.
+    /// The text it was parsed from, returned to operators unchanged.
     pub text: Bytes,
 }
 
-/// What became of a table.
+/// The result of submitting a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// It is in force.
+    /// The table is in force.
     Accepted,
-    /// One with this version, which is not lower, stays in force.
+    /// A table with the same or a higher version stays in force.
     Kept {
         /// The version in force.
         version: Version,
     },
 }
 
-/// The table in force; of two the one with the higher version wins, whatever their order.
+/// The route table in force: the one with the highest version, whatever the order of submission.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -49,7 +49,7 @@
 }
 
 impl Document {
-    /// The version in force; 0 before there is any.
+    /// Returns the version in force; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> Version {
         self.newest
@@ -57,19 +57,19 @@
             .map_or(0, |newest| newest.table.version)
     }
 
-    /// The table in force.
+    /// Returns the table in force.
     #[must_use]
     pub fn table(&self) -> Option<&Arc<Table>> {
         self.newest.as_ref().map(|newest| &newest.table)
     }
 
-    /// The text of the table in force.
+    /// Returns the text of the table in force.
     #[must_use]
     pub fn text(&self) -> Option<&Bytes> {
         self.newest.as_ref().map(|newest| &newest.text)
     }
 
-    /// Takes a table, if its version is higher than that in force.
+    /// Accepts a table if its version is higher than the one in force.
     pub fn publish(&mut self, publish: Publish) -> Answer {
         if let Some(newest) = &self.newest
             && publish.table.version <= newest.table.version
--- a/crates/control/src/dump.rs
+++ b/crates/control/src/dump.rs
@@ -6,52 +6,52 @@
 use crate::reign::Reign;
 use crate::state::State;
 
-/// What the leader knows besides the replicated state.
+/// The soft state of the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Dump {
     /// The term in which it leads.
     pub term: Term,
-    /// How long it has led.
+    /// The time since its election.
     pub age: Time,
-    /// Settings that are in force at every entry host.
+    /// The newest settings that are in force at every entry host.
     pub in_force: Version,
-    /// The targets.
+    /// The targets heard from.
     pub targets: Vec<Target>,
-    /// The replicas.
+    /// The replicas with their orders.
     pub replicas: Vec<Replica>,
-    /// The entry hosts.
+    /// The entry hosts with their leases.
     pub hosts: Vec<Host>,
-    /// Adapter loads in flight.
+    /// The number of adapter loads in flight.
     pub adapters: usize,
-    /// Fingerprints with strikes.
+    /// The number of fingerprints with strikes.
     pub strikes: usize,
 }
 
-/// What is heard of a target.
+/// What the leader has heard from a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Target {
-    /// Its name.
+    /// The name of the target.
     pub target: TargetId,
-    /// How long it has been silent.
+    /// The time since it was last heard.
     pub silence: Time,
-    /// Its newest heartbeat; 0 before the first in this term.
+    /// The sequence number of its newest heartbeat; 0 before the first in this term.
     pub sequence: u64,
     /// Whether it may get new work.
     pub open: bool,
-    /// Memory that no replica explains, in bytes.
+    /// Memory of copies that belong to no decided replica, in bytes.
     pub unexplained: u64,
 }
 
-/// What is known of a replica's orders.
+/// The orders of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Replica {
-    /// Its id.
+    /// The id of the replica.
     pub replica: ReplicaId,
     /// Whether an earlier leader decided it.
     pub inherited: bool,
-    /// Its load order.
+    /// The status of its load order.
     pub load: &'static str,
-    /// Its unload order.
+    /// The status of its unload order.
     pub unload: &'static str,
     /// Whether an order for it may still arrive.
     pub doubtful: bool,
@@ -59,21 +59,21 @@
     pub seen: Option<u64>,
 }
 
-/// What is known of an entry host.
+/// The lease of an entry host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Host {
-    /// Its number.
+    /// The id of the host.
     pub host: HostId,
-    /// How long it has been silent.
+    /// The time since its last renewal.
     pub silence: Time,
-    /// The settings that it acts on.
+    /// The version of the settings that it acts on.
     pub settings: Version,
-    /// Whether it has a lease.
+    /// Whether its lease is valid.
     pub leased: bool,
 }
 
 impl Dump {
-    /// The soft state of a term.
+    /// Collects the soft state of a term.
     pub(crate) fn new(reign: &Reign, state: &State, now: Time) -> Self {
         let version = state.catalogue().version();
         Self {
@@ -89,7 +89,7 @@
     }
 }
 
-/// The targets.
+/// Collects the targets.
 fn targets(reign: &Reign, now: Time) -> Vec<Target> {
     let targets = reign.workers.iter().map(|(target, worker)| Target {
         target: target.clone(),
@@ -101,7 +101,7 @@
     targets.collect()
 }
 
-/// The replicas.
+/// Collects the replicas.
 fn replicas(reign: &Reign) -> Vec<Replica> {
     let replicas = reign.tracks.iter().map(|(replica, track)| Replica {
         replica: *replica,
@@ -114,7 +114,7 @@
     replicas.collect()
 }
 
-/// The entry hosts.
+/// Collects the entry hosts.
 fn hosts(reign: &Reign, now: Time) -> Vec<Host> {
     let hosts = reign.leases.iter().map(|lease| Host {
         host: lease.host.host,
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -1,4 +1,4 @@
-//! The view that is published, as numbered changes.
+//! Publishes the view as a sequence of numbered changes.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -8,10 +8,10 @@
 use crate::output::{Audience, Output};
 use crate::scene::Scene;
 
-/// Time between two urgent publications, for each entry host.
+/// The minimum interval between two urgent publications, for each entry host.
 const SPACING: Time = Time::from_micros(300);
 
-/// Changes that are kept for hosts that missed them.
+/// The maximum number of changes kept for entry hosts that missed them.
 const KEPT: usize = 20_000;
 
 /// The changes of one publication.
@@ -21,7 +21,7 @@
     changes: Vec<Change>,
 }
 
-/// What was published, and what is to be.
+/// The published changes and those still to be published.
 #[derive(Debug)]
 pub(crate) struct Feed {
     term: Term,
@@ -37,7 +37,7 @@
 }
 
 impl Feed {
-    /// A feed that has published nothing.
+    /// Creates a feed that has published nothing.
     pub(crate) fn new(term: Term) -> Self {
         Self {
             term,
@@ -53,50 +53,52 @@
         }
     }
 
-    /// Notes that a target changed; an urgent change is published in this call.
+    /// Marks a target as changed; an urgent change skips the regular interval.
     pub(crate) fn target(&mut self, target: &TargetId, urgent: bool) {
         self.targets.insert(target.clone());
         self.urgent |= urgent;
     }
 
-    /// Notes that a replica changed; an urgent change is published in this call.
+    /// Marks a replica as changed; an urgent change skips the regular interval.
     pub(crate) fn replica(&mut self, replica: ReplicaId, urgent: bool) {
         self.replicas.insert(replica);
         self.urgent |= urgent;
     }
 
-    /// Notes that an entry host changed.
+    /// Marks an entry host as changed.
     pub(crate) fn host(&mut self, host: HostId) {
         self.hosts.insert(host);
     }
 
-    /// Adds a change that stands for itself; an urgent one is published in this call.
+    /// Adds a change as it is; an urgent change skips the regular interval.
     pub(crate) fn push(&mut self, change: Change, urgent: bool) {
         self.others.push(change);
         self.urgent |= urgent;
     }
 
-    /// The newest place of the view.
+    /// Returns the sequence number of the newest publication.
     pub(crate) fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Whether the whole has been published.
+    /// Returns whether the first full view was published.
     pub(crate) fn is_open(&self) -> bool {
         self.published.is_some()
     }
 
-    /// Publishes the whole to every host.
+    /// Publishes the first full view to every entry host.
     pub(crate) fn open(&mut self, scene: &Scene) -> Output {
         self.published = Some(scene.now);
         self.clear();
         self.whole(Audience::All, scene)
     }
 
-    /// Publishes what changed, if it is urgent or `interval` has passed.
+    /// Publishes pending changes, if the interval has passed; urgent ones wait for a shorter
+    /// interval.
     pub(crate) fn flush(&mut self, scene: &Scene, interval: Time) -> Option<Output> {
         let published = self.published?;
-        // Each publication costs a message to each host, so many hosts get fewer of them.
+        // Each publication costs one message for each host, so the interval grows with their
+        // number.
         let hosts = u32::try_from(scene.leases.iter().count()).unwrap_or(u32::MAX);
         let least = SPACING.saturating_mul(hosts).min(interval);
         let wait = if self.urgent { least } else { interval };
@@ -123,7 +125,8 @@
         })
     }
 
-    /// Answers a host that has the view of a term up to a sequence number.
+    /// Returns the changes that an entry host has missed, or the full view if they are no longer
+    /// kept.
     pub(crate) fn resync(
         &self,
         host: HostId,
@@ -151,7 +154,7 @@
         Some(Output::Publish { to, view })
     }
 
-    /// The whole view.
+    /// Builds a publication of the full view.
     fn whole(&self, to: Audience, scene: &Scene) -> Output {
         let view = View {
             term: self.term,
@@ -162,7 +165,7 @@
         Output::Publish { to, view }
     }
 
-    /// What changed since the last publication.
+    /// Returns the changes since the last publication, and clears them.
     fn collect(&mut self, scene: &Scene) -> Vec<Change> {
         let mut changes = std::mem::take(&mut self.others);
         for target in std::mem::take(&mut self.targets) {
@@ -181,7 +184,7 @@
         changes
     }
 
-    /// Forgets what changed, since the whole is published.
+    /// Clears pending changes, because the full view contains them.
     fn clear(&mut self) {
         self.others.clear();
         self.targets.clear();
@@ -190,7 +193,7 @@
         self.urgent = false;
     }
 
-    /// Keeps changes for hosts that miss them.
+    /// Keeps changes for entry hosts that miss them, and drops the oldest above the limit.
     fn keep(&mut self, changes: Vec<Change>) {
         self.kept += changes.len();
         self.pages.push_back(Page {
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Targets that announced themselves, each with its incarnation.
+//! Registered targets, each with its incarnation.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,57 +7,58 @@
 use cornelhitch_types::target::Announcement;
 use serde::{Deserialize, Serialize};
 
-/// Targets that are remembered after they were dismissed, or left before they were known.
+/// The maximum number of targets remembered after they were dismissed or left unregistered.
 pub const DISMISSED: usize = 16_384;
 
-/// A target.
+/// A registered target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// What it said of itself.
+    /// The target's newest announcement.
     pub announcement: Announcement,
-    /// When this life was registered.
+    /// When this incarnation was registered.
     pub since: Time,
-    /// Whether it has been silent for long; its replicas then don't count against their model's
+    /// Whether it has been silent for long; its replicas then do not count against their model's
     /// limit, but its memory stays reserved.
     pub silent: bool,
-    /// Whether it said that it leaves; that lasts for its life.
+    /// Whether it said that it is leaving; that lasts for its incarnation.
     pub leaving: bool,
-    /// What a worker that counts its orders held last, so that a new leader knows it at once.
+    /// The models that a worker which counts its orders last held, so that a new leader knows them
+    /// at once.
     pub held: Vec<Reference>,
 }
 
-/// What became of a command about a target.
+/// The result of a command about a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// It was taken in; an earlier life and its reservations ended.
+    /// It was registered; an earlier incarnation and its reservations ended.
     Registered,
-    /// It stands as it was said.
+    /// The announcement is the same as before.
     Unchanged,
-    /// Its address, place or services changed within one life.
+    /// Its address, location or services changed within the same incarnation.
     Changed,
-    /// It was let go, or its silence was noted.
+    /// It was dismissed, or the change was recorded.
     Done,
-    /// A newer life is known, or this one was dismissed as ended.
+    /// A newer incarnation is known, or this one has ended.
     Ended {
-        /// The first incarnation that would be taken.
+        /// The lowest incarnation that would be accepted.
         next: Incarnation,
     },
-    /// Within one life its memory, kind or fencing changed; that needs a new incarnation.
+    /// Its memory, kind or fencing changed within the same incarnation; that needs a new one.
     Inconsistent,
-    /// Reservations stand, and nobody attests that the machine no longer runs.
+    /// It has reservations, and no operator attests that the machine no longer runs.
     Reserved,
-    /// No such target.
+    /// There is no such target.
     Unknown,
 }
 
-/// A target that was let go, or that left before it was known.
+/// A target that was dismissed, or that left unregistered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Dismissed {
     target: TargetId,
     next: Incarnation,
 }
 
-/// All targets.
+/// All registered targets.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
     targets: BTreeMap<TargetId, Target>,
@@ -65,37 +66,37 @@
 }
 
 impl Fleet {
-    /// A target.
+    /// Returns a target.
     #[must_use]
     pub fn get(&self, target: &str) -> Option<&Target> {
         self.targets.get(target)
     }
 
-    /// All targets in the order of their names.
+    /// Returns all targets in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = &Target> {
         self.targets.values()
     }
 
-    /// How many targets there are.
+    /// Returns the number of targets.
     #[must_use]
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there is no target.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// A target in one life.
+    /// Returns a target if it is registered with this incarnation.
     #[must_use]
     pub fn alive(&self, target: &str, incarnation: Incarnation) -> Option<&Target> {
         self.get(target)
             .filter(|known| known.announcement.incarnation == incarnation)
     }
 
-    /// Whether a life of a target has ended or left, and gets nothing ever more.
+    /// Returns whether an incarnation has ended or left and will not be registered again.
     #[must_use]
     pub fn is_over(&self, target: &str, life: Incarnation) -> bool {
         let newer = self
@@ -104,7 +105,8 @@
         newer || self.first(target).is_some_and(|next| life < next)
     }
 
-    /// Takes a target in; on [`Answer::Registered`] the caller ends the earlier life's reservations.
+    /// Registers a target; on [`Answer::Registered`] the caller ends the reservations of the
+    /// earlier incarnation.
     pub(crate) fn register(&mut self, announcement: Announcement, now: Time) -> Answer {
         if let Some(known) = self.targets.get_mut(&announcement.target) {
             let incarnation = known.announcement.incarnation;
@@ -136,7 +138,7 @@
         Answer::Registered
     }
 
-    /// Lets a target go; on [`Answer::Done`] the caller ends its reservations.
+    /// Removes a target; on [`Answer::Done`] the caller ends its reservations.
     pub(crate) fn dismiss(
         &mut self,
         target: &TargetId,
@@ -159,7 +161,7 @@
         Answer::Done
     }
 
-    /// Takes no life of a target in before one.
+    /// Rejects incarnations of a target below `next` from now on.
     fn bar(&mut self, target: &TargetId, next: Incarnation) {
         let next = self.first(target).map_or(next, |known| known.max(next));
         self.dismissed.retain(|gone| gone.target != *target);
@@ -172,14 +174,15 @@
         }
     }
 
-    /// The first incarnation that could take an address which a newer life of another target has.
+    /// Returns the lowest incarnation that could take over an address which a newer incarnation of
+    /// another target has.
     fn newer_at(&self, announcement: &Announcement) -> Option<Incarnation> {
         let mut others = self.others_at(announcement);
         let newer = others.find(|other| other.incarnation > announcement.incarnation);
         newer.map(|other| other.incarnation)
     }
 
-    /// Lets go of older lives at an address that a new life has.
+    /// Dismisses older incarnations of other targets at the address of a new one.
     fn vacate(&mut self, announcement: &Announcement) {
         let gone: Vec<TargetId> = self
             .others_at(announcement)
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Other targets at the same address, where lives can be told apart by their start.
+    /// Returns other targets at the same address, where incarnations are ordered by their start.
     fn others_at<'a>(
         &'a self,
         announcement: &'a Announcement,
@@ -205,7 +208,7 @@
         })
     }
 
-    /// Notes what a worker holds.
+    /// Records what a worker holds.
     pub(crate) fn hold(&mut self, target: &str, life: Incarnation, held: Vec<Reference>) -> Answer {
         let Some(known) = self.targets.get_mut(target) else {
             return Answer::Unknown;
@@ -218,10 +221,10 @@
         Answer::Done
     }
 
-    /// Notes that a life of a target leaves.
+    /// Records that an incarnation of a target is leaving.
     ///
-    /// A life that is not known is never taken in, since what it said before may still come; an
-    /// older one that is known has ended.
+    /// An incarnation that is not registered will never be, because its earlier announcements may
+    /// still arrive; an incarnation older than the registered one has ended.
     pub(crate) fn leave(&mut self, target: &TargetId, life: Incarnation) -> Answer {
         let known = self.targets.get_mut(target);
         let current = known.as_ref().map(|known| known.announcement.incarnation);
@@ -237,7 +240,7 @@
         Answer::Done
     }
 
-    /// Notes whether a target is silent.
+    /// Records whether a target is silent.
     pub(crate) fn silence(&mut self, target: &str, life: Incarnation, silent: bool) -> Answer {
         let Some(known) = self.targets.get_mut(target) else {
             return Answer::Unknown;
@@ -250,7 +253,7 @@
         Answer::Done
     }
 
-    /// The first incarnation that a dismissed target is taken in with again.
+    /// Returns the lowest incarnation with which a dismissed target is registered again.
     fn first(&self, target: &str) -> Option<Incarnation> {
         let mut gone = self.dismissed.iter();
         gone.find(|gone| &*gone.target == target)
@@ -259,7 +262,7 @@
 }
 
 impl Target {
-    /// Takes what the target says again within one life.
+    /// Applies a repeated announcement of the same incarnation.
     fn repeat(&mut self, announcement: Announcement) -> Answer {
         let old = &self.announcement;
         if *old == announcement {
--- a/crates/control/src/hosting.rs
+++ b/crates/control/src/hosting.rs
@@ -1,7 +1,8 @@
-//! Orders to workers that count them: one at a time, each for the number accepted before.
+//! Orders to workers that count the orders they accept: one at a time, each conditional on the
+//! number accepted before it.
 //!
-//! Such a worker refuses an order when it has accepted another number than the order says. So an
-//! order whose answer was lost can take effect only before the next one, and nothing has to be
+//! Such a worker refuses an order whose expected count differs from its own. An order whose answer
+//! was lost can therefore take effect only before the next one is accepted, and no memory has to be
 //! reserved in the log: what a worker holds follows from its heartbeats and the orders it accepted.
 
 mod station;
@@ -25,25 +26,25 @@
 use crate::turn::Turn;
 use crate::workers::{Beat, Coming, Worker};
 
-/// How long a worker is left alone that carries out an order which is not known here.
+/// Backoff for a worker that is busy with an order unknown to this leader.
 const BUSY: Time = Time::from_millis(700);
 
-/// How long after its expected end an order is asked about.
+/// How far an accepted order may be overdue before the worker is inspected.
 const PATIENCE: Time = Time::from_millis(1_500);
 
-/// How long an inspection may take.
+/// How long an inspection may take before it is repeated.
 const INSPECTION: Time = Time::from_secs(2);
 
-/// How long a new leader waits for the workers to tell what they have near.
+/// How long a new leader waits for workers to report which models they have on local storage.
 const SURVEY: Time = Time::from_secs(4);
 
-/// Time between two plans at least.
+/// The minimum interval between two plans.
 const PAUSE: Time = Time::from_millis(40);
 
-/// Running means of the demand for a model.
+/// Moving averages of the demand for a model.
 #[derive(Debug, Clone, Copy)]
 struct Pace {
-    /// Arrivals.
+    /// The arrival rate.
     rate: Rate,
     /// Requests that wait or are in progress.
     load: Mean,
@@ -52,25 +53,25 @@
 /// The models of a service by id.
 type Models = Arc<BTreeMap<ModelId, Model>>;
 
-/// What is known of the orders of all such workers.
+/// The state of all workers that count their orders, and of the demand for their models.
 #[derive(Debug, Default)]
 pub(crate) struct Hosting {
     stations: BTreeMap<TargetId, Station>,
     policies: BTreeMap<Name, Policy>,
     paces: BTreeMap<ModelId, Pace>,
-    /// The models of each service, of one version of the table.
+    /// The models of each service, for one version of the route table.
     models: (Version, BTreeMap<Name, Models>),
-    /// The models of each service that come from the weight store only.
+    /// For each service, the models that only the weight store holds, with their load time.
     distant: BTreeMap<Name, BTreeMap<ModelId, Time>>,
-    /// When loads from the weight store were started, the newest last.
+    /// When loads from the weight store were started, newest last.
     starts: Vec<Time>,
     planned: Time,
-    /// Whether something new calls for a plan.
+    /// Whether a change calls for a plan.
     eager: bool,
 }
 
 impl Hosting {
-    /// A life of a worker was registered, in this term or before.
+    /// Records the registration of an incarnation; `new` if it was registered in this term.
     pub(crate) fn register(&mut self, target: &TargetId, incarnation: Incarnation, new: bool) {
         let known = self.stations.get(target);
         if known.is_none_or(|known| known.incarnation != incarnation) {
@@ -80,17 +81,17 @@
         self.eager = true;
     }
 
-    /// A worker is gone.
+    /// Removes a worker.
     pub(crate) fn forget(&mut self, target: &str) {
         self.stations.remove(target);
     }
 
-    /// Something new calls for a plan.
+    /// Requests a plan.
     pub(crate) fn hurry(&mut self) {
         self.eager = true;
     }
 
-    /// Takes in a heartbeat.
+    /// Handles a heartbeat.
     pub(crate) fn beat(&mut self, target: &str, beat: &Beat, now: Time) {
         if let Some(station) = self.stations.get_mut(target) {
             station.beat(beat, now);
@@ -98,7 +99,7 @@
         self.eager = true;
     }
 
-    /// The adapters of a copy, and whether it takes requests.
+    /// Returns the adapters of a copy, and whether it takes requests.
     pub(crate) fn shown(&self, target: &str, holding: &Holding) -> (Vec<Name>, State) {
         let Some(station) = self.stations.get(target) else {
             return (holding.adapters.clone(), State::Ready);
@@ -111,9 +112,9 @@
         (station.adapters(holding, true), state)
     }
 
-    /// The model that comes to a worker from the weight store, and when.
+    /// Returns the model that a worker loads from the weight store, and when it is due.
     ///
-    /// Such a load lasts longer than many requests can wait, so entry hosts have to know.
+    /// Such a load takes longer than many requests can wait, so entry hosts have to know of it.
     fn coming(&self, target: &str) -> Option<Coming> {
         let station = self.stations.get(target)?;
         let given = station.given.as_ref().filter(|_| station.fetches())?;
@@ -122,13 +123,13 @@
         Some(Coming { model, due })
     }
 
-    /// Which models come from the weight store only, for a host that knows nothing yet.
+    /// Returns the models that only the weight store holds, for an entry host without a view.
     pub(crate) fn outlooks(&self) -> impl Iterator<Item = Change> {
         let all = self.distant.values().flatten();
         all.map(|(model, lasts)| outlook(model, *lasts))
     }
 
-    /// The models of a service.
+    /// Returns the models of a service, cached for one version of the table.
     fn models(&mut self, table: &Table, service: &Name, engine: &Engine) -> Models {
         if self.models.0 != table.version {
             self.models = (table.version, BTreeMap::new());
@@ -142,14 +143,14 @@
         models.clone()
     }
 
-    /// Whether the weight store allows another load to start: no more than its rate in a while.
+    /// Returns whether the weight store's start rate allows another load.
     fn store_open(&mut self, engine: &Engine, now: Time) -> bool {
         let interval = engine.start_interval;
         self.starts.retain(|start| now < *start + interval);
         self.starts.is_empty()
     }
 
-    /// Takes in the demand for a model, and returns its running means.
+    /// Adds the demand for a model and returns its moving averages.
     fn pace(&mut self, model: &ModelId, total: &Total, now: Time) -> Pace {
         let pace = self.paces.entry(model.clone());
         let pace = pace.or_insert_with(|| Pace {
@@ -164,7 +165,7 @@
 }
 
 impl Reign {
-    /// Learns what became of an order to a worker that counts its orders.
+    /// Handles the outcome of an order to a worker that counts its orders.
     pub(crate) fn hosted_done(&mut self, order: &Order, outcome: &Outcome, turn: &mut Turn) {
         let station = self.hosting.stations.get_mut(&order.target);
         let Some(station) = station.filter(|it| it.incarnation == order.incarnation) else {
@@ -176,7 +177,7 @@
         self.host(turn);
     }
 
-    /// Learns what a worker said of its orders; nothing where it did not answer.
+    /// Handles the result of an inspection; `None` if the worker did not answer.
     pub(crate) fn inspected(
         &mut self,
         target: &TargetId,
@@ -209,7 +210,7 @@
         self.host(turn);
     }
 
-    /// Has the log note what a worker holds, when that has changed.
+    /// Proposes to record what a worker holds, if that has changed.
     pub(crate) fn note_held(&mut self, target: &TargetId, turn: &mut Turn) {
         let Some(known) = turn.state.fleet().get(target) else {
             return;
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Publishes the copies of a worker that counts its orders.
+    /// Publishes the copies on a worker that counts its orders.
     pub(crate) fn show_hosted(&mut self, target: &TargetId, now: Time) {
         let Some(worker) = self.workers.get_mut(target) else {
             return;
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Gives the orders that are due, and asks workers of which too little is known.
+    /// Sends the orders that are due, and inspects workers whose state is unknown.
     pub(crate) fn host(&mut self, turn: &mut Turn) {
         let Some(table) = turn.state.document().table().cloned() else {
             return;
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Gives the orders that are due to the workers of one service.
+    /// Sends the orders that are due to the workers of one service.
     fn host_service(
         &mut self,
         table: &Table,
@@ -325,7 +326,7 @@
         }
     }
 
-    /// Publishes which models come from the weight store only, where that has changed.
+    /// Publishes changes to the set of models that only the weight store holds.
     fn show_distant(&mut self, service: &Name, distant: BTreeMap<ModelId, Time>) {
         let known = self.hosting.distant.entry(service.clone()).or_default();
         for model in known.keys().filter(|model| !distant.contains_key(*model)) {
@@ -339,9 +340,11 @@
         *known = distant;
     }
 
-    /// Whether each worker has told this leader what it has near, or has had its time to.
+    /// Returns whether each worker has told this leader what it has on local storage, or the time
+    /// to wait for that has passed.
     ///
-    /// What no worker is known to have near is fetched from the weight store, which is slow.
+    /// A model that no worker is known to have on local storage is loaded from the weight store,
+    /// which is slow.
     fn is_surveyed(&self, turn: &Turn) -> bool {
         let silent = |target: &TargetId| {
             let worker = self.workers.get(target);
@@ -351,7 +354,7 @@
         turn.now >= self.since + SURVEY || !hosted.any(silent)
     }
 
-    /// The workers of a service as the policy sees them.
+    /// Returns the workers of a service as the policy sees them.
     fn hosts_of(&self, service: &Name, turn: &Turn) -> Vec<hosting::Worker> {
         let fleet = turn.state.fleet();
         let stations = self.hosting.stations.iter();
@@ -367,7 +370,7 @@
                 held: held(beat, station),
                 near: station.near.clone(),
                 coming: station.coming().cloned(),
-                // Before its first heartbeat to this leader it is not known what it has near.
+                // Before its first heartbeat to this leader, the worker's local storage is unknown.
                 free_in: station.free_in(turn.now).filter(|_| beat.sequence > 0),
                 open: !known.leaving && worker.is_open(),
             })
@@ -375,7 +378,7 @@
         workers.collect()
     }
 
-    /// Gives one order.
+    /// Sends one order.
     fn give(&mut self, models: &Models, step: Step, turn: &mut Turn) {
         let now = turn.now;
         let Some(station) = self.hosting.stations.get_mut(&step.target) else {
@@ -421,7 +424,7 @@
         };
         turn.out.push(Output::Decided(step.clone()));
         if matches!(step.action, Action::Load { .. } | Action::Adapter { .. }) {
-            // It counts as held from now on: whether it arrives is known only later.
+            // Counts as held from now on: whether the order arrived is known only later.
             station.note(&step.action, false, now);
         }
         station.given = Some(Given {
@@ -434,7 +437,7 @@
         self.show_hosted(&step.target, now);
     }
 
-    /// Asks workers what they have accepted: where that is not known, or an order takes long.
+    /// Inspects workers whose accepted count is unknown or whose order is overdue.
     fn inspect(&mut self, turn: &mut Turn) {
         let now = turn.now;
         for (target, station) in &mut self.hosting.stations {
@@ -455,13 +458,14 @@
     }
 }
 
-/// How long the load of a model takes that no target has near; zero where one has.
+/// Builds the change that announces how long a load takes where no target has the model on local
+/// storage; zero where one has.
 fn outlook(model: &ModelId, lasts: Time) -> Change {
     let ms = u32::try_from(lasts.as_millis()).unwrap_or(u32::MAX);
     Change::Outlook(model.clone(), ms)
 }
 
-/// A model with its adapter.
+/// Returns the reference to a model with an adapter.
 fn with(model: &ModelId, adapter: &Name) -> Reference {
     Reference {
         adapter: Some(adapter.clone()),
--- a/crates/control/src/hosting/station.rs
+++ b/crates/control/src/hosting/station.rs
@@ -1,4 +1,4 @@
-//! What is known of one worker's orders.
+//! The order state of one worker that counts its orders.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,83 +10,85 @@
 
 use crate::workers::Beat;
 
-/// How long a worker is left alone after an order that it did not take.
+/// Backoff after an order that the worker did not accept.
 pub(super) const BACKOFF: Time = Time::from_millis(250);
 
-/// How long after its expected end an order is known to be over, mostly.
+/// Usual delay from an order's expected end to the heartbeat or inspection that shows it done.
 const TAIL: Time = Time::from_millis(100);
 
-/// How long it takes to learn what a worker has accepted, mostly.
+/// Usual time to learn by inspection how many orders a worker has accepted.
 const ASKING: Time = Time::from_millis(500);
 
-/// Inspections without an answer after which a worker is not counted on.
+/// Consecutive unanswered inspections after which a worker is not counted on.
 const SILENT: u32 = 2;
 
-/// The shortest time that an order in progress is expected to take yet.
+/// The minimum expected remaining time of an order in progress.
 const LEAST: Time = Time::from_millis(20);
 
-/// How long a heartbeat may have been under way: what was ordered within this time counts as held,
-/// whatever heartbeats show.
+/// The maximum delay of a heartbeat: what was ordered within this time counts as held, whatever
+/// heartbeats show.
 const LAG: Time = Time::from_secs(8);
 
-/// An order that was given.
+/// An order that was sent and is not known to have ended.
 #[derive(Debug, Clone)]
 pub(super) struct Given {
     /// The order as it was sent.
     pub(super) order: Order,
-    /// What it does.
+    /// The effect of the order.
     pub(super) action: Action,
-    /// When it is expected to have been carried out.
+    /// When the order is expected to be complete.
     pub(super) due: Time,
-    /// Whether the worker accepted it.
+    /// Whether the worker accepted the order.
     pub(super) accepted: bool,
 }
 
-/// A model or an adapter that was ordered not long ago.
+/// A model or an adapter that was ordered recently.
 #[derive(Debug, Clone)]
 struct Item {
     /// The model.
     model: ModelId,
-    /// The adapter, where it is one.
+    /// The adapter; `None` for the model itself.
     adapter: Option<Name>,
-    /// Whether it was loaded, or else unloaded.
+    /// Whether it was loaded rather than unloaded.
     loaded: bool,
     /// Whether the worker has accepted the order.
     accepted: bool,
-    /// When it was ordered, or the worker said so.
+    /// When it was ordered, or when the worker reported it.
     at: Time,
 }
 
 impl Item {
-    /// Whether it is about the same model or adapter as another one.
+    /// Returns whether the entry is about this model or adapter.
     pub(super) fn is(&self, model: &str, adapter: Option<&Name>) -> bool {
         *self.model == *model && self.adapter.as_ref() == adapter
     }
 }
 
-/// What is known of one worker's orders.
+/// The order state of one worker.
 #[derive(Debug, Clone)]
 pub(super) struct Station {
-    /// The life of the worker.
+    /// The incarnation of the worker.
     pub(super) incarnation: Incarnation,
-    /// Orders that it has accepted; not known where an earlier leader or a lost answer is in play.
+    /// The number of orders it has accepted; `None` if unknown after a change of leader or a lost
+    /// answer.
     pub(super) accepted: Option<u64>,
     /// The order in progress.
     pub(super) given: Option<Given>,
-    /// What was ordered not long ago, which heartbeats under way may not show yet.
+    /// Recent orders that delayed heartbeats may not show yet.
     ledger: Vec<Item>,
-    /// Where the nearest copies below accelerator memory are.
+    /// For each model, the fastest storage tier below accelerator memory that holds a copy.
     pub(super) near: Arc<BTreeMap<ModelId, Stage>>,
-    /// Since when it is asked what it has accepted.
+    /// When the inspection in progress was sent.
     pub(super) inspected: Option<Time>,
-    /// Inspections that were not answered, since the last one that was.
+    /// Consecutive inspections without an answer.
     unanswered: u32,
-    /// It is given no order before.
+    /// No order is sent before this time.
     pub(super) pause: Time,
 }
 
 impl Station {
-    /// A life of which no order is known; `new` where it started in this term.
+    /// Creates the state of an incarnation without known orders; `new` if it was registered in this
+    /// term.
     pub(super) fn new(incarnation: Incarnation, new: bool) -> Self {
         Self {
             incarnation,
@@ -100,7 +102,8 @@
         }
     }
 
-    /// How long until it takes an order; none where it does not say what it has accepted.
+    /// Returns the expected time until the worker takes an order; `None` if it does not answer
+    /// inspections.
     pub(super) fn free_in(&self, now: Time) -> Option<Time> {
         let pause = self.pause.saturating_sub(now);
         if self.accepted.is_none() {
@@ -110,18 +113,18 @@
             return Some(pause);
         };
         let due = given.due + TAIL;
-        // An order that is late for some time is expected to be late for as long again.
+        // An order that is overdue is expected to take as long again.
         let left = due.saturating_sub(now).max(now.saturating_sub(due));
         Some(left.max(pause).max(LEAST))
     }
 
-    /// An inspection has ended, with an answer or without.
+    /// Records the end of an inspection, with an answer or without.
     pub(super) fn asked(&mut self, answered: bool) {
         self.inspected = None;
         self.unanswered = if answered { 0 } else { self.unanswered + 1 };
     }
 
-    /// The model that it loads.
+    /// Returns the model that the worker is loading.
     pub(super) fn coming(&self) -> Option<&ModelId> {
         match &self.given.as_ref()?.action {
             Action::Load { model, .. } => Some(model),
@@ -129,20 +132,20 @@
         }
     }
 
-    /// Whether it loads from the weight store.
+    /// Returns whether the worker is loading from the weight store.
     pub(super) fn fetches(&self) -> bool {
         let given = self.given.as_ref().map(|given| &given.action);
         matches!(given, Some(Action::Load { from, .. }) if *from < Stage::Disk)
     }
 
-    /// Whether it unloads a model.
+    /// Returns whether the worker is unloading the model.
     pub(super) fn unloads(&self, model: &str) -> bool {
         let given = self.given.as_ref().map(|given| &given.action);
         matches!(given, Some(Action::Unload { model: it }) if **it == *model)
     }
 
-    /// The adapters of a copy as far as heartbeats and orders tell; `sure` leaves out those whose
-    /// order the worker has not accepted yet.
+    /// Returns the adapters of a copy according to heartbeats and recent orders; `sure` excludes
+    /// orders that the worker has not accepted yet.
     pub(super) fn adapters(&self, holding: &Holding, sure: bool) -> Vec<Name> {
         let mut adapters = holding.adapters.clone();
         let ordered = self
@@ -164,7 +167,7 @@
         adapters
     }
 
-    /// Models that were ordered and that the newest heartbeat does not show.
+    /// Returns the models that were ordered but that the newest heartbeat does not show.
     pub(super) fn hidden(&self, beat: &Beat) -> Vec<ModelId> {
         let models = self
             .ledger
@@ -174,7 +177,7 @@
         hidden.map(|item| item.model.clone()).collect()
     }
 
-    /// Notes what an order changes, in place of what was noted of the same thing.
+    /// Records the effect of an order, replacing earlier entries for the same model or adapter.
     pub(super) fn note(&mut self, action: &Action, accepted: bool, at: Time) {
         let (model, adapter, loaded) = match action.clone() {
             Action::Load { model, .. } => (model, None, true),
@@ -196,7 +199,7 @@
         });
     }
 
-    /// Takes over what the worker said that it holds, in place of all that was ordered.
+    /// Replaces the recent orders by the inventory that the worker reported.
     pub(super) fn recount(&mut self, inventory: &[Holding], at: Time) {
         self.ledger.clear();
         for holding in inventory {
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Takes in a heartbeat: an order that it shows done is over.
+    /// Handles a heartbeat; an order that it shows to be complete is over.
     pub(super) fn beat(&mut self, beat: &Beat, now: Time) {
         self.near = Arc::new(near(beat));
         let given = self.given.as_ref().filter(|given| given.accepted);
@@ -233,10 +236,10 @@
         });
     }
 
-    /// Takes in what became of an order.
+    /// Handles the outcome of an order.
     ///
-    /// Only the order in progress counts: an earlier one that an inspection has settled may have been
-    /// given for the same number of accepted orders.
+    /// Only the order in progress counts: an earlier one that an inspection has settled may have
+    /// been sent with the same number of accepted orders.
     pub(super) fn done(&mut self, order: &Order, outcome: &Outcome, now: Time) {
         let given = self.given.as_mut();
         let Some(given) = given.filter(|given| given.order == *order && !given.accepted) else {
@@ -266,7 +269,7 @@
     }
 }
 
-/// What a worker holds in accelerator memory.
+/// Returns what a worker holds in accelerator memory.
 pub(super) fn held(beat: &Beat, station: &Station) -> Vec<Held> {
     let ready = beat.inventory.iter().filter(|it| it.stage == Stage::Ready);
     let held = ready.map(|holding| Held {
@@ -274,7 +277,7 @@
         adapters: station.adapters(holding, false),
         leaving: station.unloads(&holding.model.model),
     });
-    // What no heartbeat shows takes room and gets no requests.
+    // A model that no heartbeat shows takes memory and gets no requests.
     let hidden = station.hidden(beat).into_iter();
     let hidden = hidden.filter(|model| station.coming() != Some(model));
     let hidden = hidden.map(|model| Held {
@@ -285,13 +288,13 @@
     held.chain(hidden).collect()
 }
 
-/// Whether a heartbeat shows a model in accelerator memory.
+/// Returns whether a heartbeat shows a model in accelerator memory.
 fn shows(beat: &Beat, model: &str) -> bool {
     let mut ready = beat.inventory.iter().filter(|it| it.stage == Stage::Ready);
     ready.any(|it| *it.model.model == *model)
 }
 
-/// Where the nearest copies of a worker below accelerator memory are.
+/// Returns, for each model, the fastest storage tier below accelerator memory that holds a copy.
 fn near(beat: &Beat) -> BTreeMap<ModelId, Stage> {
     let mut near = BTreeMap::new();
     for holding in beat.inventory.iter().filter(|it| it.stage < Stage::Loading) {
--- a/crates/control/src/input.rs
+++ b/crates/control/src/input.rs
@@ -1,4 +1,4 @@
-//! What the leader is told.
+//! The events that the leader handles.
 
 use cornelhitch_types::demand::Report;
 use cornelhitch_types::entry;
@@ -8,57 +8,57 @@
 
 use crate::command::{Command, Reply};
 
-/// One event.
+/// An event for the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
     /// This host leads from now on, and its state holds every entry of earlier terms.
     Elected {
-        /// The term.
+        /// The term that it leads.
         term: Term,
     },
     /// This host no longer leads.
     Deposed,
-    /// A committed command was applied to the state that comes with this input.
+    /// A committed command was applied to the state that is passed with this input.
     Applied {
-        /// The command.
+        /// The command that was applied.
         command: Command,
-        /// What became of it.
+        /// Its reply.
         reply: Reply,
     },
-    /// A target says what it is.
+    /// A target announces its identity, address and capacity.
     Announcement(Announcement),
-    /// A target says how it is.
+    /// A target reports its inventory and load.
     Heartbeat(Heartbeat),
-    /// A target says what it is and how it is.
+    /// A target announces itself and reports its inventory and load.
     Presence(Box<Presence>),
-    /// An entry host says what waits and runs.
+    /// An entry host reports its waiting and running requests.
     Report(Report),
-    /// An entry host asks for its lease, and says which settings it acts on.
+    /// An entry host renews its lease, and names the settings it acts on.
     Renewal(entry::Host),
-    /// An order that was given out has an outcome.
+    /// An order has an outcome.
     OrderDone {
-        /// The order.
+        /// The order that was sent.
         order: Order,
-        /// What is known of it.
+        /// Its outcome, as far as it is known.
         outcome: Outcome,
     },
-    /// A worker was asked about its orders.
+    /// An inspection has ended.
     Inspected {
-        /// The worker.
+        /// The worker that was inspected.
         target: TargetId,
-        /// The life that was asked.
+        /// The incarnation that was inspected.
         incarnation: Incarnation,
-        /// Its answer, if it gave one.
+        /// The answer; `None` if there was none.
         inspection: Option<Inspection>,
     },
     /// An entry host lost its connections to a target.
     Lost {
-        /// The target.
+        /// The target that was lost.
         target: TargetId,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// An entry host wants the view from a sequence number on; 0 for the whole.
+    /// An entry host requests the changes to the view after a sequence number; 0 for the full view.
     Subscribe {
         /// The entry host.
         host: HostId,
@@ -67,6 +67,6 @@
         /// The sequence number that it has.
         sequence: u64,
     },
-    /// Time has passed; at least every 100 ms.
+    /// Time has passed; due at least every 100 ms.
     Tick,
 }
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -1,4 +1,4 @@
-//! The soft state of the host that leads.
+//! The leader: the soft state of the control host that leads.
 
 use std::fmt;
 
@@ -14,10 +14,10 @@
 use crate::timing::Timing;
 use crate::turn::Turn;
 
-/// What the leader of the replicated log does besides applying it.
+/// The leader of the replicated log, apart from consensus itself.
 ///
-/// It is sans-I/O: [`Leader::handle`] takes one [`Input`] and returns
-/// [`Output`]s. On a host that does not lead it does nothing.
+/// Sans-I/O: [`Leader::handle`] consumes one [`Input`] and returns [`Output`]s. On a host that does
+/// not lead it does nothing.
 ///
 /// ```
 /// use cornelhitch_control::prelude::*;
@@ -57,13 +57,13 @@
 }
 
 impl Leader {
-    /// A host that does not lead yet.
+    /// Creates a host that does not lead yet, with the default timing.
     #[must_use]
     pub fn new(planner: Box<dyn Planner>) -> Self {
         Self::with_timing(planner, Timing::default())
     }
 
-    /// A host that does not lead yet, with other lengths of time.
+    /// Creates a host that does not lead yet.
     #[must_use]
     pub fn with_timing(planner: Box<dyn Planner>, timing: Timing) -> Self {
         Self {
@@ -73,17 +73,17 @@
         }
     }
 
-    /// The term in which this host leads.
+    /// Returns the term in which this host leads; `None` when it does not lead.
     #[must_use]
     pub fn term(&self) -> Option<Term> {
         self.reign.as_ref().map(|reign| reign.term)
     }
 
-    /// Takes one event.
+    /// Handles one input and returns the actions to carry out.
     ///
-    /// `state` holds every committed entry that this host knows of, and `now`
-    /// is the clock that stamps the entries which this host proposes: time
-    /// since the Unix epoch that never goes back while the process runs.
+    /// `state` holds every committed entry that this host knows of. `now` is the clock that stamps
+    /// the entries which this host proposes: time since the Unix epoch, which must not go back
+    /// while the process runs.
     pub fn handle(&mut self, input: Input, state: &State, now: Time) -> Vec<Output> {
         let mut turn = Turn {
             state,
@@ -103,20 +103,20 @@
         turn.out
     }
 
-    /// The newest place of the published view; 0 when this host does not lead.
+    /// Returns the sequence number of the newest published view; 0 when this host does not lead.
     #[must_use]
     pub fn sequence(&self) -> u64 {
         self.reign.as_ref().map_or(0, |reign| reign.feed.sequence())
     }
 
-    /// Whether no entry host acts on settings older than a version.
+    /// Returns whether no entry host can still act on settings older than `version`.
     #[must_use]
     pub fn in_force(&self, version: Version, now: Time) -> bool {
         let reign = self.reign.as_ref();
         reign.is_some_and(|reign| reign.leases.in_force(version, now))
     }
 
-    /// The whole view as it stands, for operators; empty when this host does not lead.
+    /// Returns the full view, for operators; empty when this host does not lead.
     #[must_use]
     pub fn view(&self, state: &State, now: Time) -> View {
         let reign = self.reign.as_ref();
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The soft state, for operators; none when this host does not lead.
+    /// Returns the soft state, for operators; `None` when this host does not lead.
     ///
     /// ```
     /// # use cornelhitch_control::prelude::*;
@@ -147,7 +147,7 @@
         reign.map(|reign| Dump::new(reign, state, now))
     }
 
-    /// Why a model is where it is, one line a step, for operators.
+    /// Explains the placement of a model to operators, one line for each step.
     #[must_use]
     pub fn explain(&self, model: &str, now: Time) -> Vec<String> {
         self.planner.explain(model, now)
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -1,4 +1,4 @@
-//! Entry hosts and their leases on the settings.
+//! Entry hosts and their leases on versions of the settings.
 
 use std::collections::BTreeMap;
 
@@ -12,40 +12,40 @@
 /// An entry host and its leases.
 #[derive(Debug, Clone)]
 pub(crate) struct Lease {
-    /// What the host said last.
+    /// The newest renewal of the host.
     pub(crate) host: entry::Host,
-    /// When it said so.
+    /// When the renewal arrived.
     pub(crate) heard: Time,
-    /// Settings that it may act on, and until when.
+    /// Versions of the settings that it may act on, and until when.
     grants: BTreeMap<Version, Time>,
-    /// Whether all of them have run out and that was noted.
+    /// Whether the expiry of all of them was already reported.
     lapsed: bool,
 }
 
 impl Lease {
-    /// Whether the host may take requests.
+    /// Returns whether the host may take requests.
     pub(crate) fn is_valid(&self, now: Time) -> bool {
         self.grants.values().any(|until| now <= *until)
     }
 
-    /// Whether the host may act on settings older than a version.
+    /// Returns whether the host may act on settings older than a version.
     fn is_behind(&self, version: Version, now: Time) -> bool {
         let older = self.grants.range(..version);
         older.into_iter().any(|(_, until)| now <= *until)
     }
 }
 
-/// All entry hosts that this leader has heard of.
+/// All entry hosts that this leader has heard from.
 #[derive(Debug)]
 pub(crate) struct Leases {
-    /// When leases that an earlier leader gave have run out.
+    /// When the leases granted by earlier leaders have expired.
     inherited: Time,
     hosts: BTreeMap<HostId, Lease>,
     announced: Version,
 }
 
 impl Leases {
-    /// The leases at the start of a term.
+    /// Creates the leases at the start of a term.
     pub(crate) fn new(turn: &Turn) -> Self {
         Self {
             inherited: turn.now + turn.timing.guarded_lease(),
@@ -54,21 +54,21 @@
         }
     }
 
-    /// An entry host.
+    /// Returns an entry host.
     pub(crate) fn get(&self, host: HostId) -> Option<&Lease> {
         self.hosts.get(&host)
     }
 
-    /// All entry hosts.
+    /// Returns all entry hosts.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Lease> {
         self.hosts.values()
     }
 
-    /// Gives a host a lease on the settings in force; says whether the view changes.
+    /// Grants a host a lease on the settings in force; returns whether the view changes.
     ///
-    /// A host that acts on older settings has to fetch these first; its lease on
-    /// the older ones is not made longer. A lease counts from here on, since the
-    /// host may fetch the settings whenever it hears of them.
+    /// A host that acts on older settings has to fetch the newer ones first; its lease on the older
+    /// ones is not extended. A lease counts from now on, since the host may fetch the settings as
+    /// soon as it hears of them.
     pub(crate) fn renew(&mut self, host: entry::Host, turn: &mut Turn) -> bool {
         let version = turn.state.catalogue().version();
         let old = self.hosts.remove(&host.host);
@@ -104,7 +104,7 @@
         changed
     }
 
-    /// Hosts whose lease has run out since the last call.
+    /// Returns the hosts whose leases have expired since the last call.
     pub(crate) fn lapsed(&mut self, now: Time) -> Vec<HostId> {
         let mut lapsed = Vec::new();
         for (host, lease) in &mut self.hosts {
@@ -116,7 +116,7 @@
         lapsed
     }
 
-    /// Whether no entry host acts on settings older than a version.
+    /// Returns whether no entry host can still act on settings older than a version.
     pub(crate) fn in_force(&self, version: Version, now: Time) -> bool {
         let early = mutation::is(Mutation::EarlyInForce);
         let current = |lease: &Lease| early || !lease.is_behind(version, now);
@@ -124,8 +124,8 @@
         !inherited && self.hosts.values().all(current)
     }
 
-    /// The oldest settings that some host may act on: [`Version::MAX`] when no host has a lease,
-    /// and none while leases of an earlier leader may run.
+    /// Returns the oldest settings that some host may act on: [`Version::MAX`] if no host has a
+    /// lease, `None` while leases of an earlier leader may still be valid.
     pub(crate) fn oldest(&self, now: Time) -> Option<Version> {
         let grants = self.hosts.values().flat_map(|lease| &lease.grants);
         let valid = grants.filter(|(_, until)| now <= **until);
@@ -133,7 +133,7 @@
         (now > self.inherited).then_some(oldest.unwrap_or(Version::MAX))
     }
 
-    /// Says once that the settings are in force.
+    /// Reports once that the settings are in force.
     pub(crate) fn announce(&mut self, turn: &mut Turn) {
         let version = turn.state.catalogue().version();
         if version > self.announced && self.in_force(version, turn.now) {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Drops hosts that have been silent for long, and returns them.
+    /// Removes hosts that have been silent for long, and returns them.
     pub(crate) fn expire(&mut self, turn: &Turn) -> Vec<Lease> {
         let silent =
             |lease: &Lease| !lease.is_valid(turn.now) && lease.heard + turn.timing.host < turn.now;
--- a/crates/control/src/levels.rs
+++ b/crates/control/src/levels.rs
@@ -1,4 +1,4 @@
-//! Demand as the entry hosts report it: levels that overwrite one another.
+//! Demand as reported by the entry hosts; each report replaces the host's previous one.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     version: Option<Name>,
 }
 
-/// What a row of the planner's picture is for.
+/// What a row of the planner's input is for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Place {
     subject: Subject,
@@ -29,7 +29,7 @@
     stale: bool,
     region: RegionId,
     rows: Vec<Demand>,
-    /// Arrivals that were counted, by what they are for.
+    /// The arrival counts last reported, by model and version.
     counted: BTreeMap<Subject, u64>,
 }
 
@@ -40,18 +40,18 @@
     pub(crate) waiting: u32,
     /// Requests in progress.
     pub(crate) running: u32,
-    /// Arrivals since this leader began to listen.
+    /// Arrivals since the start of this term.
     pub(crate) arrivals: u64,
-    /// How long until the nearest deadline of a waiting request.
+    /// The time until the nearest deadline of a waiting request.
     pub(crate) slack: Time,
-    /// The largest weight among the waiting requests.
+    /// The largest weight of a waiting request.
     pub(crate) weight: u32,
     /// Adapters that waiting requests name.
     pub(crate) adapters: Vec<Name>,
 }
 
 impl Total {
-    /// The demand for a model that nobody asks for.
+    /// Returns the demand for a model without requests.
     fn none() -> Self {
         Self {
             slack: Time::MAX,
@@ -66,14 +66,14 @@
     hosts: BTreeMap<HostId, Level>,
     arrivals: BTreeMap<Place, u64>,
     running: Running,
-    /// The part of `running` that hosts out of touch reported.
+    /// The part of `running` that was reported by hosts now out of contact.
     stale: Running,
-    /// Arrivals by model since this leader began to listen.
+    /// Arrivals by model since the start of this term.
     arrived: BTreeMap<ModelId, u64>,
 }
 
 impl Levels {
-    /// Takes a report, and says whether more requests wait for some model than before.
+    /// Handles a report; returns whether more requests wait for some model than before.
     pub(crate) fn take(&mut self, report: Report, now: Time) -> bool {
         let old = self.hosts.remove(&report.host);
         let mut counted = BTreeMap::new();
@@ -109,11 +109,11 @@
         grown
     }
 
-    /// Drops requests that wait on hosts which have not reported since `waiting`, and what runs
-    /// on those that have not since `running`; their sequence numbers stay.
+    /// Drops the requests that wait on hosts without a report since `waiting`, and those that run
+    /// on hosts without a report since `running`; their sequence numbers stay.
     ///
-    /// A host that is out of touch goes on with what it has in progress, while what waits there
-    /// cannot be sent anywhere new.
+    /// A host out of contact continues the requests it has in progress, while those that wait there
+    /// cannot be sent anywhere.
     pub(crate) fn expire(&mut self, waiting: Time, running: Time) {
         for level in self.hosts.values_mut() {
             if level.received < waiting && !level.stale {
@@ -129,25 +129,25 @@
         }
     }
 
-    /// Whether a host has reported since a time.
+    /// Returns whether a host has reported since a time.
     pub(crate) fn is_heard(&self, host: HostId, since: Time) -> bool {
         let level = self.hosts.get(&host);
         level.is_some_and(|level| level.received >= since)
     }
 
-    /// Requests in progress on replicas of a model.
+    /// Returns the requests in progress on replicas of a model.
     pub(crate) fn running(&self, model: &str) -> u32 {
         self.running.get(model)
     }
 
-    /// Those of them that hosts in touch reported.
+    /// Returns the requests in progress on replicas of a model, as reported by hosts in contact.
     pub(crate) fn fresh(&self, model: &str) -> u32 {
         self.running
             .get(model)
             .saturating_sub(self.stale.get(model))
     }
 
-    /// The demand for each model, added up over the hosts.
+    /// Returns the demand for each model, summed over the hosts.
     pub(crate) fn totals(&self) -> BTreeMap<ModelId, Total> {
         let mut totals: BTreeMap<ModelId, Total> = BTreeMap::new();
         for row in self.hosts.values().flat_map(|level| &level.rows) {
@@ -171,7 +171,7 @@
         totals
     }
 
-    /// Rows for the planner's picture; arrivals count from the last call.
+    /// Returns the rows of the planner's input; arrivals count since the last call.
     pub(crate) fn rows(&mut self) -> Vec<picture::Demand> {
         let mut rows: BTreeMap<Place, picture::Demand> = BTreeMap::new();
         for level in self.hosts.values() {
@@ -191,13 +191,13 @@
         rows.into_values().collect()
     }
 
-    /// Counts arrivals since the last report of the same life.
+    /// Counts arrivals since the last report of the same incarnation.
     fn count_arrivals(&mut self, report: &Report, counted: &mut BTreeMap<Subject, u64>) {
         for row in &report.rows {
             let subject = Subject::of(row);
             let seen = counted.insert(subject.clone(), row.arrivals);
-            // A first report to this leader counts what waits, since its older arrivals may have
-            // been counted by the leader before.
+            // A host's first report to this leader counts only what waits, because the previous
+            // leader may already have counted older arrivals.
             let base = seen.unwrap_or(row.arrivals.saturating_sub(u64::from(row.waiting)));
             let place = Place {
                 subject,
@@ -215,12 +215,12 @@
 struct Running(BTreeMap<ModelId, u32>);
 
 impl Running {
-    /// Those of a model.
+    /// Returns the requests in progress for a model.
     fn get(&self, model: &str) -> u32 {
         self.0.get(model).copied().unwrap_or(0)
     }
 
-    /// Adds rows.
+    /// Adds the requests of some rows.
     fn add(&mut self, rows: &[Demand]) {
         for row in rows {
             let sum = self.0.entry(row.model.clone()).or_default();
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Takes rows away that were added.
+    /// Subtracts the requests of rows that were added before.
     fn take(&mut self, rows: &[Demand]) {
         for row in rows {
             let sum = self.0.entry(row.model.clone()).or_default();
@@ -238,7 +238,7 @@
 }
 
 impl Subject {
-    /// What a row is for.
+    /// Returns the subject of a row.
     fn of(demand: &Demand) -> Self {
         Self {
             model: demand.model.clone(),
@@ -247,14 +247,14 @@
     }
 }
 
-/// Whether more requests wait than in the rows before.
+/// Returns whether more requests wait than in the previous rows.
 fn grows(row: &Demand, before: &[Demand]) -> bool {
     let same = |old: &&Demand| old.model == row.model && old.version == row.version;
     let old = before.iter().find(same);
     row.waiting > old.map_or(0, |old| old.waiting)
 }
 
-/// A row without requests.
+/// Returns a row without requests.
 fn empty(place: &Place) -> picture::Demand {
     picture::Demand {
         model: place.subject.model.clone(),
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,10 +1,9 @@
-//! The replicated state machine and what its leader does.
+//! The replicated control state machine and the soft state of its leader.
 //!
-//! Two aggregates, both sans-I/O. [`state::State`] is what every control host
-//! agrees on: it takes committed [`command::Command`]s and is deterministic.
-//! [`leader::Leader`] is the soft state of the host that leads: it takes
-//! heartbeats, reports and the replies of applied commands, and returns
-//! commands to propose, orders to send and views to publish.
+//! Both parts are sans-I/O. [`state::State`] is the deterministic state that every control host
+//! replicates by applying committed [`command::Command`]s. [`leader::Leader`] is the soft state of
+//! the host that leads: it consumes heartbeats, demand reports and the replies of applied commands,
+//! and returns commands to propose, orders to send and views to publish.
 //!
 //! ```
 //! use cornelhitch_control::prelude::*;
--- a/crates/control/src/mutation.rs
+++ b/crates/control/src/mutation.rs
@@ -1,40 +1,40 @@
-//! Faults that tests put in on purpose, to show that their checks can fail.
+//! Faults that tests inject to show that their checks can fail.
 //!
-//! Without the feature `mutation` there are none: [`is`] is constant.
+//! Without the feature `mutation` nothing is injected: [`is`] always returns false.
 
 use strum::{Display, EnumIter};
 
-/// One fault.
+/// A fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Mutation {
     /// The leader orders a load when it proposes it.
     EarlyOrder,
-    /// A decision does not look at the worker's memory.
+    /// A decision ignores the worker's memory.
     NoMemoryCheck,
-    /// A decision does not look at the model's limit.
+    /// A decision ignores the model's limit.
     NoLimitCheck,
-    /// The leader does not count copies that no replica explains.
+    /// The leader ignores copies that belong to no decided replica.
     NoStrangers,
     /// Any inventory without the replica releases it.
     EarlyRelease,
     /// No inventory ever releases a replica.
     NoRelease,
-    /// An unanswered load is sent again to every target.
+    /// An unanswered load order is sent again to every target.
     BlindResend,
-    /// A model is loaded again at once after an order with unknown outcome.
+    /// A model is loaded again at once after an order with an unknown outcome.
     NoQuiet,
-    /// Replica ids start again after a restart.
+    /// Replica ids restart after a restart.
     ReusedIds,
-    /// A restart forgets tombstones.
+    /// A restart loses the tombstones.
     LostTombstones,
-    /// A claim of an ended host is free again.
+    /// A claim of an ended host can be granted again.
     FreedClaims,
-    /// Settings made from an older version are accepted.
+    /// Settings based on an older version are accepted.
     NoBaseCheck,
-    /// Settings count as in force although leases on older ones still run.
+    /// Settings count as in force while leases on older ones are still valid.
     EarlyInForce,
-    /// A new leader does not wait for the leases of the one before.
+    /// A new leader does not wait for the leases of the previous one.
     NoInheritedLeases,
 }
 
@@ -48,18 +48,18 @@
         static ACTIVE: Cell<Option<Mutation>> = const { Cell::new(None) };
     }
 
-    /// Puts a fault in for this thread, or takes it out.
+    /// Injects a fault in this thread, or removes it.
     pub fn set(mutation: Option<Mutation>) {
         ACTIVE.set(mutation);
     }
 
-    /// The fault that is in, if any.
+    /// Returns the injected fault, if any.
     #[must_use]
     pub fn current() -> Option<Mutation> {
         ACTIVE.get()
     }
 
-    /// Whether a fault is in.
+    /// Returns whether a fault is injected.
     pub(crate) fn is(mutation: Mutation) -> bool {
         ACTIVE.get() == Some(mutation)
     }
@@ -70,7 +70,7 @@
 #[cfg(feature = "mutation")]
 pub use active::{current, set};
 
-/// Whether a fault is in.
+/// Returns whether a fault is injected.
 #[cfg(not(feature = "mutation"))]
 pub(crate) const fn is(_: Mutation) -> bool {
     false
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders, and what is known of them.
+//! Orders for replicas decided in the log: when to send them, and their outcomes.
 
 use cornelhitch_types::id::{ModelId, ReplicaId, TargetId, Time};
 use cornelhitch_types::model::Reference;
@@ -16,7 +16,7 @@
 use crate::turn::Turn;
 
 impl Reign {
-    /// Gives out an order under this term's fencing number.
+    /// Sends an order with this term as its fencing number.
     pub(crate) fn order(
         &mut self,
         target: &TargetId,
@@ -37,7 +37,7 @@
         }));
     }
 
-    /// Sends whatever order a replica needs now.
+    /// Sends the load or unload order that a replica needs, if it is due.
     pub(crate) fn drive(&mut self, id: ReplicaId, turn: &mut Turn) {
         let Some(replica) = turn.state.replicas().get(id) else {
             return;
@@ -71,8 +71,8 @@
             self.refuse_load(replica, turn);
             return;
         }
-        // Without a check of fencing numbers an order of an earlier leader, or one with unknown
-        // outcome, may still arrive; a second one could load a second copy.
+        // If the worker does not check fencing numbers, an order of an earlier leader, or one with
+        // an unknown outcome, may still arrive; a second order could then load a second copy.
         let fencing = fencing(replica, turn) || mutation::is(Mutation::BlindResend);
         let due = match track.load {
             Sent::Never => !track.inherited || fencing,
@@ -131,7 +131,7 @@
         self.order(&replica.target, replica.id, Action::Unload { model }, turn);
     }
 
-    /// Whether nothing runs on a model's copy that got its last new request at `since`.
+    /// Returns whether nothing runs on a model's copy that got its last new request at `since`.
     pub(crate) fn is_drained(
         &self,
         target: &TargetId,
@@ -150,9 +150,11 @@
         turn.now >= settled && (idle || self.is_unused(model, settled, turn))
     }
 
-    /// Whether every entry host has said, since a time, that it runs nothing on a model.
+    /// Returns whether every entry host has reported, since a time, that it runs nothing on a
+    /// model.
     ///
-    /// A new leader has not heard of hosts that are out of touch, so for a while it does not say so.
+    /// A new leader has not heard of hosts that are out of contact, so it returns false until their
+    /// timeout has passed.
     fn is_unused(&self, model: &ModelId, since: Time, turn: &Turn) -> bool {
         let acquainted = turn.now >= self.since + turn.timing.host;
         let mut hosts = self.leases.iter().filter(|it| it.is_valid(turn.now));
@@ -160,7 +162,7 @@
         acquainted && heard && self.levels.running(model) == 0
     }
 
-    /// Learns the outcome of an order.
+    /// Handles the outcome of an order.
     pub(crate) fn order_done(&mut self, order: &Order, outcome: &Outcome, turn: &mut Turn) {
         if order.fence != self.term {
             return;
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Learns the outcome of a load order.
+    /// Handles the outcome of a load order.
     fn load_done(&mut self, order: &Order, outcome: &Outcome, turn: &mut Turn) {
         let Some(replica) = turn.state.replicas().get(order.replica) else {
             return;
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Learns the outcome of an unload order.
+    /// Handles the outcome of an unload order.
     fn unload_done(&mut self, order: &Order, outcome: &Outcome, turn: &Turn) {
         let Some(track) = self.tracks.get_mut(&order.replica) else {
             return;
@@ -228,7 +230,7 @@
         };
     }
 
-    /// Gives back what was reserved for a load that did not take place.
+    /// Proposes to release the reservation of a load that did not take place.
     fn refuse_load(&mut self, replica: &Replica, turn: &mut Turn) {
         if let Some(track) = self.tracks.get_mut(&replica.id) {
             track.load = Sent::Withheld;
@@ -246,7 +248,7 @@
         self.pending.propose(command, turn);
     }
 
-    /// Where the weights of a replica are nearest on its worker.
+    /// Returns the fastest storage tier of the worker that holds the replica's weights.
     pub(crate) fn nearest(&self, replica: &Replica) -> Stage {
         let worker = self.workers.get(&replica.target);
         let beat = worker.and_then(|worker| worker.beat.as_ref());
@@ -256,7 +258,7 @@
     }
 }
 
-/// A replica's model and version.
+/// Returns the reference to a replica's model and version.
 pub(crate) fn reference(replica: &Replica) -> Reference {
     Reference {
         version: replica.version.clone(),
--- a/crates/control/src/outcome.rs
+++ b/crates/control/src/outcome.rs
@@ -1,19 +1,19 @@
-//! What is kept of an answer to a request that may not be repeated.
+//! The recorded outcome of a request that must not be repeated.
 
 use bytes::Bytes;
 use cornelhitch_types::id::Name;
 use serde::{Deserialize, Serialize};
 
-/// The largest body of an answer that is kept, in bytes.
+/// The largest response body that is kept, in bytes.
 pub const BODY: usize = 16 << 10;
 
 /// The longest content type that is kept, in bytes.
 pub const CONTENT: usize = 256;
 
-/// What became of a claimed request.
+/// The outcome of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was answered, and this is the answer.
+    /// It was answered, and the response is kept.
     Answered {
         /// The HTTP status.
         status: u16,
@@ -27,12 +27,12 @@
         /// The HTTP status.
         status: u16,
     },
-    /// It may have run; nobody knows.
+    /// It may or may not have run.
     Unknown,
 }
 
 impl Outcome {
-    /// Bytes of the body that is kept.
+    /// Returns the size of the kept body, in bytes.
     pub(crate) fn size(&self) -> usize {
         match self {
             Self::Answered { body, .. } => body.len(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The outcome without its body.
+    /// Returns the outcome without its body.
     pub(crate) fn short(&self) -> Self {
         match self {
             Self::Answered { status, .. } => Self::Completed { status: *status },
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The outcome, without its body when that is too large.
+    /// Returns the outcome, without its body if that or the content type is too large.
     pub(crate) fn bounded(self) -> Self {
         match &self {
             Self::Answered { content, body, .. }
--- a/crates/control/src/output.rs
+++ b/crates/control/src/output.rs
@@ -1,4 +1,4 @@
-//! What the leader wants done.
+//! The actions that the leader asks its owner to carry out.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::command::Command;
 
-/// Who a view is for.
+/// The recipients of a view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Audience {
     /// Every subscribed entry host.
@@ -18,54 +18,55 @@
     Host(HostId),
 }
 
-/// One action.
+/// An action of the leader.
 ///
-/// The owner checks its consensus lease right before it writes an order or a
-/// lease to a socket, and drops them when it no longer leads.
+/// The owner checks its consensus lease right before it writes an order or a lease to a socket, and
+/// drops them if it no longer leads.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Propose a command; when that fails nothing need be said.
+    /// Propose a command; a failure need not be reported.
     Propose(Command),
-    /// Send an order, close its connection when no answer comes, and give the outcome back.
+    /// Send an order, close the connection if no answer comes, and report the outcome with
+    /// [`Input::OrderDone`](crate::input::Input::OrderDone).
     Order(Order),
     /// Send a view.
     Publish {
-        /// To whom.
+        /// The recipients.
         to: Audience,
-        /// The view.
+        /// The view to send.
         view: View,
     },
-    /// Give an entry host its lease.
+    /// Grant an entry host a lease.
     ///
-    /// It counts only while the host acts on these settings or newer ones, and
-    /// from the moment at which the host's renewal left.
+    /// The lease is valid only while the host acts on these settings or newer ones, and counts from
+    /// the moment at which the host sent its renewal.
     Lease {
         /// The entry host.
         host: HostId,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// How long it lasts.
+        /// The length of the lease.
         length: Duration,
-        /// The settings that it is for.
+        /// The version of the settings that it covers.
         version: Version,
     },
-    /// Settings are in force at every entry host, and none acts on older ones.
+    /// Settings are in force at every entry host, and none can act on older ones.
     InForce {
-        /// Their version.
+        /// The version of the settings.
         version: Version,
     },
-    /// An order was decided, for the log; the order itself follows.
+    /// A placement step was decided, for the log; its order follows separately.
     Decided(Step),
-    /// Ask a worker about its orders.
+    /// Inspect a worker: ask how many orders it has accepted and what it holds.
     Inspect {
-        /// The worker.
+        /// The worker to inspect.
         target: TargetId,
-        /// The life that is asked.
+        /// The incarnation to inspect.
         incarnation: Incarnation,
     },
-    /// Ask a target to announce itself: it is not known in the life it speaks of.
+    /// Ask a target to announce itself, because its incarnation is not registered.
     Ask {
-        /// The target.
+        /// The target to ask.
         target: TargetId,
     },
 }
--- a/crates/control/src/pending.rs
+++ b/crates/control/src/pending.rs
@@ -8,7 +8,7 @@
 use crate::output::Output;
 use crate::turn::Turn;
 
-/// What a proposal is about; there is one proposal about it at a time.
+/// The subject of a proposal; at most one proposal for each is in flight.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Topic {
     Register(TargetId),
@@ -23,7 +23,7 @@
 }
 
 impl Topic {
-    /// What a command is about, where the leader itself proposes such commands.
+    /// Returns the subject of a command; `None` for commands that the leader itself never proposes.
     fn of(command: &Command) -> Option<Self> {
         let topic = match command {
             Command::Register(announcement) => Self::Register(announcement.target.clone()),
@@ -41,14 +41,14 @@
     }
 }
 
-/// Proposals with their time.
+/// The proposals in flight, with the time of each.
 #[derive(Debug, Default)]
 pub(crate) struct Pending {
     topics: BTreeMap<Topic, Time>,
 }
 
 impl Pending {
-    /// Proposes a command, unless one about the same thing is on its way.
+    /// Proposes a command, unless one with the same subject is in flight.
     pub(crate) fn propose(&mut self, command: Command, turn: &mut Turn) {
         let Some(topic) = Topic::of(&command) else {
             return;
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Notes that a command was applied.
+    /// Records that a command was applied.
     pub(crate) fn applied(&mut self, command: &Command) {
         if let Some(topic) = Topic::of(command) {
             self.topics.remove(&topic);
         }
     }
 
-    /// Whether a decision is on its way.
+    /// Returns whether a decision is in flight.
     pub(crate) fn is_deciding(&self, turn: &Turn) -> bool {
         let mut topics = self.topics.iter();
         topics.any(|(topic, at)| {
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Drops proposals that were lost.
+    /// Drops proposals that timed out.
     pub(crate) fn expire(&mut self, turn: &Turn) {
         self.topics
             .retain(|_, at| turn.now < *at + turn.timing.proposal);
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -1,4 +1,4 @@
-//! Asking the planner, and proposing what it decides.
+//! Runs the planner and carries out its decisions.
 
 use std::collections::BTreeMap;
 
@@ -17,13 +17,13 @@
 use crate::turn::Turn;
 use crate::workers::Worker;
 
-/// Memory that decisions of one plan take, by worker.
+/// Memory taken by the decisions of one plan, by worker, in bytes.
 type Taken = BTreeMap<TargetId, u64>;
 
 impl Reign {
-    /// Asks the planner, if it is time.
+    /// Runs the planner, if it is due.
     pub(crate) fn plan(&mut self, planner: &mut dyn Planner, turn: &mut Turn) {
-        // Models of engines that count their orders are placed elsewhere.
+        // Models of engines that count their orders are placed by `hosting`.
         let managed = !turn.state.catalogue().fleet().models.is_empty();
         if !managed || !self.is_plan_due(turn) {
             return;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether the planner may be asked now.
+    /// Returns whether the planner may run now.
     fn is_plan_due(&self, turn: &Turn) -> bool {
         let wait = if self.eager {
             turn.timing.plan
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Proposes a replica, if the worker may be loaded and has room besides unexplained copies.
+    /// Proposes a replica, if models may be loaded on the worker and it has free memory besides
+    /// copies that belong to no decided replica.
     fn decide(&mut self, decide: Decide, taken: &mut Taken, turn: &mut Turn) {
         let Some(worker) = self.workers.get(&decide.target) else {
             return;
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Orders an adapter onto a ready replica.
+    /// Orders an adapter to be loaded onto a ready replica.
     fn load_adapter(&mut self, replica: ReplicaId, name: Name, turn: &mut Turn) {
         let standing = turn.state.replicas().get(replica);
         let Some(standing) = standing.filter(|it| it.state == State::Ready) else {
@@ -139,7 +140,7 @@
         self.order(&standing.target, replica, action, turn);
     }
 
-    /// Orders a model nearer to a worker's accelerators.
+    /// Orders a model into a faster storage tier of a worker.
     fn warm(&mut self, model: ModelId, target: &TargetId, turn: &mut Turn) {
         let open = self.workers.get(target);
         let warming = Warming {
--- a/crates/control/src/reign.rs
+++ b/crates/control/src/reign.rs
@@ -1,4 +1,4 @@
-//! What the leader knows and does within one term.
+//! The soft state of the leader within one term, and the dispatch of its inputs.
 
 use std::collections::BTreeMap;
 
@@ -30,18 +30,18 @@
 /// An adapter load that was ordered.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Adapter {
-    /// The replica.
+    /// The replica it is loaded onto.
     pub(crate) replica: ReplicaId,
-    /// The adapter.
+    /// The name of the adapter.
     pub(crate) name: Name,
 }
 
-/// A copy that was ordered nearer to an accelerator.
+/// A copy of a model that was ordered into a faster storage tier.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Warming {
-    /// The worker.
+    /// The worker that holds the copy.
     pub(crate) target: TargetId,
-    /// The model.
+    /// The model of the copy.
     pub(crate) model: ModelId,
 }
 
@@ -57,24 +57,25 @@
     pub(crate) feed: Feed,
     pub(crate) sketch: Sketch,
     pub(crate) pending: Pending,
-    /// Adapter loads in flight, and since when.
+    /// Adapter loads in flight, with the time of the order.
     pub(crate) adapters: BTreeMap<Adapter, Time>,
-    /// Copies that were ordered nearer to an accelerator, and since when.
+    /// Copies ordered into a faster storage tier, with the time of the order.
     pub(crate) warming: BTreeMap<Warming, Time>,
-    /// Fingerprints with strikes, and until when.
+    /// Fingerprints with strikes, with the time at which they expire.
     pub(crate) quarantine: BTreeMap<u64, Time>,
-    /// Orders to workers that count them.
+    /// The state of workers that count their orders.
     pub(crate) hosting: Hosting,
-    /// Heartbeats of lives that are not registered yet.
+    /// Heartbeats of incarnations that are not registered yet.
     pub(crate) early: BTreeMap<TargetId, Heartbeat>,
-    /// When the planner was last asked.
+    /// When the planner last ran.
     pub(crate) planned: Option<Time>,
-    /// Whether something new calls for a plan.
+    /// Whether a change calls for a plan before the regular interval ends.
     pub(crate) eager: bool,
 }
 
 impl Reign {
-    /// The start of a term: nothing has been heard, and everything decided may have been ordered.
+    /// Creates the state at the start of a term: no target has been heard yet, and any decided
+    /// replica may already have been ordered.
     pub(crate) fn new(term: Term, turn: &Turn) -> Self {
         let mut reign = Self {
             term,
@@ -125,7 +126,7 @@
         reign
     }
 
-    /// Takes one event.
+    /// Handles one input and publishes what is due.
     pub(crate) fn handle(&mut self, input: Input, planner: &mut dyn Planner, turn: &mut Turn) {
         match input {
             Input::Elected { .. } | Input::Deposed => {}
@@ -172,7 +173,7 @@
         self.flush(turn);
     }
 
-    /// What views are built from.
+    /// Returns the inputs from which views are built.
     pub(crate) fn scene<'a>(&'a self, state: &'a State, now: Time) -> Scene<'a> {
         Scene {
             state,
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Publishes what is due.
+    /// Publishes the changes that are due.
     fn flush(&mut self, turn: &mut Turn) {
         let scene = Scene {
             state: turn.state,
@@ -202,13 +203,14 @@
         }
     }
 
-    /// Whether every target was heard in this term, or has had its time to be.
+    /// Returns whether every target was heard in this term, or the time to wait for them has
+    /// passed.
     pub(crate) fn is_gathered(&self, turn: &Turn) -> bool {
         turn.now >= self.since + turn.timing.gather
             || self.workers.values().all(|it| it.beat.is_some())
     }
 
-    /// Learns what became of a committed command.
+    /// Handles the reply of an applied command.
     fn applied(&mut self, command: Command, reply: Reply, turn: &mut Turn) {
         self.pending.applied(&command);
         match (command, reply) {
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Learns that a target was taken in.
+    /// Handles the registration of a target.
     fn registered(&mut self, target: &TargetId, answer: fleet::Answer, turn: &mut Turn) {
         let Some(known) = turn.state.fleet().get(target) else {
             return;
@@ -291,7 +293,7 @@
         }
     }
 
-    /// Drops targets that a new life at their address ended.
+    /// Removes targets that were dismissed because a new incarnation took over their address.
     fn forget_vacated(&mut self, turn: &Turn) {
         let fleet = turn.state.fleet();
         let gone = |target: &&TargetId| fleet.get(target).is_none();
@@ -313,7 +315,7 @@
         }
     }
 
-    /// Drops what is known of a target's replicas that no longer stand.
+    /// Removes the state of replicas that no longer hold a reservation.
     fn forget_replicas(&mut self, target: &TargetId, turn: &Turn) {
         let standing = turn.state.replicas();
         let gone: Vec<ReplicaId> = self
@@ -330,7 +332,7 @@
         self.eager = true;
     }
 
-    /// Drops what is known of a replica.
+    /// Removes the state of a replica.
     fn forget(&mut self, id: ReplicaId, target: &TargetId) {
         self.tracks.remove(&id);
         self.adapters.retain(|adapter, _| adapter.replica != id);
@@ -338,7 +340,7 @@
         self.feed.replica(id, true);
     }
 
-    /// Learns what became of a command about a replica.
+    /// Handles the reply of a command about a replica.
     fn replica_changed(&mut self, command: &Command, answer: Answer, turn: &mut Turn) {
         match (command, answer) {
             (Command::Decide(_), Answer::Decided(replica)) => self.decided(&replica, turn),
@@ -373,15 +375,16 @@
         }
     }
 
-    /// Learns that a replica was decided, and orders its load.
+    /// Starts to track a decided replica and orders its load.
     fn decided(&mut self, replica: &Replica, turn: &mut Turn) {
         if turn.state.replicas().get(replica.id).is_none() {
             return;
         }
         let from = self.nearest(replica);
         let mut track = Track::new(from, turn.now);
-        // A proposal of an earlier leader may be committed in this term's first entries; only what
-        // carries this term is certain not to have been ordered.
+        // An entry proposed by an earlier leader may be committed early in this term, and that
+        // leader may have ordered the load; only a replica decided in this term is certain not to
+        // have been ordered.
         track.inherited = replica.term != self.term;
         track.doubtful = track.inherited;
         self.tracks.insert(replica.id, track);
@@ -389,7 +392,7 @@
         self.drive(replica.id, turn);
     }
 
-    /// Notes that a replica changed.
+    /// Marks a replica as changed for the view and the planner.
     fn touch(&mut self, id: ReplicaId, turn: &Turn) {
         if let Some(replica) = turn.state.replicas().get(id) {
             self.sketch.replica(id, &replica.target);
@@ -398,7 +401,7 @@
         self.eager = true;
     }
 
-    /// Notes until when a fingerprint has strikes.
+    /// Records until when a fingerprint has strikes.
     fn refuse(&mut self, count: Count) {
         if count.lost > 0 {
             self.quarantine.insert(count.fingerprint, count.forgotten);
@@ -407,7 +410,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Handles the passage of time: timeouts, expiry and planning.
     fn tick(&mut self, planner: &mut dyn Planner, turn: &mut Turn) {
         self.pending.expire(turn);
         self.watch(turn);
@@ -427,7 +430,7 @@
         self.host(turn);
     }
 
-    /// Lets entry hosts go whose leases ran out, and claims of lives that ended.
+    /// Publishes entry hosts whose leases ran out, and ends the claims of incarnations that ended.
     fn end_hosts(&mut self, turn: &mut Turn) {
         for id in self.leases.lapsed(turn.now) {
             self.feed.host(id);
@@ -449,7 +452,7 @@
         }
     }
 
-    /// Publishes that strikes are forgotten.
+    /// Publishes fingerprints whose strikes have expired.
     fn end_quarantine(&mut self, turn: &Turn) {
         let over = |until: &Time| *until <= turn.now;
         let ended: Vec<u64> = self
--- a/crates/control/src/replicas.rs
+++ b/crates/control/src/replicas.rs
@@ -1,7 +1,7 @@
 //! Decided replicas and the memory they reserve.
 //!
-//! A replica stands from its decision to its release. Its memory is reserved
-//! that whole time, and only [`Evidence`] ends it; a timeout never does.
+//! A replica holds its reservation from its decision to its release. Only [`Evidence`] ends it; a
+//! timeout never does.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,128 +16,128 @@
 use crate::fleet::Fleet;
 use crate::mutation::{self, Mutation};
 
-/// Heartbeats of a target's own running time after which an order that was sent before them, and
-/// whose connection was closed, can no longer be taken up.
+/// The number of heartbeats, counted in the target's own running time, after which an order that
+/// was sent before them on a connection since closed can no longer arrive.
 pub const QUIET_BEATS: u64 = 10;
 
 /// A request to decide a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decide {
-    /// The model.
+    /// The model to place.
     pub model: ModelId,
-    /// The version.
+    /// The version to place; `None` where none is specified.
     pub version: Option<Name>,
-    /// The worker.
+    /// The worker to load.
     pub target: TargetId,
-    /// The worker's life.
+    /// The worker's incarnation.
     pub incarnation: Incarnation,
     /// Accelerator memory to reserve, in bytes.
     pub bytes: u64,
     /// The newest heartbeat of the worker that the leader has seen.
     pub after: u64,
-    /// Whether the worker already holds the copy, so that no order follows.
+    /// Whether the worker already holds the copy, so that no load order follows.
     pub adopted: bool,
 }
 
-/// What shows that a replica's memory is free.
+/// Proof that a replica's memory is free.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Evidence {
     /// An inventory of the same incarnation, later than the order, without the replica.
     Inventory {
-        /// The heartbeat that carried it.
+        /// The sequence number of the heartbeat that carried it.
         sequence: u64,
     },
     /// The worker's incarnation ended.
     Ended,
-    /// The worker refused the load order, or it never left, and no other was sent.
+    /// The worker refused the load order, or it was never sent, and no other was sent.
     Refused,
 }
 
-/// Why a decision or a change of a replica was refused.
+/// The reason why a decision or a change of a replica was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Refusal {
-    /// No such target.
+    /// There is no such target.
     Target,
-    /// The target runs plain services.
+    /// The target runs plain services, not models.
     Service,
     /// The worker has another incarnation.
     Incarnation,
     /// The worker has been silent for long.
     Silent,
-    /// The model is not in the catalogue.
+    /// The settings do not list the model.
     Model,
     /// The model's group is unmanaged.
     Unmanaged,
-    /// Less memory was asked for than the model takes.
+    /// Less memory was requested than the model takes.
     Bytes,
-    /// The worker's memory has no room.
+    /// The worker does not have enough free memory.
     Memory,
-    /// The model has its allowed replicas.
+    /// The model already has its maximum number of replicas.
     Limit,
-    /// The worker has a replica of the model.
+    /// The worker already has a replica of the model.
     Present,
-    /// An order for the model with unknown outcome may still arrive at the worker.
+    /// An order for the model with an unknown outcome may still arrive at the worker.
     Quiet,
-    /// No such replica.
+    /// There is no such replica.
     Replica,
-    /// The evidence does not show that the memory is free.
+    /// The evidence does not prove that the memory is free.
     Evidence,
 }
 
-/// What became of a command about a replica.
+/// The result of a command about a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// It was decided.
+    /// The replica was decided.
     Decided(Replica),
-    /// It changed as asked, or stood so before.
+    /// The replica changed as asked, or already had that state.
     Done,
-    /// Its reservation ended.
+    /// The reservation ended.
     Released(Replica),
     /// Nothing changed.
     Refused(Refusal),
 }
 
-/// A replica.
+/// A replica that holds a reservation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Its id.
+    /// The id, never reused.
     pub id: ReplicaId,
-    /// The model.
+    /// The model it holds.
     pub model: ModelId,
-    /// The version.
+    /// The version it holds; `None` where none is specified.
     pub version: Option<Name>,
-    /// The worker.
+    /// The worker it is on.
     pub target: TargetId,
-    /// The worker's life.
+    /// The worker's incarnation.
     pub incarnation: Incarnation,
     /// Accelerator memory reserved, in bytes.
     pub bytes: u64,
-    /// Its state.
+    /// Whether it is loading, ready or retiring.
     pub state: State,
     /// The term in which it was decided.
     pub term: Term,
     /// When it was decided.
     pub decided: Time,
-    /// When it was seen ready.
+    /// When it was first seen ready.
     pub ready: Option<Time>,
-    /// Whether the worker held it before the decision, so that it was never ordered.
+    /// Whether the worker held the copy before the decision, so that no load was ordered.
     pub adopted: bool,
     /// The newest heartbeat known when it was decided, or that showed it ready.
     pub after: u64,
 }
 
-/// A model that may not be loaded on a worker for a while.
+/// A model that must not be loaded on a worker for a while.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quiet {
-    /// The worker.
+    /// The worker concerned.
     pub target: TargetId,
-    /// The worker's life.
+    /// The worker's incarnation.
     pub incarnation: Incarnation,
-    /// The model.
+    /// The model concerned.
     pub model: ModelId,
-    /// The first heartbeat after which it may; heartbeats count the worker's running time, so
-    /// no clock of a control host is trusted.
+    /// The first heartbeat from which it may be loaded again. Heartbeats count the worker's running
+    /// time, so the clock of a control host does not matter.
     pub until: u64,
 }
 
@@ -148,22 +148,22 @@
     last: ReplicaId,
     standing: BTreeMap<ReplicaId, Replica>,
     quiet: VecDeque<Quiet>,
-    /// Replicas that were ever decided, by model.
+    /// The number of replicas ever decided, by model.
     decided: BTreeMap<ModelId, u64>,
-    /// Follows from `standing`.
+    /// Derived from `standing`.
     targets: BTreeMap<TargetId, Room>,
-    /// Follows from `standing`.
+    /// Derived from `standing`.
     models: BTreeMap<ModelId, BTreeSet<ReplicaId>>,
 }
 
-/// What the replicas of one worker take.
+/// The replicas of one worker and their memory.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Room {
     reserved: u64,
     replicas: BTreeSet<ReplicaId>,
 }
 
-/// Replicas as a snapshot holds them.
+/// Replicas as decoded from a snapshot.
 #[derive(Debug, Deserialize)]
 struct Image {
     last: ReplicaId,
@@ -172,7 +172,7 @@
     decided: BTreeMap<ModelId, u64>,
 }
 
-/// What a snapshot is written from, in the shape of [`Image`].
+/// Replicas as encoded into a snapshot, with the layout of [`Image`].
 #[derive(Serialize)]
 struct Borrowed<'a> {
     last: ReplicaId,
@@ -213,48 +213,48 @@
 }
 
 impl Replicas {
-    /// A replica.
+    /// Returns a replica that holds a reservation.
     #[must_use]
     pub fn get(&self, replica: ReplicaId) -> Option<&Replica> {
         self.standing.get(&replica)
     }
 
-    /// Replicas of a model that were ever decided.
+    /// Returns the number of replicas of a model that were ever decided.
     #[must_use]
     pub fn decided(&self, model: &str) -> u64 {
         self.decided.get(model).copied().unwrap_or_default()
     }
 
-    /// All replicas in the order of their ids.
+    /// Returns all replicas in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Replica> {
         self.standing.values()
     }
 
-    /// The replicas of one worker.
+    /// Returns the replicas of one worker.
     pub fn on<'a>(&'a self, target: &str) -> impl Iterator<Item = &'a Replica> {
         let ids = self.targets.get(target).into_iter();
         ids.flat_map(|room| &room.replicas)
             .filter_map(|id| self.standing.get(id))
     }
 
-    /// The replicas of one model.
+    /// Returns the replicas of one model.
     pub fn of<'a>(&'a self, model: &str) -> impl Iterator<Item = &'a Replica> {
         let ids = self.models.get(model).into_iter().flatten();
         ids.filter_map(|id| self.standing.get(id))
     }
 
-    /// Memory reserved on a worker, in bytes.
+    /// Returns the memory reserved on a worker, in bytes.
     #[must_use]
     pub fn reserved(&self, target: &str) -> u64 {
         self.targets.get(target).map_or(0, |room| room.reserved)
     }
 
-    /// Models that may not be loaded on workers for a while.
+    /// Returns the models that must not be loaded on workers for a while.
     pub fn quiet(&self) -> impl Iterator<Item = &Quiet> {
         self.quiet.iter()
     }
 
-    /// The newest replica id that was given out.
+    /// Returns the newest replica id that was assigned.
     #[must_use]
     pub fn last(&self) -> ReplicaId {
         self.last
@@ -291,7 +291,7 @@
         Answer::Decided(replica)
     }
 
-    /// Notes that a worker showed a replica ready.
+    /// Records that a worker showed a replica ready.
     pub(crate) fn ready(&mut self, id: ReplicaId, sequence: u64, now: Time) -> Answer {
         let Some(replica) = self.standing.get_mut(&id) else {
             return Answer::Refused(Refusal::Replica);
@@ -306,7 +306,7 @@
         Answer::Done
     }
 
-    /// Takes a replica out of use.
+    /// Retires a replica.
     pub(crate) fn retire(&mut self, id: ReplicaId) -> Answer {
         let Some(replica) = self.standing.get_mut(&id) else {
             return Answer::Refused(Refusal::Replica);
@@ -315,7 +315,7 @@
         Answer::Done
     }
 
-    /// Ends a reservation, if the evidence shows that its memory is free.
+    /// Ends a reservation, if the evidence proves that its memory is free.
     pub(crate) fn release(
         &mut self,
         id: ReplicaId,
@@ -346,7 +346,8 @@
         Answer::Released(replica)
     }
 
-    /// Keeps a model off a worker for a while, and forgets what has been quiet for long enough.
+    /// Drops quiet periods of the worker that are over, and starts one if an order may still
+    /// arrive.
     fn rest(&mut self, replica: &Replica, sequence: u64, unknown: bool) {
         self.quiet
             .retain(|quiet| quiet.target != replica.target || sequence < quiet.until);
@@ -379,7 +380,7 @@
         self.standing.insert(replica.id, replica);
     }
 
-    /// Removes a replica and gives its memory back.
+    /// Removes a replica and frees its memory.
     fn remove(&mut self, id: ReplicaId) -> Option<Replica> {
         let replica = self.standing.remove(&id)?;
         if let Some(room) = self.targets.get_mut(&replica.target) {
@@ -400,10 +401,10 @@
 }
 
 impl Replica {
-    /// Whether an inventory without this replica shows that it is gone.
+    /// Returns whether an inventory without this replica proves that it is gone.
     ///
-    /// Once it was seen ready, any later inventory does. Before that its order may still be on
-    /// its way, so the worker must have run on for [`QUIET_BEATS`] heartbeats.
+    /// Once the replica was seen ready, any later inventory does. Before that its order may still
+    /// be in flight, so the worker must have run for another [`QUIET_BEATS`] heartbeats.
     pub(crate) fn absent(&self, sequence: u64) -> bool {
         match self.ready {
             Some(_) => sequence > self.after,
--- a/crates/control/src/rules.rs
+++ b/crates/control/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of a decision; nothing reserves memory past them.
+//! The rules that a decision must pass before memory is reserved.
 
 use cornelhitch_settings::fleet::Fleet as Settings;
 use cornelhitch_types::id::Incarnation;
@@ -9,7 +9,7 @@
 use crate::replicas::{Decide, Refusal, Replica, Replicas};
 
 impl Replicas {
-    /// Checks every rule of a decision.
+    /// Checks a decision against every rule; returns the first one that it breaks.
     pub(crate) fn check(
         &self,
         decide: &Decide,
@@ -34,7 +34,7 @@
         require(!self.is_quiet(decide), Refusal::Quiet)
     }
 
-    /// Whether an order for the model may still arrive at the worker.
+    /// Returns whether an order for the model may still arrive at the worker.
     fn is_quiet(&self, decide: &Decide) -> bool {
         let mut quiet = self.quiet();
         quiet.any(|quiet| {
@@ -48,13 +48,13 @@
     }
 }
 
-/// Whether a replica counts against its model's limit.
+/// Returns whether a replica counts against its model's limit.
 fn counts(replica: &Replica, fleet: &Fleet) -> bool {
     let target = fleet.alive(&replica.target, replica.incarnation);
     target.is_some_and(|target| !target.silent)
 }
 
-/// Checks that a target may be loaded.
+/// Checks that models may be loaded on a target.
 fn usable(target: &Target, incarnation: Incarnation) -> Result<(), Refusal> {
     let announcement = &target.announcement;
     require(announcement.kind == Kind::Worker, Refusal::Service)?;
@@ -65,7 +65,7 @@
     require(!target.silent, Refusal::Silent)
 }
 
-/// Refuses unless a rule holds.
+/// Returns the refusal unless the rule holds.
 fn require(holds: bool, refusal: Refusal) -> Result<(), Refusal> {
     if holds { Ok(()) } else { Err(refusal) }
 }
--- a/crates/control/src/scene.rs
+++ b/crates/control/src/scene.rs
@@ -1,4 +1,4 @@
-//! The fleet as entry hosts see it, built from committed and soft state.
+//! Builds the view for entry hosts from replicated and soft state.
 
 use cornelhitch_settings::fleet::Loading;
 use cornelhitch_types::id::{ReplicaId, Time};
@@ -13,27 +13,26 @@
 use crate::tracks::Tracks;
 use crate::workers::Workers;
 
-/// One gibibyte.
 const GIB: u64 = 1 << 30;
 
-/// What a view is built from.
+/// The inputs of a view.
 pub(crate) struct Scene<'a> {
     /// The replicated state.
     pub(crate) state: &'a State,
-    /// What is heard of targets.
+    /// What was heard from targets.
     pub(crate) workers: &'a Workers,
-    /// What is known of replicas' orders.
+    /// The order state of replicas.
     pub(crate) tracks: &'a Tracks,
-    /// The entry hosts.
+    /// The entry hosts and their leases.
     pub(crate) leases: &'a Leases,
-    /// What is known of workers that count their orders.
+    /// The state of workers that count their orders.
     pub(crate) hosting: &'a Hosting,
-    /// The time.
+    /// The time at which the view is built.
     pub(crate) now: Time,
 }
 
 impl Scene<'_> {
-    /// A target, if it is known.
+    /// Returns a target, if it is registered.
     pub(crate) fn target(&self, target: &str) -> Option<view::Target> {
         let known = self.state.fleet().get(target)?;
         let announcement = &known.announcement;
@@ -55,7 +54,7 @@
         })
     }
 
-    /// A decided replica, if it stands.
+    /// Returns a decided replica, if it still holds a reservation.
     pub(crate) fn replica(&self, id: ReplicaId) -> Option<view::Replica> {
         let replica = self.state.replicas().get(id)?;
         let track = self.tracks.get(&id);
@@ -71,7 +70,7 @@
         })
     }
 
-    /// How long until a replica is expected to be ready, in milliseconds.
+    /// Returns the time until a replica is expected to be ready, in milliseconds.
     fn ready_in(&self, replica: &Replica, from: Stage) -> u32 {
         if replica.state != view::State::Loading {
             return 0;
@@ -83,33 +82,33 @@
         u32::try_from(left).unwrap_or(u32::MAX)
     }
 
-    /// An entry host, if callers may be sent to it.
+    /// Returns the change that publishes an entry host, if its lease is valid.
     pub(crate) fn entry(&self, lease: &Lease) -> Option<Change> {
         lease
             .is_valid(self.now)
             .then(|| Change::Entry(lease.host.clone()))
     }
 
-    /// The settings, if there are any.
+    /// Returns the settings, if there are any.
     pub(crate) fn settings(&self) -> Option<Change> {
         let catalogue = self.state.catalogue();
         let version = catalogue.version();
         (version > 0).then(|| Change::Settings(version, catalogue.text().clone()))
     }
 
-    /// The table of routes, if there is one.
+    /// Returns the route table, if there is one.
     pub(crate) fn table(&self) -> Option<Change> {
         let table = self.state.document().table()?;
         Some(Change::Table(table.clone()))
     }
 
-    /// A struck fingerprint; one whose time is over counts 0.
+    /// Returns the change that publishes a strike count; expired strikes count 0.
     pub(crate) fn strike(&self, count: Count) -> Change {
         let over = count.forgotten <= self.now;
         Change::Strike(count.fingerprint, if over { 0 } else { count.lost })
     }
 
-    /// Everything.
+    /// Returns the full view.
     pub(crate) fn whole(&self) -> Vec<Change> {
         let state = self.state;
         let targets = state.fleet().iter();
@@ -129,7 +128,7 @@
     }
 }
 
-/// Milliseconds of a load, a gibibyte.
+/// Returns the load time from a storage tier, in milliseconds for each gibibyte.
 fn rate(loading: &Loading, from: Stage) -> u64 {
     match from {
         Stage::Remote => loading.remote_ms_per_gib,
--- a/crates/control/src/sketch.rs
+++ b/crates/control/src/sketch.rs
@@ -1,4 +1,4 @@
-//! The planner's picture, kept up to date by what changed.
+//! The planner's input, updated incrementally.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
 use crate::turn::Turn;
 use crate::workers::{Worker as Heard, Workers};
 
-/// The picture, and what in it is out of date.
+/// The planner's input, and which parts of it are out of date.
 #[derive(Debug, Default)]
 pub(crate) struct Sketch {
     picture: Picture,
@@ -21,18 +21,18 @@
 }
 
 impl Sketch {
-    /// Notes that a worker changed.
+    /// Marks a worker as changed.
     pub(crate) fn worker(&mut self, target: &TargetId) {
         self.workers.insert(target.clone());
     }
 
-    /// Notes that a replica changed, and with it the room on its worker.
+    /// Marks a replica as changed, and with it the free memory of its worker.
     pub(crate) fn replica(&mut self, replica: ReplicaId, target: &TargetId) {
         self.replicas.insert(replica);
         self.worker(target);
     }
 
-    /// Brings the picture up to date.
+    /// Updates the parts that are out of date and returns the input.
     pub(crate) fn refresh(
         &mut self,
         workers: &Workers,
@@ -54,7 +54,7 @@
         &self.picture
     }
 
-    /// Puts a worker in its place, or takes it out.
+    /// Inserts, replaces or removes a worker.
     fn put_worker(&mut self, target: &TargetId, workers: &Workers, turn: &Turn) {
         let place = self
             .picture
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Puts a replica in its place, or takes it out.
+    /// Inserts, replaces or removes a replica.
     fn put_replica(&mut self, id: ReplicaId, tracks: &Tracks, turn: &Turn) {
         let place = self
             .picture
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Shares the requests in progress out among each model's replicas.
+    /// Distributes the requests in progress over each model's replicas.
     fn count_running(
         &mut self,
         workers: &Workers,
@@ -99,7 +99,7 @@
             *peers.entry(replica.model.clone()).or_default() += 1;
         }
         for replica in &mut self.picture.replicas {
-            // What hosts out of touch had in progress has ended where the worker is idle.
+            // Requests reported by hosts out of contact have ended if the worker is idle.
             let worker = workers.get(&replica.target);
             let running = if worker.is_some_and(Heard::is_idle) {
                 levels.fresh(&replica.model)
@@ -123,12 +123,12 @@
     }
 }
 
-/// Whether requests may be in progress on a replica.
+/// Returns whether requests may be in progress on a replica.
 fn is_used(replica: &Replica) -> bool {
     replica.state != State::Loading
 }
 
-/// A worker as the planner sees it; none for a plain service.
+/// Returns a worker as the planner sees it; `None` for a plain service.
 fn draw_worker(target: &TargetId, workers: &Workers, turn: &Turn) -> Option<Worker> {
     let known = turn.state.fleet().get(target)?;
     let announcement = &known.announcement;
@@ -157,15 +157,15 @@
     })
 }
 
-/// Time between two heartbeats.
+/// The interval between two heartbeats.
 const BEAT: Time = Time::from_secs(1);
 
-/// Heartbeats that are left until one comes.
+/// Returns how many heartbeats remain until the given one.
 fn left(until: u64, sequence: u64) -> u32 {
     u32::try_from(until.saturating_sub(sequence)).unwrap_or(u32::MAX)
 }
 
-/// Models that may not be loaded on a worker for a while.
+/// Returns the models that must not be loaded on a worker for a while.
 fn quiet(target: &TargetId, worker: &Heard, turn: &Turn) -> Vec<Quiet> {
     let committed = turn.state.replicas().quiet();
     let committed = committed.filter(|it| it.target == *target);
@@ -185,10 +185,10 @@
     quiet.filter(|it| turn.now < it.until).collect()
 }
 
-/// A replica as the planner sees it.
+/// Returns a replica as the planner sees it.
 fn draw_replica(id: ReplicaId, tracks: &Tracks, turn: &Turn) -> Option<Replica> {
     let replica = turn.state.replicas().get(id)?;
-    // What a silent worker holds serves nobody; its memory stays reserved all the same.
+    // A replica on a silent worker serves no requests; its memory stays reserved all the same.
     turn.state
         .fleet()
         .get(&replica.target)
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine.
+//! The replicated state machine: applies commands and encodes snapshots.
 
 use std::time::Duration;
 
@@ -17,13 +17,13 @@
 use crate::replicas::{Answer, Decide, Replicas};
 use crate::strikes::Strikes;
 
-/// The first byte of a snapshot.
+/// The format version of a snapshot, its first byte.
 pub const FORM: u8 = 2;
 
-/// What every control host agrees on.
+/// The state that every control host replicates.
 ///
-/// The same commands in the same order give the same state on every host:
-/// nothing in it depends on a clock, a random source or a hash map's order.
+/// Applying the same commands in the same order gives the same state on every host: nothing in it
+/// depends on a clock, a random source or the iteration order of a hash map.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct State {
     entry: Entry,
@@ -35,7 +35,7 @@
     document: Document,
 }
 
-/// A state as a snapshot holds it.
+/// The state as decoded from a snapshot.
 #[derive(Debug, Deserialize)]
 struct Image {
     entry: Entry,
@@ -47,7 +47,7 @@
     document: Document,
 }
 
-/// What a snapshot is written from, in the shape of [`Image`].
+/// The state as encoded into a snapshot, with the layout of [`Image`].
 #[derive(Serialize)]
 struct Borrowed<'a> {
     entry: Entry,
@@ -59,29 +59,29 @@
     document: &'a Document,
 }
 
-/// A state for operators.
+/// The state as shown to operators.
 #[derive(Debug, Serialize)]
 pub struct Dump<'a> {
-    /// The newest entry that was applied.
+    /// The newest applied entry.
     pub entry: Entry,
-    /// The version of the settings.
+    /// The version of the settings in force; 0 when there are none.
     pub settings: u64,
-    /// The version of the table of routes.
+    /// The version of the route table in force; 0 when there is none.
     pub table: u64,
-    /// The targets.
+    /// The registered targets.
     pub fleet: &'a Fleet,
-    /// The replicas.
+    /// The replicas that hold a reservation.
     pub replicas: &'a Replicas,
-    /// Claims with a record.
+    /// The number of claims that still have a record.
     pub claims: usize,
-    /// Claims of which only a digest is left.
+    /// The number of claims of which only a digest is left.
     pub tombstones: usize,
-    /// Requests that were in progress when targets were lost.
+    /// Fingerprints of requests that were in progress when targets were lost.
     pub strikes: &'a Strikes,
 }
 
 impl State {
-    /// The state for operators.
+    /// Returns the state as shown to operators.
     #[must_use]
     pub fn dump(&self) -> Dump<'_> {
         Dump {
@@ -96,52 +96,52 @@
         }
     }
 
-    /// The newest entry that was applied.
+    /// Returns the newest applied entry.
     #[must_use]
     pub fn entry(&self) -> Entry {
         self.entry
     }
 
-    /// The settings.
+    /// Returns the settings and the answers kept for resends.
     #[must_use]
     pub fn catalogue(&self) -> &Catalogue {
         &self.catalogue
     }
 
-    /// The table of routes.
+    /// Returns the route table and its text.
     #[must_use]
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The targets.
+    /// Returns the registered targets.
     #[must_use]
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The replicas and their reservations.
+    /// Returns the replicas and their reservations.
     #[must_use]
     pub fn replicas(&self) -> &Replicas {
         &self.replicas
     }
 
-    /// The claims.
+    /// Returns the claims on requests that must not be repeated.
     #[must_use]
     pub fn claims(&self) -> &Claims {
         &self.claims
     }
 
-    /// The strikes.
+    /// Returns the fingerprints of requests in progress on lost targets.
     #[must_use]
     pub fn strikes(&self) -> &Strikes {
         &self.strikes
     }
 
-    /// Applies a committed command.
+    /// Applies a committed command and returns its reply.
     ///
-    /// Entries come in the order of their index, each once. A time that goes
-    /// back is taken as the newest time seen.
+    /// Entries must arrive in index order, each once. A timestamp older than that of an earlier
+    /// entry is replaced by the newest one seen.
     pub fn apply(&mut self, entry: &Entry, command: Command) -> Reply {
         self.entry = Entry {
             time: self.entry.time.max(entry.time),
@@ -150,7 +150,7 @@
         self.run(command)
     }
 
-    /// Runs one command, or each of a batch.
+    /// Runs one command, or each command of a batch.
     fn run(&mut self, command: Command) -> Reply {
         let now = self.entry.time;
         match command {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Runs a command about replicas, claims or strikes.
+    /// Runs a command about replicas or strikes; other commands are passed on.
     fn run_work(&mut self, command: Command, now: Time) -> Reply {
         match command {
             Command::Decide(decide) => Reply::Replica(self.decide(decide)),
@@ -226,14 +226,14 @@
         Reply::Claim(answer)
     }
 
-    /// Decides a replica.
+    /// Decides a replica under the current settings and fleet.
     fn decide(&mut self, decide: Decide) -> Answer {
         let settings = self.catalogue.fleet();
         self.replicas
             .decide(decide, settings, &self.fleet, &self.entry)
     }
 
-    /// Takes a target in, and ends its earlier life's reservations.
+    /// Registers a target; a new incarnation ends the reservations of the previous one.
     fn register(&mut self, announcement: Announcement, now: Time) -> fleet::Answer {
         let target = announcement.target.clone();
         let answer = self.fleet.register(announcement, now);
@@ -243,7 +243,7 @@
         answer
     }
 
-    /// Lets a target go, and ends its reservations.
+    /// Removes a target and ends its reservations.
     fn dismiss(&mut self, target: &TargetId, incarnation: u64, attested: bool) -> fleet::Answer {
         let reserved = self.replicas.reserved(target) > 0;
         let answer = self.fleet.dismiss(target, incarnation, attested, reserved);
@@ -253,17 +253,17 @@
         answer
     }
 
-    /// How long outcomes of claims are kept.
+    /// Returns how long outcomes of claims are kept.
     fn retention(&self) -> Duration {
         Duration::from_secs(self.catalogue.fleet().refusing.claims_s)
     }
 
-    /// How long a struck request is refused.
+    /// Returns how long a fingerprint with too many strikes is refused.
     fn quarantine(&self) -> Duration {
         Duration::from_secs(self.catalogue.fleet().refusing.quarantine_s)
     }
 
-    /// The whole state as bytes.
+    /// Encodes the whole state.
     #[must_use]
     pub fn snapshot(&self) -> Bytes {
         let image = Borrowed {
@@ -280,11 +280,12 @@
         bytes.into()
     }
 
-    /// The state in a snapshot.
+    /// Decodes a snapshot.
     ///
     /// # Errors
-    /// When the bytes are of another form, malformed, cut or too many, or hold
-    /// settings that this build refuses.
+    ///
+    /// If the bytes have another format version, are malformed, truncated or followed by extra
+    /// bytes, or hold settings that this build rejects.
     pub fn restore(bytes: &[u8]) -> Result<Self, Error> {
         let what = "snapshot";
         let (&form, rest) = bytes.split_first().ok_or(Error::Empty { what })?;
@@ -316,13 +317,13 @@
         })
     }
 
-    /// A digest of the whole state; equal states have equal digests.
+    /// Returns a digest of the whole state; equal states have equal digests.
     #[must_use]
     pub fn digest(&self) -> [u8; 32] {
         *blake3::hash(&self.snapshot()).as_bytes()
     }
 
-    /// The term of the newest entry.
+    /// Returns the term of the newest applied entry.
     #[must_use]
     pub fn term(&self) -> Term {
         self.entry.term
--- a/crates/control/src/strikes.rs
+++ b/crates/control/src/strikes.rs
@@ -6,44 +6,44 @@
 use cornelhitch_types::id::{Incarnation, TargetId, Time};
 use serde::{Deserialize, Serialize};
 
-/// Lives of targets that one fingerprint may end before it is refused.
+/// The number of target incarnations lost with a fingerprint in progress at which it is refused.
 pub const LIMIT: usize = 2;
 
-/// Fingerprints that are remembered at most; the oldest go first.
+/// The maximum number of fingerprints that are remembered.
 pub const FINGERPRINTS: usize = 10_000;
 
-/// A target was lost with requests in progress.
+/// A target that was lost with requests in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Strike {
     /// The requests' fingerprints: digests of model and body.
     pub fingerprints: Vec<u64>,
-    /// The target.
+    /// The target that was lost.
     pub target: TargetId,
-    /// Its life that ended.
+    /// Its incarnation that ended.
     pub incarnation: Incarnation,
 }
 
-/// What became of a strike or a pardon.
+/// The result of a strike or a pardon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Every fingerprint that was named.
+    /// The counts of every fingerprint in the command.
     pub counts: Vec<Count>,
 }
 
-/// How a fingerprint stands.
+/// The strikes of a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// The fingerprint.
+    /// The fingerprint counted.
     pub fingerprint: u64,
-    /// Lives of targets that ended with it in progress.
+    /// The number of target incarnations that ended with it in progress.
     pub lost: u32,
-    /// Until when it is refused, if it is.
+    /// Until when it is refused; `None` if it is not.
     pub until: Option<Time>,
-    /// When its strikes are forgotten.
+    /// When its strikes expire.
     pub forgotten: Time,
 }
 
-/// A fingerprint with strikes.
+/// The stored strikes of one fingerprint.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Suspect {
     lost: BTreeSet<Life>,
@@ -52,7 +52,7 @@
     forgotten: Time,
 }
 
-/// One life of a target.
+/// One incarnation of a target.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Life {
     target: TargetId,
@@ -66,7 +66,7 @@
 }
 
 impl Strikes {
-    /// How a fingerprint stands.
+    /// Returns the strikes of a fingerprint.
     #[must_use]
     pub fn count(&self, fingerprint: u64) -> Count {
         let suspect = self.suspects.get(&fingerprint);
@@ -79,14 +79,15 @@
         }
     }
 
-    /// All fingerprints with strikes.
+    /// Returns all fingerprints with strikes.
     pub fn iter(&self) -> impl Iterator<Item = Count> {
         self.suspects
             .keys()
             .map(|fingerprint| self.count(*fingerprint))
     }
 
-    /// Notes a strike; at [`LIMIT`] lost lives the fingerprint is refused for `quarantine`.
+    /// Records a strike; at [`LIMIT`] lost incarnations the fingerprint is refused for
+    /// `quarantine`.
     pub(crate) fn strike(&mut self, strike: Strike, quarantine: Duration, now: Time) -> Answer {
         let life = Life {
             target: strike.target,
@@ -107,18 +108,18 @@
         self.answer(strike.fingerprints)
     }
 
-    /// Forgets a fingerprint's strikes.
+    /// Clears a fingerprint's strikes.
     pub(crate) fn pardon(&mut self, fingerprint: u64) -> Answer {
         self.suspects.remove(&fingerprint);
         self.answer(vec![fingerprint])
     }
 
-    /// Forgets strikes whose time is over.
+    /// Drops strikes that have expired.
     pub(crate) fn expire(&mut self, now: Time) {
         self.suspects.retain(|_, suspect| now < suspect.forgotten);
     }
 
-    /// How some fingerprints stand.
+    /// Returns the strikes of some fingerprints.
     fn answer(&self, fingerprints: Vec<u64>) -> Answer {
         let counts = fingerprints.into_iter().map(|it| self.count(it));
         Answer {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Lets the oldest go when there are too many, those that are not refused first.
+    /// Drops the oldest fingerprints above the limit, those that are not refused first.
     fn bound(&mut self) {
         while self.suspects.len() > FINGERPRINTS {
             let oldest = self
--- a/crates/control/src/timing.rs
+++ b/crates/control/src/timing.rs
@@ -1,56 +1,58 @@
-//! How long the leader waits for what.
+//! The timeouts and intervals of the leader.
 
 use std::time::Duration;
 
-/// The leader's lengths of time; every control host should have the same.
+/// The timeouts and intervals of the leader; every control host should use the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two plans at least, however much demand is new.
+    /// The minimum interval between two plans, however much demand changes.
     pub plan: Duration,
-    /// Between two plans at most.
+    /// The maximum interval between two plans.
     pub replan: Duration,
     /// How long the first plan of a term waits for the workers' heartbeats.
     pub gather: Duration,
-    /// A target that is silent for this long is suspected.
+    /// How long a target must be silent before it is suspected.
     pub suspicion: Duration,
-    /// A target that entry hosts report as lost, but wrongly a short while ago, is suspected
-    /// when it is silent for this long.
+    /// How long a target must be silent before it is suspected if entry hosts report it lost while
+    /// their reports are ignored.
     pub doubt: Duration,
-    /// How long entry hosts that reported a target as lost wrongly are doubted.
+    /// How long reports of a lost target are ignored after one that proved wrong.
     pub distrust: Duration,
-    /// A target that is silent for this long no longer counts against models' limits.
+    /// How long a target must be silent before it no longer counts against models' limits.
     pub silence: Duration,
-    /// A target without reservations that is silent for this long is let go.
+    /// How long a target without reservations must be silent before it is dismissed.
     pub dismissal: Duration,
-    /// Between two publications of loads and caches at least.
+    /// The minimum interval between two publications of loads and caches.
     pub publication: Duration,
     /// How long a proposal may take before it is proposed again.
     pub proposal: Duration,
     /// How long an order may take before its outcome counts as unknown.
     pub order: Duration,
-    /// Between two sends of an order to a target that checks fencing numbers.
+    /// The minimum interval between two sends of an order to a target that checks fencing numbers.
     pub resend: Duration,
-    /// How long a model is not loaded on a worker that refused it or was not reached.
+    /// How long a model is not loaded on a worker that refused it or could not be reached.
     pub backoff: Duration,
-    /// How long a model is not loaded on a worker while an order with unknown outcome, or an unload
-    /// of an unexplained copy, may still arrive; besides the heartbeats that the rules count.
+    /// How long a model is not loaded on a worker while an order with an unknown outcome, or an
+    /// unload of a copy that belongs to no decided replica, may still arrive; this adds to the
+    /// heartbeats that the rules count.
     pub quiet: Duration,
-    /// From the retirement of a replica until every entry host has heard of it.
+    /// The time after the retirement of a replica by which every entry host has heard of it.
     pub settle: Duration,
-    /// From the retirement of a replica to its unload at the latest.
+    /// The maximum time from the retirement of a replica to its unload.
     pub drain: Duration,
-    /// A report of demand that is older than this no longer counts.
+    /// The age at which a demand report no longer counts.
     pub report: Duration,
-    /// How long an adapter load counts as in flight when nothing is heard of it.
+    /// How long an adapter load counts as in flight when it is not reported as ready.
     pub adapter: Duration,
-    /// How long an entry host may act on the settings after its renewal left.
+    /// How long an entry host may act on the settings after it sent its renewal.
     ///
-    /// An accepted change is in force within 12 s: an election of at most 3 s, this length with
-    /// its drift, and a second each for the commit and the fetch.
+    /// An accepted change is in force within 12 s: at most 3 s for an election, this length with
+    /// its drift, and 1 s each for the commit and the fetch.
     pub lease: Duration,
-    /// By which part of a length the clocks of two hosts may drift apart.
+    /// The divisor of a length that gives the maximum drift between the clocks of two hosts.
     pub drift: u32,
-    /// An entry host that is silent for this long has ended, and its claims are unknown.
+    /// How long an entry host must be silent before it has ended and the outcomes of its claims
+    /// become unknown.
     pub host: Duration,
 }
 
@@ -85,7 +87,7 @@
 }
 
 impl Timing {
-    /// How long the leader counts a lease that it gave, with drift.
+    /// Returns how long the leader counts a lease that it granted, with the maximum drift.
     #[must_use]
     pub fn guarded_lease(&self) -> Duration {
         self.lease + self.lease / self.drift.max(1)
--- a/crates/control/src/tombstones.rs
+++ b/crates/control/src/tombstones.rs
@@ -8,7 +8,7 @@
 use crate::claims::Key;
 use crate::mutation::{self, Mutation};
 
-/// The first half of a blake3 digest of caller and key.
+/// The first 16 bytes of the BLAKE3 digest of caller and key.
 type Digest = u128;
 
 /// Digests in the order in which their claims ended.
@@ -19,7 +19,7 @@
     digests: BTreeSet<Digest>,
 }
 
-/// One claim.
+/// The digest of one claim, with the time at which it ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct Tombstone {
     time: Time,
@@ -43,17 +43,17 @@
 }
 
 impl Tombstones {
-    /// How many there are.
+    /// Returns the number of tombstones.
     pub(crate) fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Whether a claim has one.
+    /// Returns whether a claim has a tombstone.
     pub(crate) fn contains(&self, key: &Key) -> bool {
         self.digests.contains(&digest(key))
     }
 
-    /// Adds a claim that ended at a time, not before the ones added earlier.
+    /// Adds a claim that ended at `time`, which must not be before that of earlier ones.
     pub(crate) fn insert(&mut self, key: &Key, time: Time) {
         let digest = digest(key);
         if self.digests.insert(digest) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Drops those that ended before a time.
+    /// Drops the tombstones of claims that ended before a time.
     pub(crate) fn expire(&mut self, before: Time) {
         while let Some(oldest) = self.order.front().filter(|it| it.time < before) {
             self.digests.remove(&oldest.digest);
@@ -70,7 +70,7 @@
     }
 }
 
-/// The digest of caller and key, each with its length before it.
+/// Returns the digest of caller and key, each prefixed with its length.
 fn digest(key: &Key) -> Digest {
     let mut hasher = blake3::Hasher::new();
     for part in [&key.caller, &key.key] {
--- a/crates/control/src/tracks.rs
+++ b/crates/control/src/tracks.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of each replica's orders.
+//! The leader's state of each replica's orders.
 
 use std::collections::BTreeMap;
 
@@ -9,33 +9,33 @@
 use crate::mutation::{self, Mutation};
 use crate::replicas::{QUIET_BEATS, Replica};
 
-/// Between two heartbeats at least, so that each stands for running time of the worker: it also
-/// sends one at each change of its inventory.
+/// The minimum interval between counted heartbeats, so that each stands for running time of the
+/// worker: it also sends one at each change of its inventory.
 const APART: Time = Time::from_millis(800);
 
-/// An order, as far as it is known.
+/// The delivery status of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Sent {
     /// This leader has not sent it.
     Never,
-    /// It was given out, and its outcome is not known yet.
+    /// It was sent, and its outcome is not known yet.
     Out {
-        /// When.
+        /// When it was sent.
         at: Time,
     },
     /// It may have arrived.
     Unknown {
-        /// Since when that is known.
+        /// When its outcome became unknown.
         at: Time,
     },
     /// The worker answered it.
     Settled,
-    /// It never left or was refused, and is not sent any more.
+    /// It was never sent or was refused, and will not be sent again.
     Withheld,
 }
 
 impl Sent {
-    /// Its name, for operators.
+    /// Returns the name shown to operators.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Never => "never sent",
@@ -47,38 +47,38 @@
     }
 }
 
-/// One replica.
+/// The state of one replica's orders.
 #[derive(Debug, Clone)]
 pub(crate) struct Track {
-    /// Whether an earlier leader decided it, and may have sent any order for it.
+    /// Whether an earlier leader decided the replica, and may have sent any order for it.
     pub(crate) inherited: bool,
-    /// Its load order.
+    /// The load order.
     pub(crate) load: Sent,
-    /// Its unload order.
+    /// The unload order.
     pub(crate) unload: Sent,
-    /// Whether an order for it may still arrive.
+    /// Whether an order for the replica may still arrive.
     pub(crate) doubtful: bool,
-    /// Heartbeats without the replica since an order was last sent or answered, or since this
-    /// leader began to listen.
+    /// Heartbeats without the replica since an order was last sent or answered, or since the start
+    /// of this term.
     pub(crate) calm: u64,
-    /// When the last of them came.
+    /// When the last of them was counted.
     pub(crate) calmed: Option<Time>,
-    /// The heartbeat that was newest when the unload was last sent.
+    /// The newest heartbeat when the unload was last sent.
     pub(crate) asked: u64,
-    /// The newest heartbeat that showed it.
+    /// The newest heartbeat that showed the replica.
     pub(crate) seen: Option<u64>,
     /// When it was retired.
     pub(crate) retired: Option<Time>,
     /// When a request was last in progress on it.
     pub(crate) used: Time,
-    /// Where its weights came from.
+    /// The storage tier from which its weights were loaded.
     pub(crate) from: Stage,
-    /// Adapters ready on it.
+    /// The adapters ready on it.
     pub(crate) adapters: Vec<Name>,
 }
 
 impl Track {
-    /// A replica that this leader decided.
+    /// Creates the state of a replica that this leader decided.
     pub(crate) fn new(from: Stage, now: Time) -> Self {
         Self {
             inherited: false,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A replica that an earlier leader decided.
+    /// Creates the state of a replica that an earlier leader decided.
     pub(crate) fn inherit(replica: &Replica, now: Time) -> Self {
         Self {
             inherited: true,
@@ -106,14 +106,14 @@
         }
     }
 
-    /// Whether no load order has ever left.
+    /// Returns whether no load order was ever sent.
     pub(crate) fn is_unsent(&self, replica: &Replica) -> bool {
         let unseen = self.seen.is_none() && replica.ready.is_none();
         let unsent = matches!(self.load, Sent::Never | Sent::Withheld);
         unseen && !replica.adopted && !self.inherited && unsent
     }
 
-    /// Whether a heartbeat without the replica shows that it is gone and stays gone.
+    /// Returns whether a heartbeat without the replica proves that it is gone and stays gone.
     ///
     /// `fencing` says that the worker refuses orders with an old fencing number, so that a load
     /// order is sent again until it is answered.
@@ -137,12 +137,12 @@
         }
     }
 
-    /// Starts to count heartbeats without the replica.
+    /// Restarts the count of heartbeats without the replica.
     pub(crate) fn stir(&mut self) {
         self.calm = 0;
     }
 
-    /// Counts a heartbeat without the replica; several that come at once count as one.
+    /// Counts a heartbeat without the replica; several in quick succession count as one.
     pub(crate) fn rest(&mut self, now: Time) {
         if self.calmed.is_none_or(|calmed| now >= calmed + APART) {
             self.calmed = Some(now);
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Counts an order as unknown that has been out for too long.
+    /// Treats orders in flight since before a time as having an unknown outcome.
     pub(crate) fn lapse(&mut self, before: Time, now: Time) {
         for sent in [&mut self.load, &mut self.unload] {
             if matches!(sent, Sent::Out { at } if *at < before) {
@@ -161,7 +161,7 @@
     }
 }
 
-/// All replicas by their ids.
+/// The order state of all replicas, by id.
 #[derive(Debug, Default)]
 pub(crate) struct Tracks(BTreeMap<ReplicaId, Track>);
 
--- a/crates/control/src/turn.rs
+++ b/crates/control/src/turn.rs
@@ -1,4 +1,4 @@
-//! What one call of the leader works with.
+//! The context of one call of the leader.
 
 use cornelhitch_types::id::Time;
 
@@ -6,14 +6,14 @@
 use crate::state::State;
 use crate::timing::Timing;
 
-/// One call: the state, the time, and where actions go.
+/// The inputs of one call, and the actions it collects.
 pub(crate) struct Turn<'a> {
     /// The replicated state.
     pub(crate) state: &'a State,
-    /// The time.
+    /// The time of the call.
     pub(crate) now: Time,
-    /// The leader's lengths of time.
+    /// The leader's timeouts and intervals.
     pub(crate) timing: &'a Timing,
-    /// Actions of this call.
+    /// The actions collected so far.
     pub(crate) out: Vec<Output>,
 }
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -1,4 +1,4 @@
-//! What the leader has heard of targets.
+//! What the leader has heard from targets.
 
 use std::collections::BTreeMap;
 
@@ -16,59 +16,59 @@
 pub(crate) struct Beat {
     /// Its sequence number.
     pub(crate) sequence: u64,
-    /// What the target holds.
+    /// The copies that the target holds.
     pub(crate) inventory: Vec<Holding>,
-    /// Its load.
+    /// The load of the target.
     pub(crate) load: Load,
 }
 
-/// A copy in accelerator memory that no replica explains.
+/// A copy in accelerator memory that belongs to no decided replica.
 #[derive(Debug, Clone)]
 pub(crate) struct Stranger {
-    /// The model.
+    /// The model of the copy.
     pub(crate) model: Reference,
-    /// The replica that the worker names, which stands no more.
+    /// The replica that the worker names, which no longer holds a reservation.
     pub(crate) replica: Option<ReplicaId>,
-    /// Memory that it takes, in bytes.
+    /// The memory it takes, in bytes.
     pub(crate) bytes: u64,
-    /// Whether it answers.
+    /// Whether it takes requests.
     pub(crate) ready: bool,
     /// When it was first seen.
     pub(crate) since: Time,
-    /// The heartbeat that first showed it.
+    /// The sequence number of the heartbeat that first showed it.
     pub(crate) first: u64,
-    /// Whether the state machine refused to make a replica of it.
+    /// Whether the state machine refused to adopt it as a replica.
     pub(crate) refused: bool,
-    /// The heartbeat that was newest when an unload was ordered.
+    /// The newest heartbeat when its unload was ordered; `None` before that.
     pub(crate) ordered: Option<u64>,
 }
 
-/// A model that is being loaded where no replica is decided in the log.
+/// A load in progress on a worker whose replicas are not decided in the log.
 #[derive(Debug, Clone)]
 pub(crate) struct Coming {
-    /// The model.
+    /// The model being loaded.
     pub(crate) model: ModelId,
     /// When it is expected to be ready.
     pub(crate) due: Time,
 }
 
-/// A model that is not loaded on a worker before a time.
+/// A model that must not be loaded on a worker before a time.
 #[derive(Debug, Clone)]
 pub(crate) struct Backoff {
     /// The model.
     pub(crate) model: ModelId,
-    /// Until when.
+    /// When the backoff ends.
     pub(crate) until: Time,
 }
 
-/// Whether a target leaves.
+/// Whether a target is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Leave {
-    /// It does not.
+    /// It is not leaving.
     Stays,
-    /// Its newest heartbeat says so.
+    /// Its newest heartbeat says that it is leaving.
     Beats,
-    /// It said so besides its heartbeats; that lasts for its life.
+    /// It said so outside its heartbeats; that lasts for its incarnation.
     Told,
 }
 
@@ -78,35 +78,35 @@
     }
 }
 
-/// One life of a target.
+/// What the leader has heard from one incarnation of a target.
 #[derive(Debug, Clone)]
 pub(crate) struct Worker {
-    /// Its life.
+    /// The incarnation.
     pub(crate) incarnation: Incarnation,
-    /// When it was last heard of, or when the leader began to listen.
+    /// When it was last heard, or when the leader began to listen.
     pub(crate) heard: Time,
     /// Its newest heartbeat in this term.
     pub(crate) beat: Option<Beat>,
     /// Whether it is suspected to have failed.
     pub(crate) suspected: bool,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     pub(crate) leave: Leave,
-    /// Whether an entry host lost it since its last heartbeat.
+    /// Whether an entry host reported it lost since its last heartbeat.
     pub(crate) hinted: bool,
-    /// Until when such hints alone don't count.
+    /// Until when such reports alone are ignored.
     pub(crate) distrusted: Time,
-    /// Copies that no replica explains.
+    /// Copies that belong to no decided replica.
     pub(crate) strangers: Vec<Stranger>,
     /// Replicas of unmanaged models, as entry hosts see them.
     pub(crate) observed: Vec<view::Replica>,
-    /// The model that is being loaded, among those observed.
+    /// The load in progress, which is among the observed replicas.
     coming: Option<Coming>,
-    /// Models that are not loaded here for a while.
+    /// Models that must not be loaded here for a while.
     pub(crate) backoff: Vec<Backoff>,
 }
 
 impl Worker {
-    /// A target that has not been heard in this term.
+    /// Creates the state of a target that has not been heard in this term.
     pub(crate) fn new(incarnation: Incarnation, now: Time) -> Self {
         Self {
             incarnation,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Takes over what it held under an earlier leader, until its first heartbeat.
+    /// Restores what the worker held under an earlier leader, until its first heartbeat.
     pub(crate) fn recall(&mut self, held: &[Reference]) {
         let holding = |model: &Reference| Holding {
             model: model.clone(),
@@ -139,22 +139,22 @@
         });
     }
 
-    /// The newest heartbeat's number; 0 before the first.
+    /// Returns the sequence number of the newest heartbeat; 0 before the first.
     pub(crate) fn sequence(&self) -> u64 {
         self.beat.as_ref().map_or(0, |beat| beat.sequence)
     }
 
-    /// Whether it may get new work.
+    /// Returns whether the target may get new work.
     pub(crate) fn is_open(&self) -> bool {
         self.leave == Leave::Stays && !self.suspected
     }
 
-    /// Whether it may be loaded.
+    /// Returns whether models may be loaded on the target.
     pub(crate) fn is_loadable(&self) -> bool {
         self.is_open() && self.beat.is_some()
     }
 
-    /// Accelerator memory that no replica explains, in bytes.
+    /// Returns the accelerator memory of copies that belong to no decided replica, in bytes.
     pub(crate) fn unexplained(&self) -> u64 {
         if mutation::is(Mutation::NoStrangers) {
             return 0;
@@ -163,25 +163,25 @@
         bytes.fold(0, u64::saturating_add)
     }
 
-    /// Whether nothing runs or waits inside it.
+    /// Returns whether nothing runs or waits on the target.
     pub(crate) fn is_idle(&self) -> bool {
         let load = self.beat.as_ref().map(|beat| beat.load);
         load.is_some_and(|load| load.running == 0 && load.queued == 0)
     }
 
-    /// Whether a copy of a model that no replica explains is here.
+    /// Returns whether the target holds a copy of a model that belongs to no decided replica.
     pub(crate) fn shows(&self, model: &str) -> bool {
         let mut strangers = self.strangers.iter();
         strangers.any(|it| &*it.model.model == model) && !mutation::is(Mutation::NoStrangers)
     }
 
-    /// Whether a model may not be loaded here now.
+    /// Returns whether a model must not be loaded here now.
     pub(crate) fn blocks(&self, model: &str, now: Time) -> bool {
         let mut backoff = self.backoff.iter();
         self.shows(model) || backoff.any(|it| &*it.model == model && now < it.until)
     }
 
-    /// Does not load a model here until a time.
+    /// Keeps a model from being loaded here until a time.
     pub(crate) fn back_off(&mut self, model: &ModelId, until: Time, now: Time) {
         self.backoff
             .retain(|it| now < it.until && it.model != *model);
@@ -191,7 +191,7 @@
         });
     }
 
-    /// Takes a heartbeat.
+    /// Handles a heartbeat.
     pub(crate) fn take(&mut self, heartbeat: Heartbeat, now: Time, distrust: Time) {
         self.heard = now;
         self.suspected = false;
@@ -208,9 +208,10 @@
         });
     }
 
-    /// Sorts the copies that no replica explains: unmanaged ones are observed, others are strangers.
+    /// Classifies the copies that belong to no decided replica: all count as orphans, and ready
+    /// ones of unmanaged models are also observed.
     ///
-    /// Says whether the observed ones changed.
+    /// Returns whether the observed ones changed.
     pub(crate) fn sort(
         &mut self,
         target: &TargetId,
@@ -237,10 +238,11 @@
         changed
     }
 
-    /// Takes every copy in accelerator memory as observed, where no replica is decided in the log;
-    /// `shown` tells the adapters of a copy and whether it takes requests. What is `coming` is shown
-    /// as loading.
+    /// Takes every ready copy as observed, on a worker whose replicas are not decided in the log.
+    /// `shown` returns the adapters of a copy and whether it takes requests. A load in progress is
+    /// shown as loading.
     ///
+    /// Returns whether the observed replicas changed.
     /// Says whether they changed.
     pub(crate) fn observe(
         &mut self,
@@ -276,7 +278,7 @@
         changed
     }
 
-    /// The observed copies as a host sees them that learns of them now.
+    /// Returns the observed replicas, with the remaining load time as of now.
     pub(crate) fn observed(&self, now: Time) -> impl Iterator<Item = view::Replica> {
         let due = self.coming.as_ref().map(|coming| coming.due);
         self.observed
@@ -291,7 +293,7 @@
             })
     }
 
-    /// A stranger, with what is known of it from earlier heartbeats.
+    /// Returns an orphan, with what is known of it from earlier heartbeats.
     fn stranger(&self, holding: &Holding, sequence: u64, now: Time) -> Stranger {
         let same = |it: &&Stranger| it.model == holding.model && it.replica == holding.replica;
         let old = self.strangers.iter().find(same);
@@ -308,9 +310,9 @@
     }
 }
 
-/// Whether a copy is a replica's.
+/// Returns whether a copy belongs to a replica.
 ///
-/// Workers that keep replica ids are matched by id, others by model and version.
+/// Workers that report replica ids are matched by id, others by model and version.
 pub(crate) fn explains(replica: &Replica, holding: &Holding) -> bool {
     if let Some(id) = holding.replica {
         return id == replica.id;
@@ -322,7 +324,8 @@
         && version.is_none_or(|(held, decided)| held == decided)
 }
 
-/// Copies in accelerator memory that no replica explains; each replica explains one.
+/// Returns the copies in accelerator memory that belong to no replica; each replica accounts for
+/// one.
 fn unexplained<'a>(inventory: &'a [Holding], replicas: &[&Replica]) -> Vec<&'a Holding> {
     let mut explained = Vec::new();
     let mut left = Vec::new();
@@ -336,7 +339,7 @@
     left
 }
 
-/// An unmanaged copy as entry hosts see it, under an id that no decision gives out.
+/// Returns an unmanaged copy as entry hosts see it, under an id that no decided replica gets.
 fn observe(target: &TargetId, incarnation: Incarnation, holding: &Holding) -> view::Replica {
     let mut hasher = blake3::Hasher::new();
     hasher.update(target.as_bytes());
@@ -355,7 +358,7 @@
     }
 }
 
-/// A copy that is being loaded as entry hosts see it, under the id that it keeps once it is ready.
+/// Returns a copy being loaded as entry hosts see it, under the id that it keeps once it is ready.
 fn loading(
     target: &TargetId,
     incarnation: Incarnation,
@@ -376,13 +379,13 @@
     }
 }
 
-/// The time until then, in milliseconds.
+/// Returns the remaining time, in milliseconds.
 fn left(then: Time, now: Time) -> u32 {
     let left = then.saturating_sub(now).as_millis();
     u32::try_from(left).unwrap_or(u32::MAX)
 }
 
-/// The bit that ids of observed replicas have and ids of decided ones never reach.
+/// The bit that is set in ids of observed replicas and never in ids of decided ones.
 pub(crate) const OBSERVED: ReplicaId = 1 << 63;
 
 /// All targets by their names.
