--- a/crates/control/src/catalogue.rs
+++ b/crates/control/src/catalogue.rs
@@ -12,13 +12,13 @@
 use crate::mutation::{self, Mutation};
 
 /// The maximum number of answers to operators that are kept for resends.
-pub const ANSWERS: usize = 4_096;
+pub const MAX_KEPT_ANSWERS: usize = 4_096;
 
 /// The longest settings text, in bytes.
-pub const TEXT: usize = 1 << 20;
+pub const MAX_TEXT_BYTES: usize = 1 << 20;
 
 /// The longest operator name and request id, in bytes.
-pub const NAME: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 
 /// An operator's request to bring a settings text into force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
 
 /// An answer that is repeated to a resend.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Kept {
+struct KeptAnswer {
     operator: Name,
     request: Name,
     digest: [u8; 32],
@@ -70,7 +70,7 @@
     version: Version,
     text: Name,
     fleet: Arc<Fleet>,
-    kept: VecDeque<Kept>,
+    kept: VecDeque<KeptAnswer>,
 }
 
 /// A catalogue as stored in a snapshot.
@@ -78,7 +78,7 @@
 pub(crate) struct Image {
     version: Version,
     text: Name,
-    kept: VecDeque<Kept>,
+    kept: VecDeque<KeptAnswer>,
 }
 
 impl Catalogue {
@@ -104,7 +104,8 @@
     /// version.
     pub(crate) fn apply(&mut self, apply: Apply) -> Answer {
         let digest = digest(&apply);
-        let same = |kept: &&Kept| kept.operator == apply.operator && kept.request == apply.request;
+        let same =
+            |kept: &&KeptAnswer| kept.operator == apply.operator && kept.request == apply.request;
         if let Some(kept) = self.kept.iter().find(same) {
             if kept.digest != digest {
                 return Answer::Reused;
@@ -112,7 +113,7 @@
             return kept.answer.clone();
         }
         let answer = self.decide(&apply);
-        self.keep(Kept {
+        self.keep(KeptAnswer {
             operator: apply.operator,
             request: apply.request,
             digest,
@@ -123,7 +124,7 @@
 
     /// Answers a request that was not seen before.
     fn decide(&mut self, apply: &Apply) -> Answer {
-        if let Some(faults) = oversized(apply) {
+        if let Some(faults) = size_fault(apply) {
             return Answer::Faulty { faults };
         }
         if apply.base != self.version && !mutation::is(Mutation::NoBaseCheck) {
@@ -147,11 +148,11 @@
     }
 
     /// Keeps an answer, and drops the oldest above the limit.
-    fn keep(&mut self, mut kept: Kept) {
-        kept.operator = cut(&kept.operator);
-        kept.request = cut(&kept.request);
+    fn keep(&mut self, mut kept: KeptAnswer) {
+        kept.operator = truncate_name(&kept.operator);
+        kept.request = truncate_name(&kept.request);
         self.kept.push_back(kept);
-        if self.kept.len() > ANSWERS {
+        if self.kept.len() > MAX_KEPT_ANSWERS {
             self.kept.pop_front();
         }
     }
@@ -189,22 +190,29 @@
 }
 
 /// Returns the fault if the text or a name is too long.
-fn oversized(apply: &Apply) -> Option<Name> {
-    if apply.text.len() > TEXT {
+fn size_fault(apply: &Apply) -> Option<Name> {
+    if apply.text.len() > MAX_TEXT_BYTES {
         let found = apply.text.len();
-        return Some(format!("1:1: the text has {found} bytes, at most {TEXT} are allowed").into());
+        return Some(
+            format!("1:1: the text has {found} bytes, at most {MAX_TEXT_BYTES} are allowed").into(),
+        );
     }
     let name = apply.operator.len().max(apply.request.len());
-    (name > NAME).then(|| {
-        format!("1:1: the operator or request id has {name} bytes, at most {NAME} are allowed")
-            .into()
+    (name > MAX_NAME_BYTES).then(|| {
+        format!(
+            "1:1: the operator or request id has {name} bytes, at most {MAX_NAME_BYTES} are allowed"
+        )
+        .into()
     })
 }
 
 /// Truncates a name that is too long; a request with such a name is never accepted.
-fn cut(name: &Name) -> Name {
-    if name.len() <= NAME {
+fn truncate_name(name: &Name) -> Name {
+    if name.len() <= MAX_NAME_BYTES {
         return name.clone();
     }
-    name.chars().take(NAME / 4).collect::<String>().into()
+    name.chars()
+        .take(MAX_NAME_BYTES / 4)
+        .collect::<String>()
+        .into()
 }
--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -79,7 +79,7 @@
 
 /// Claims as encoded into a snapshot, with the layout of [`Image`].
 #[derive(Serialize)]
-struct Borrowed<'a> {
+struct ImageRef<'a> {
     records: &'a BTreeMap<Key, Record>,
     ended: &'a VecDeque<End>,
     bare: usize,
@@ -89,14 +89,14 @@
 
 impl Serialize for Claims {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let borrowed = Borrowed {
+        let image = ImageRef {
             records: &self.records,
             ended: &self.ended,
             bare: self.bare,
             tombstones: &self.tombstones,
             watermark: self.watermark,
         };
-        borrowed.serialize(serializer)
+        image.serialize(serializer)
     }
 }
 
--- a/crates/control/src/turn.rs
+++ b/crates/control/src/context.rs
@@ -7,7 +7,7 @@
 use crate::timing::Timing;
 
 /// The inputs of one call, and the actions it collects.
-pub(crate) struct Turn<'a> {
+pub(crate) struct Context<'a> {
     /// The replicated state.
     pub(crate) state: &'a State,
     /// The time of the call.
--- a/crates/control/src/levels.rs
+++ b/crates/control/src/demand.rs
@@ -8,21 +8,21 @@
 
 /// What a row of demand is for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Subject {
+struct DemandKey {
     model: ModelId,
     version: Option<Name>,
 }
 
 /// What a row of the planner's input is for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
-    subject: Subject,
+struct RegionalKey {
+    key: DemandKey,
     region: RegionId,
 }
 
 /// The newest report of one entry host.
 #[derive(Debug)]
-struct Level {
+struct HostDemand {
     incarnation: Incarnation,
     sequence: u64,
     received: Time,
@@ -30,7 +30,7 @@
     region: RegionId,
     rows: Vec<Demand>,
     /// The arrival counts last reported, by model and version.
-    counted: BTreeMap<Subject, u64>,
+    arrivals_reported: BTreeMap<DemandKey, u64>,
 }
 
 /// The demand of all entry hosts for one model.
@@ -62,21 +62,21 @@
 
 /// The newest reports of all entry hosts.
 #[derive(Debug, Default)]
-pub(crate) struct Levels {
-    hosts: BTreeMap<HostId, Level>,
-    arrivals: BTreeMap<Place, u64>,
-    running: Running,
+pub(crate) struct DemandTracker {
+    hosts: BTreeMap<HostId, HostDemand>,
+    arrivals: BTreeMap<RegionalKey, u64>,
+    running: RunningCounts,
     /// The part of `running` that was reported by hosts now out of contact.
-    stale: Running,
+    stale: RunningCounts,
     /// Arrivals by model since the start of this term.
-    arrived: BTreeMap<ModelId, u64>,
+    total_arrivals: BTreeMap<ModelId, u64>,
 }
 
-impl Levels {
+impl DemandTracker {
     /// Handles a report; returns whether more requests wait for some model than before.
-    pub(crate) fn take(&mut self, report: Report, now: Time) -> bool {
+    pub(crate) fn on_report(&mut self, report: Report, now: Time) -> bool {
         let old = self.hosts.remove(&report.host);
-        let mut counted = BTreeMap::new();
+        let mut arrivals_reported = BTreeMap::new();
         let mut before = Vec::new();
         if let Some(old) = old {
             let newest = (old.incarnation, old.sequence);
@@ -84,28 +84,31 @@
                 self.hosts.insert(report.host, old);
                 return false;
             }
-            self.running.take(&old.rows);
+            self.running.subtract(&old.rows);
             if old.stale {
-                self.stale.take(&old.rows);
+                self.stale.subtract(&old.rows);
             }
             before = old.rows;
             if report.incarnation == old.incarnation {
-                counted = old.counted;
+                arrivals_reported = old.arrivals_reported;
             }
         }
-        let grown = report.rows.iter().any(|row| grows(row, &before));
-        self.count_arrivals(&report, &mut counted);
+        let grown = report
+            .rows
+            .iter()
+            .any(|row| is_waiting_increased(row, &before));
+        self.count_arrivals(&report, &mut arrivals_reported);
         self.running.add(&report.rows);
-        let level = Level {
+        let host = HostDemand {
             incarnation: report.incarnation,
             sequence: report.sequence,
             received: now,
             stale: false,
             region: report.region,
             rows: report.rows,
-            counted,
+            arrivals_reported,
         };
-        self.hosts.insert(report.host, level);
+        self.hosts.insert(report.host, host);
         grown
     }
 
@@ -115,24 +118,24 @@
     /// A host out of contact continues the requests it has in progress, while those that wait there
     /// cannot be sent anywhere.
     pub(crate) fn expire(&mut self, waiting: Time, running: Time) {
-        for level in self.hosts.values_mut() {
-            if level.received < waiting && !level.stale {
-                level.stale = true;
-                self.stale.add(&level.rows);
-                level.rows.iter_mut().for_each(|row| row.waiting = 0);
+        for host in self.hosts.values_mut() {
+            if host.received < waiting && !host.stale {
+                host.stale = true;
+                self.stale.add(&host.rows);
+                host.rows.iter_mut().for_each(|row| row.waiting = 0);
             }
-            if level.received < running {
-                self.running.take(&level.rows);
-                self.stale.take(&level.rows);
-                level.rows.clear();
+            if host.received < running {
+                self.running.subtract(&host.rows);
+                self.stale.subtract(&host.rows);
+                host.rows.clear();
             }
         }
     }
 
     /// Returns whether a host has reported since a time.
-    pub(crate) fn is_heard(&self, host: HostId, since: Time) -> bool {
-        let level = self.hosts.get(&host);
-        level.is_some_and(|level| level.received >= since)
+    pub(crate) fn has_reported_since(&self, host: HostId, since: Time) -> bool {
+        let host = self.hosts.get(&host);
+        host.is_some_and(|host| host.received >= since)
     }
 
     /// Returns the requests in progress on replicas of a model.
@@ -141,7 +144,7 @@
     }
 
     /// Returns the requests in progress on replicas of a model, as reported by hosts in contact.
-    pub(crate) fn fresh(&self, model: &str) -> u32 {
+    pub(crate) fn running_in_contact(&self, model: &str) -> u32 {
         self.running
             .get(model)
             .saturating_sub(self.stale.get(model))
@@ -150,7 +153,7 @@
     /// Returns the demand for each model, summed over the hosts.
     pub(crate) fn totals(&self) -> BTreeMap<ModelId, Total> {
         let mut totals: BTreeMap<ModelId, Total> = BTreeMap::new();
-        for row in self.hosts.values().flat_map(|level| &level.rows) {
+        for row in self.hosts.values().flat_map(|host| &host.rows) {
             let total = totals.entry(row.model.clone()).or_insert_with(Total::none);
             if row.waiting > 0 {
                 total.slack = total.slack.min(row.slack);
@@ -164,57 +167,61 @@
                 }
             }
         }
-        for (model, arrived) in &self.arrived {
+        for (model, total_arrivals) in &self.total_arrivals {
             let total = totals.entry(model.clone()).or_insert_with(Total::none);
-            total.arrivals = *arrived;
+            total.arrivals = *total_arrivals;
         }
         totals
     }
 
     /// Returns the rows of the planner's input; arrivals count since the last call.
     pub(crate) fn rows(&mut self) -> Vec<picture::Demand> {
-        let mut rows: BTreeMap<Place, picture::Demand> = BTreeMap::new();
-        for level in self.hosts.values() {
-            for demand in &level.rows {
-                let place = Place {
-                    subject: Subject::of(demand),
-                    region: level.region.clone(),
+        let mut rows: BTreeMap<RegionalKey, picture::Demand> = BTreeMap::new();
+        for host in self.hosts.values() {
+            for demand in &host.rows {
+                let regional = RegionalKey {
+                    key: DemandKey::of(demand),
+                    region: host.region.clone(),
                 };
-                let row = rows.entry(place).or_insert_with_key(empty);
-                add(row, demand, level.received);
+                let row = rows.entry(regional).or_insert_with_key(empty_row);
+                add_demand(row, demand, host.received);
             }
         }
-        for (place, arrivals) in std::mem::take(&mut self.arrivals) {
-            let row = rows.entry(place).or_insert_with_key(empty);
+        for (regional, arrivals) in std::mem::take(&mut self.arrivals) {
+            let row = rows.entry(regional).or_insert_with_key(empty_row);
             row.arrivals += arrivals;
         }
         rows.into_values().collect()
     }
 
     /// Counts arrivals since the last report of the same incarnation.
-    fn count_arrivals(&mut self, report: &Report, counted: &mut BTreeMap<Subject, u64>) {
+    fn count_arrivals(
+        &mut self,
+        report: &Report,
+        arrivals_reported: &mut BTreeMap<DemandKey, u64>,
+    ) {
         for row in &report.rows {
-            let subject = Subject::of(row);
-            let seen = counted.insert(subject.clone(), row.arrivals);
+            let key = DemandKey::of(row);
+            let seen = arrivals_reported.insert(key.clone(), row.arrivals);
             // A host's first report to this leader counts only what waits, because the previous
             // leader may already have counted older arrivals.
             let base = seen.unwrap_or(row.arrivals.saturating_sub(u64::from(row.waiting)));
-            let place = Place {
-                subject,
+            let regional = RegionalKey {
+                key,
                 region: report.region.clone(),
             };
             let new = row.arrivals.saturating_sub(base);
-            *self.arrived.entry(row.model.clone()).or_default() += new;
-            *self.arrivals.entry(place).or_default() += new;
+            *self.total_arrivals.entry(row.model.clone()).or_default() += new;
+            *self.arrivals.entry(regional).or_default() += new;
         }
     }
 }
 
 /// Requests in progress by model.
 #[derive(Debug, Default)]
-struct Running(BTreeMap<ModelId, u32>);
+struct RunningCounts(BTreeMap<ModelId, u32>);
 
-impl Running {
+impl RunningCounts {
     /// Returns the requests in progress for a model.
     fn get(&self, model: &str) -> u32 {
         self.0.get(model).copied().unwrap_or(0)
@@ -229,7 +236,7 @@
     }
 
     /// Subtracts the requests of rows that were added before.
-    fn take(&mut self, rows: &[Demand]) {
+    fn subtract(&mut self, rows: &[Demand]) {
         for row in rows {
             let sum = self.0.entry(row.model.clone()).or_default();
             *sum = sum.saturating_sub(row.running);
@@ -237,7 +244,7 @@
     }
 }
 
-impl Subject {
+impl DemandKey {
     /// Returns the subject of a row.
     fn of(demand: &Demand) -> Self {
         Self {
@@ -248,18 +255,18 @@
 }
 
 /// Returns whether more requests wait than in the previous rows.
-fn grows(row: &Demand, before: &[Demand]) -> bool {
+fn is_waiting_increased(row: &Demand, before: &[Demand]) -> bool {
     let same = |old: &&Demand| old.model == row.model && old.version == row.version;
     let old = before.iter().find(same);
     row.waiting > old.map_or(0, |old| old.waiting)
 }
 
 /// Returns a row without requests.
-fn empty(place: &Place) -> picture::Demand {
+fn empty_row(regional: &RegionalKey) -> picture::Demand {
     picture::Demand {
-        model: place.subject.model.clone(),
-        version: place.subject.version.clone(),
-        region: place.region.clone(),
+        model: regional.key.model.clone(),
+        version: regional.key.version.clone(),
+        region: regional.region.clone(),
         waiting: 0,
         running: 0,
         deadline: Time::MAX,
@@ -270,7 +277,7 @@
 }
 
 /// Adds one host's demand to a row.
-fn add(row: &mut picture::Demand, demand: &Demand, received: Time) {
+fn add_demand(row: &mut picture::Demand, demand: &Demand, received: Time) {
     row.waiting = row.waiting.saturating_add(demand.waiting);
     row.running = row.running.saturating_add(demand.running);
     if demand.waiting > 0 {
--- a/crates/control/src/dump.rs
+++ b/crates/control/src/dump.rs
@@ -3,8 +3,8 @@
 use cornelhitch_types::id::{HostId, ReplicaId, TargetId, Term, Time, Version};
 use serde::Serialize;
 
-use crate::reign::Reign;
 use crate::state::State;
+use crate::term_state::TermState;
 
 /// The soft state of the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -74,51 +74,57 @@
 
 impl Dump {
     /// Collects the soft state of a term.
-    pub(crate) fn new(reign: &Reign, state: &State, now: Time) -> Self {
+    pub(crate) fn new(term_state: &TermState, state: &State, now: Time) -> Self {
         let version = state.catalogue().version();
         Self {
-            term: reign.term,
-            age: now.saturating_sub(reign.since),
-            in_force: reign.leases.oldest(now).map_or(0, |it| it.min(version)),
-            targets: targets(reign, now),
-            replicas: replicas(reign),
-            hosts: hosts(reign, now),
-            adapters: reign.adapters.len(),
-            strikes: reign.quarantine.len(),
+            term: term_state.term,
+            age: now.saturating_sub(term_state.since),
+            in_force: term_state
+                .leases
+                .oldest(now)
+                .map_or(0, |it| it.min(version)),
+            targets: targets(term_state, now),
+            replicas: replicas(term_state),
+            hosts: hosts(term_state, now),
+            adapters: term_state.adapters.len(),
+            strikes: term_state.quarantine.len(),
         }
     }
 }
 
 /// Collects the targets.
-fn targets(reign: &Reign, now: Time) -> Vec<Target> {
-    let targets = reign.workers.iter().map(|(target, worker)| Target {
+fn targets(term_state: &TermState, now: Time) -> Vec<Target> {
+    let targets = term_state.workers.iter().map(|(target, worker)| Target {
         target: target.clone(),
-        silence: now.saturating_sub(worker.heard),
+        silence: now.saturating_sub(worker.last_heard),
         sequence: worker.sequence(),
         open: worker.is_open(),
-        unexplained: worker.unexplained(),
+        unexplained: worker.orphan_bytes(),
     });
     targets.collect()
 }
 
 /// Collects the replicas.
-fn replicas(reign: &Reign) -> Vec<Replica> {
-    let replicas = reign.tracks.iter().map(|(replica, track)| Replica {
-        replica: *replica,
-        inherited: track.inherited,
-        load: track.load.name(),
-        unload: track.unload.name(),
-        doubtful: track.doubtful,
-        seen: track.seen,
-    });
+fn replicas(term_state: &TermState) -> Vec<Replica> {
+    let replicas = term_state
+        .replica_orders
+        .iter()
+        .map(|(replica, orders)| Replica {
+            replica: *replica,
+            inherited: orders.inherited,
+            load: orders.load.name(),
+            unload: orders.unload.name(),
+            doubtful: orders.may_arrive,
+            seen: orders.last_seen,
+        });
     replicas.collect()
 }
 
 /// Collects the entry hosts.
-fn hosts(reign: &Reign, now: Time) -> Vec<Host> {
-    let hosts = reign.leases.iter().map(|lease| Host {
+fn hosts(term_state: &TermState, now: Time) -> Vec<Host> {
+    let hosts = term_state.leases.iter().map(|lease| Host {
         host: lease.host.host,
-        silence: now.saturating_sub(lease.heard),
+        silence: now.saturating_sub(lease.last_heard),
         settings: lease.host.settings,
         leased: lease.is_valid(now),
     });
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -6,17 +6,17 @@
 use cornelhitch_types::view::{Change, View};
 
 use crate::output::{Audience, Output};
-use crate::scene::Scene;
+use crate::view_builder::ViewBuilder;
 
 /// The minimum interval between two urgent publications, for each entry host.
-const SPACING: Time = Time::from_micros(300);
+const URGENT_INTERVAL_PER_HOST: Time = Time::from_micros(300);
 
 /// The maximum number of changes kept for entry hosts that missed them.
-const KEPT: usize = 20_000;
+const MAX_KEPT_CHANGES: usize = 20_000;
 
 /// The changes of one publication.
 #[derive(Debug)]
-struct Page {
+struct Publication {
     sequence: u64,
     changes: Vec<Change>,
 }
@@ -26,14 +26,14 @@
 pub(crate) struct Feed {
     term: Term,
     sequence: u64,
-    published: Option<Time>,
-    pages: VecDeque<Page>,
-    kept: usize,
+    last_published: Option<Time>,
+    publications: VecDeque<Publication>,
+    kept_changes: usize,
     urgent: bool,
-    targets: BTreeSet<TargetId>,
-    replicas: BTreeSet<ReplicaId>,
-    hosts: BTreeSet<HostId>,
-    others: Vec<Change>,
+    changed_targets: BTreeSet<TargetId>,
+    changed_replicas: BTreeSet<ReplicaId>,
+    changed_hosts: BTreeSet<HostId>,
+    other_changes: Vec<Change>,
 }
 
 impl Feed {
@@ -42,37 +42,37 @@
         Self {
             term,
             sequence: 1,
-            published: None,
-            pages: VecDeque::new(),
-            kept: 0,
+            last_published: None,
+            publications: VecDeque::new(),
+            kept_changes: 0,
             urgent: false,
-            targets: BTreeSet::new(),
-            replicas: BTreeSet::new(),
-            hosts: BTreeSet::new(),
-            others: Vec::new(),
+            changed_targets: BTreeSet::new(),
+            changed_replicas: BTreeSet::new(),
+            changed_hosts: BTreeSet::new(),
+            other_changes: Vec::new(),
         }
     }
 
     /// Marks a target as changed; an urgent change skips the regular interval.
-    pub(crate) fn target(&mut self, target: &TargetId, urgent: bool) {
-        self.targets.insert(target.clone());
+    pub(crate) fn mark_target(&mut self, target: &TargetId, urgent: bool) {
+        self.changed_targets.insert(target.clone());
         self.urgent |= urgent;
     }
 
     /// Marks a replica as changed; an urgent change skips the regular interval.
-    pub(crate) fn replica(&mut self, replica: ReplicaId, urgent: bool) {
-        self.replicas.insert(replica);
+    pub(crate) fn mark_replica(&mut self, replica: ReplicaId, urgent: bool) {
+        self.changed_replicas.insert(replica);
         self.urgent |= urgent;
     }
 
     /// Marks an entry host as changed.
-    pub(crate) fn host(&mut self, host: HostId) {
-        self.hosts.insert(host);
+    pub(crate) fn mark_host(&mut self, host: HostId) {
+        self.changed_hosts.insert(host);
     }
 
     /// Adds a change as it is; an urgent change skips the regular interval.
     pub(crate) fn push(&mut self, change: Change, urgent: bool) {
-        self.others.push(change);
+        self.other_changes.push(change);
         self.urgent |= urgent;
     }
 
@@ -82,37 +82,41 @@
     }
 
     /// Returns whether the first full view was published.
-    pub(crate) fn is_open(&self) -> bool {
-        self.published.is_some()
+    pub(crate) fn is_published(&self) -> bool {
+        self.last_published.is_some()
     }
 
     /// Publishes the first full view to every entry host.
-    pub(crate) fn open(&mut self, scene: &Scene) -> Output {
-        self.published = Some(scene.now);
-        self.clear();
-        self.whole(Audience::All, scene)
+    pub(crate) fn publish_full(&mut self, view_builder: &ViewBuilder) -> Output {
+        self.last_published = Some(view_builder.now);
+        self.clear_pending();
+        self.full_view(Audience::All, view_builder)
     }
 
     /// Publishes pending changes, if the interval has passed; urgent ones wait for a shorter
     /// interval.
-    pub(crate) fn flush(&mut self, scene: &Scene, interval: Time) -> Option<Output> {
-        let published = self.published?;
+    pub(crate) fn flush(&mut self, view_builder: &ViewBuilder, interval: Time) -> Option<Output> {
+        let published = self.last_published?;
         // Each publication costs one message for each host, so the interval grows with their
         // number.
-        let hosts = u32::try_from(scene.leases.iter().count()).unwrap_or(u32::MAX);
-        let least = SPACING.saturating_mul(hosts).min(interval);
-        let wait = if self.urgent { least } else { interval };
-        if scene.now < published + wait {
+        let hosts = u32::try_from(view_builder.leases.iter().count()).unwrap_or(u32::MAX);
+        let urgent_interval = URGENT_INTERVAL_PER_HOST.saturating_mul(hosts).min(interval);
+        let wait = if self.urgent {
+            urgent_interval
+        } else {
+            interval
+        };
+        if view_builder.now < published + wait {
             return None;
         }
-        self.published = Some(scene.now);
-        let changes = self.collect(scene);
+        self.last_published = Some(view_builder.now);
+        let changes = self.collect(view_builder);
         if changes.is_empty() {
             return None;
         }
         let from = self.sequence;
         self.sequence += 1;
-        self.keep(changes.clone());
+        self.keep_publication(changes.clone());
         let view = View {
             term: self.term,
             from,
@@ -132,52 +136,60 @@
         host: HostId,
         term: Term,
         sequence: u64,
-        scene: &Scene,
+        view_builder: &ViewBuilder,
     ) -> Option<Output> {
-        self.published?;
+        self.last_published?;
         let to = Audience::Host(host);
         let first = self
-            .pages
+            .publications
             .front()
-            .map_or(self.sequence + 1, |page| page.sequence);
+            .map_or(self.sequence + 1, |publication| publication.sequence);
         let known = (first.saturating_sub(1)..=self.sequence).contains(&sequence);
         if term != self.term || !known {
-            return Some(self.whole(to, scene));
+            return Some(self.full_view(to, view_builder));
         }
-        let missed = self.pages.iter().filter(|page| page.sequence > sequence);
+        let missed = self
+            .publications
+            .iter()
+            .filter(|publication| publication.sequence > sequence);
         let view = View {
             term: self.term,
             from: sequence,
             to: self.sequence,
-            changes: missed.flat_map(|page| page.changes.clone()).collect(),
+            changes: missed
+                .flat_map(|publication| publication.changes.clone())
+                .collect(),
         };
         Some(Output::Publish { to, view })
     }
 
     /// Builds a publication of the full view.
-    fn whole(&self, to: Audience, scene: &Scene) -> Output {
+    fn full_view(&self, to: Audience, view_builder: &ViewBuilder) -> Output {
         let view = View {
             term: self.term,
             from: 0,
             to: self.sequence,
-            changes: scene.whole(),
+            changes: view_builder.full_view(),
         };
         Output::Publish { to, view }
     }
 
     /// Returns the changes since the last publication, and clears them.
-    fn collect(&mut self, scene: &Scene) -> Vec<Change> {
-        let mut changes = std::mem::take(&mut self.others);
-        for target in std::mem::take(&mut self.targets) {
-            let now = scene.target(&target).map(Change::Target);
+    fn collect(&mut self, view_builder: &ViewBuilder) -> Vec<Change> {
+        let mut changes = std::mem::take(&mut self.other_changes);
+        for target in std::mem::take(&mut self.changed_targets) {
+            let now = view_builder.target(&target).map(Change::Target);
             changes.push(now.unwrap_or(Change::TargetGone(target)));
         }
-        for replica in std::mem::take(&mut self.replicas) {
-            let now = scene.replica(replica).map(Change::Replica);
+        for replica in std::mem::take(&mut self.changed_replicas) {
+            let now = view_builder.replica(replica).map(Change::Replica);
             changes.push(now.unwrap_or(Change::ReplicaGone(replica)));
         }
-        for host in std::mem::take(&mut self.hosts) {
-            let now = scene.leases.get(host).and_then(|lease| scene.entry(lease));
+        for host in std::mem::take(&mut self.changed_hosts) {
+            let now = view_builder
+                .leases
+                .get(host)
+                .and_then(|lease| view_builder.entry(lease));
             changes.push(now.unwrap_or(Change::EntryGone(host)));
         }
         self.urgent = false;
@@ -185,26 +197,26 @@
     }
 
     /// Clears pending changes, because the full view contains them.
-    fn clear(&mut self) {
-        self.others.clear();
-        self.targets.clear();
-        self.replicas.clear();
-        self.hosts.clear();
+    fn clear_pending(&mut self) {
+        self.other_changes.clear();
+        self.changed_targets.clear();
+        self.changed_replicas.clear();
+        self.changed_hosts.clear();
         self.urgent = false;
     }
 
     /// Keeps changes for entry hosts that miss them, and drops the oldest above the limit.
-    fn keep(&mut self, changes: Vec<Change>) {
-        self.kept += changes.len();
-        self.pages.push_back(Page {
+    fn keep_publication(&mut self, changes: Vec<Change>) {
+        self.kept_changes += changes.len();
+        self.publications.push_back(Publication {
             sequence: self.sequence,
             changes,
         });
-        while self.kept > KEPT {
-            let Some(page) = self.pages.pop_front() else {
+        while self.kept_changes > MAX_KEPT_CHANGES {
+            let Some(publication) = self.publications.pop_front() else {
                 return;
             };
-            self.kept -= page.changes.len();
+            self.kept_changes -= publication.changes.len();
         }
     }
 }
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The maximum number of targets remembered after they were dismissed or left unregistered.
-pub const DISMISSED: usize = 16_384;
+pub const MAX_DISMISSED: usize = 16_384;
 
 /// A registered target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -98,11 +98,14 @@
 
     /// Returns whether an incarnation has ended or left and will not be registered again.
     #[must_use]
-    pub fn is_over(&self, target: &str, life: Incarnation) -> bool {
+    pub fn is_over(&self, target: &str, incarnation: Incarnation) -> bool {
         let newer = self
             .get(target)
-            .is_some_and(|known| life < known.announcement.incarnation);
-        newer || self.first(target).is_some_and(|next| life < next)
+            .is_some_and(|known| incarnation < known.announcement.incarnation);
+        newer
+            || self
+                .min_incarnation(target)
+                .is_some_and(|next| incarnation < next)
     }
 
     /// Registers a target; on [`Answer::Registered`] the caller ends the reservations of the
@@ -114,18 +117,18 @@
                 return Answer::Ended { next: incarnation };
             }
             if announcement.incarnation == incarnation {
-                return known.repeat(announcement);
+                return known.update(announcement);
             }
         }
-        if let Some(next) = self.first(&announcement.target)
+        if let Some(next) = self.min_incarnation(&announcement.target)
             && announcement.incarnation < next
         {
             return Answer::Ended { next };
         }
-        if let Some(next) = self.newer_at(&announcement) {
+        if let Some(next) = self.min_incarnation_at(&announcement) {
             return Answer::Ended { next };
         }
-        self.vacate(&announcement);
+        self.dismiss_others_at(&announcement);
         let target = Target {
             announcement,
             since: now,
@@ -157,42 +160,45 @@
             return Answer::Reserved;
         }
         self.targets.remove(target);
-        self.bar(target, current.saturating_add(u64::from(attested)));
+        self.require_incarnation(target, current.saturating_add(u64::from(attested)));
         Answer::Done
     }
 
     /// Rejects incarnations of a target below `next` from now on.
-    fn bar(&mut self, target: &TargetId, next: Incarnation) {
-        let next = self.first(target).map_or(next, |known| known.max(next));
-        self.dismissed.retain(|gone| gone.target != *target);
+    fn require_incarnation(&mut self, target: &TargetId, next: Incarnation) {
+        let next = self
+            .min_incarnation(target)
+            .map_or(next, |known| known.max(next));
+        self.dismissed
+            .retain(|dismissed| dismissed.target != *target);
         self.dismissed.push_back(Dismissed {
             target: target.clone(),
             next,
         });
-        if self.dismissed.len() > DISMISSED {
+        if self.dismissed.len() > MAX_DISMISSED {
             self.dismissed.pop_front();
         }
     }
 
     /// Returns the lowest incarnation that could take over an address which a newer incarnation of
     /// another target has.
-    fn newer_at(&self, announcement: &Announcement) -> Option<Incarnation> {
+    fn min_incarnation_at(&self, announcement: &Announcement) -> Option<Incarnation> {
         let mut others = self.others_at(announcement);
         let newer = others.find(|other| other.incarnation > announcement.incarnation);
         newer.map(|other| other.incarnation)
     }
 
     /// Dismisses older incarnations of other targets at the address of a new one.
-    fn vacate(&mut self, announcement: &Announcement) {
-        let gone: Vec<TargetId> = self
+    fn dismiss_others_at(&mut self, announcement: &Announcement) {
+        let dismissed: Vec<TargetId> = self
             .others_at(announcement)
             .map(|other| other.target.clone())
             .collect();
-        for target in gone {
-            let life = self
+        for target in dismissed {
+            let incarnation = self
                 .get(&target)
                 .map_or(0, |it| it.announcement.incarnation);
-            self.dismiss(&target, life, true, false);
+            self.dismiss(&target, incarnation, true, false);
         }
     }
 
@@ -209,12 +215,17 @@
     }
 
     /// Records what a worker holds.
-    pub(crate) fn hold(&mut self, target: &str, life: Incarnation, held: Vec<Reference>) -> Answer {
+    pub(crate) fn hold(
+        &mut self,
+        target: &str,
+        incarnation: Incarnation,
+        held: Vec<Reference>,
+    ) -> Answer {
         let Some(known) = self.targets.get_mut(target) else {
             return Answer::Unknown;
         };
         let current = known.announcement.incarnation;
-        if life != current {
+        if incarnation != current {
             return Answer::Ended { next: current };
         }
         known.held = held;
@@ -225,28 +236,33 @@
     ///
     /// An incarnation that is not registered will never be, because its earlier announcements may
     /// still arrive; an incarnation older than the registered one has ended.
-    pub(crate) fn leave(&mut self, target: &TargetId, life: Incarnation) -> Answer {
+    pub(crate) fn leave(&mut self, target: &TargetId, incarnation: Incarnation) -> Answer {
         let known = self.targets.get_mut(target);
         let current = known.as_ref().map(|known| known.announcement.incarnation);
-        if let Some(next) = current.filter(|current| life < *current) {
+        if let Some(next) = current.filter(|current| incarnation < *current) {
             return Answer::Ended { next };
         }
         if let Some(known) = known {
             known.leaving = true;
         }
-        if current != Some(life) {
-            self.bar(target, life.saturating_add(1));
+        if current != Some(incarnation) {
+            self.require_incarnation(target, incarnation.saturating_add(1));
         }
         Answer::Done
     }
 
     /// Records whether a target is silent.
-    pub(crate) fn silence(&mut self, target: &str, life: Incarnation, silent: bool) -> Answer {
+    pub(crate) fn silence(
+        &mut self,
+        target: &str,
+        incarnation: Incarnation,
+        silent: bool,
+    ) -> Answer {
         let Some(known) = self.targets.get_mut(target) else {
             return Answer::Unknown;
         };
         let current = known.announcement.incarnation;
-        if life != current {
+        if incarnation != current {
             return Answer::Ended { next: current };
         }
         known.silent = silent;
@@ -254,16 +270,17 @@
     }
 
     /// Returns the lowest incarnation with which a dismissed target is registered again.
-    fn first(&self, target: &str) -> Option<Incarnation> {
-        let mut gone = self.dismissed.iter();
-        gone.find(|gone| &*gone.target == target)
-            .map(|gone| gone.next)
+    fn min_incarnation(&self, target: &str) -> Option<Incarnation> {
+        let mut dismissed = self.dismissed.iter();
+        dismissed
+            .find(|dismissed| &*dismissed.target == target)
+            .map(|dismissed| dismissed.next)
     }
 }
 
 impl Target {
     /// Applies a repeated announcement of the same incarnation.
-    fn repeat(&mut self, announcement: Announcement) -> Answer {
+    fn update(&mut self, announcement: Announcement) -> Answer {
         let old = &self.announcement;
         if *old == announcement {
             return Answer::Unchanged;
--- a/crates/control/src/beats.rs
+++ b/crates/control/src/heartbeats.rs
@@ -6,29 +6,29 @@
 use cornelhitch_types::view::{self, Change, State};
 
 use crate::command::Command;
+use crate::context::Context;
 use crate::output::Output;
-use crate::reign::Reign;
 use crate::replicas::{Decide, Evidence, QUIET_BEATS, Replica};
-use crate::turn::Turn;
-use crate::workers::{Leave, Stranger, explains};
+use crate::term_state::TermState;
+use crate::workers::{LeaveState, Orphan, is_copy_of};
 
 /// The number of consecutive heartbeats that must show a copy before it is adopted or unloaded.
-const PERSISTENT: u64 = 2;
+const MIN_ORPHAN_HEARTBEATS: u64 = 2;
 
-impl Reign {
+impl TermState {
     /// Handles an announcement: proposes to register what is new.
-    pub(crate) fn announcement(&mut self, announcement: Announcement, turn: &mut Turn) {
-        let known = turn.state.fleet().get(&announcement.target);
+    pub(crate) fn on_announcement(&mut self, announcement: Announcement, ctx: &mut Context) {
+        let known = ctx.state.fleet().get(&announcement.target);
         let old = known.map(|known| &known.announcement);
         if old == Some(&announcement) {
             return;
         }
-        let over = turn
+        let ended = ctx
             .state
             .fleet()
             .is_over(&announcement.target, announcement.incarnation);
-        if !over {
-            self.pending.propose(Command::Register(announcement), turn);
+        if !ended {
+            self.pending.propose(Command::Register(announcement), ctx);
         }
     }
 
@@ -36,82 +36,83 @@
     ///
     /// The heartbeat of an incarnation that is not registered yet is kept until its registration is
     /// applied.
-    pub(crate) fn presence(&mut self, presence: Presence, turn: &mut Turn) {
+    pub(crate) fn on_presence(&mut self, presence: Presence, ctx: &mut Context) {
         let Presence {
             announcement,
             heartbeat,
         } = presence;
         let target = announcement.target.clone();
-        let life = announcement.incarnation;
-        self.announcement(announcement, turn);
-        if turn.state.fleet().alive(&target, life).is_some() {
-            self.heartbeat(heartbeat, turn);
+        let incarnation = announcement.incarnation;
+        self.on_announcement(announcement, ctx);
+        if ctx.state.fleet().alive(&target, incarnation).is_some() {
+            self.on_heartbeat(heartbeat, ctx);
         } else {
-            self.early.insert(target, heartbeat);
+            self.pending_heartbeats.insert(target, heartbeat);
         }
     }
 
     /// Handles a heartbeat.
-    pub(crate) fn heartbeat(&mut self, mut heartbeat: Heartbeat, turn: &mut Turn) {
+    pub(crate) fn on_heartbeat(&mut self, mut heartbeat: Heartbeat, ctx: &mut Context) {
         let target = heartbeat.target.clone();
         let cache = std::mem::take(&mut heartbeat.cache);
         let Some(worker) = self.workers.get_mut(&target) else {
-            turn.out.push(Output::Ask { target });
+            ctx.out.push(Output::Ask { target });
             return;
         };
         if heartbeat.incarnation > worker.incarnation {
-            turn.out.push(Output::Ask { target });
+            ctx.out.push(Output::Ask { target });
             return;
         }
-        let late = worker.beat.is_some() && heartbeat.sequence <= worker.sequence();
+        let late = worker.last_heartbeat.is_some() && heartbeat.sequence <= worker.sequence();
         if late || heartbeat.incarnation < worker.incarnation {
             return;
         }
         let open = worker.is_open();
-        let old = worker.beat.take();
-        worker.take(heartbeat, turn.now, turn.timing.distrust);
+        let old = worker.last_heartbeat.take();
+        worker.on_heartbeat(heartbeat, ctx.now, ctx.timing.report_distrust);
         let reopened = worker.is_open() != open;
-        let beat = worker.beat.as_ref();
-        let load = beat.map(|it| it.load) != old.as_ref().map(|it| it.load);
-        let inventory = beat.map(|it| &it.inventory) != old.as_ref().map(|it| &it.inventory);
+        let last_heartbeat = worker.last_heartbeat.as_ref();
+        let load = last_heartbeat.map(|it| it.load) != old.as_ref().map(|it| it.load);
+        let inventory =
+            last_heartbeat.map(|it| &it.inventory) != old.as_ref().map(|it| &it.inventory);
         if load || reopened {
-            self.feed.target(&target, reopened);
+            self.feed.mark_target(&target, reopened);
         }
-        if inventory || reopened || old.is_none() || !worker.strangers.is_empty() {
-            self.sketch.worker(&target);
+        if inventory || reopened || old.is_none() || !worker.orphans.is_empty() {
+            self.planner_input.mark_worker(&target);
         }
-        self.eager |= reopened;
-        self.unsilence(&target, turn);
-        self.cache(&target, cache);
-        self.compare(&target, turn);
+        self.plan_requested |= reopened;
+        self.propose_heard(&target, ctx);
+        self.publish_cache_events(&target, cache);
+        self.reconcile_inventory(&target, ctx);
     }
 
     /// Publishes changes of prefix caches.
-    fn cache(&mut self, target: &TargetId, events: Vec<CacheEvent>) {
+    fn publish_cache_events(&mut self, target: &TargetId, events: Vec<CacheEvent>) {
         if !events.is_empty() {
             self.feed.push(Change::Cache(target.clone(), events), false);
         }
     }
 
     /// Proposes to record that a silent target is heard again.
-    fn unsilence(&mut self, target: &TargetId, turn: &mut Turn) {
-        let known = turn.state.fleet().get(target);
+    fn propose_heard(&mut self, target: &TargetId, ctx: &mut Context) {
+        let known = ctx.state.fleet().get(target);
         if let Some(known) = known.filter(|known| known.silent) {
             let command = Command::Silence {
                 target: target.clone(),
                 incarnation: known.announcement.incarnation,
                 silent: false,
             };
-            self.pending.propose(command, turn);
+            self.pending.propose(command, ctx);
         }
     }
 
     /// Reconciles a worker's inventory with its replicas.
-    fn compare(&mut self, target: &TargetId, turn: &mut Turn) {
-        let state = turn.state;
+    fn reconcile_inventory(&mut self, target: &TargetId, ctx: &mut Context) {
+        let state = ctx.state;
         let replicas: Vec<&Replica> = state.replicas().on(target).collect();
         for replica in &replicas {
-            self.compare_replica(replica, turn);
+            self.reconcile_replica(replica, ctx);
         }
         let settings = state.catalogue().fleet();
         let Some(worker) = self.workers.get_mut(target) else {
@@ -120,21 +121,21 @@
         let before = worker.observed.clone();
         let known = state.fleet().get(target);
         if known.is_some_and(|known| known.announcement.is_hosted()) {
-            if let Some(beat) = &worker.beat {
-                self.hosting.beat(target, beat, turn.now);
+            if let Some(last_heartbeat) = &worker.last_heartbeat {
+                self.hosting.on_heartbeat(target, last_heartbeat, ctx.now);
             }
-            self.note_held(target, turn);
-            self.show_hosted(target, turn.now);
-            self.host(turn);
+            self.propose_held(target, ctx);
+            self.publish_hosted(target, ctx.now);
+            self.plan_hosted(ctx);
             return;
         }
-        if worker.sort(target, &replicas, settings, turn.now) {
+        if worker.classify_copies(target, &replicas, settings, ctx.now) {
             let observed = worker.observed.clone();
             self.publish_observed(&before, observed);
         }
-        let strangers = self.workers[target].strangers.clone();
-        for stranger in &strangers {
-            self.meet(target, stranger, turn);
+        let orphans = self.workers[target].orphans.clone();
+        for orphan in &orphans {
+            self.handle_orphan(target, orphan, ctx);
         }
     }
 
@@ -157,58 +158,67 @@
     }
 
     /// Reconciles one replica with the newest inventory of its worker.
-    fn compare_replica(&mut self, replica: &Replica, turn: &mut Turn) {
+    fn reconcile_replica(&mut self, replica: &Replica, ctx: &mut Context) {
         let Some(worker) = self.workers.get(&replica.target) else {
             return;
         };
-        let Some(beat) = &worker.beat else {
+        let Some(last_heartbeat) = &worker.last_heartbeat else {
             return;
         };
-        let sequence = beat.sequence;
-        let Some(track) = self.tracks.get_mut(&replica.id) else {
+        let sequence = last_heartbeat.sequence;
+        let Some(orders) = self.replica_orders.get_mut(&replica.id) else {
             return;
         };
-        track.lapse(turn.now.saturating_sub(turn.timing.order), turn.now);
-        let holding = beat.inventory.iter().find(|it| explains(replica, it));
+        orders.expire_in_flight(ctx.now.saturating_sub(ctx.timing.order_timeout), ctx.now);
+        let holding = last_heartbeat
+            .inventory
+            .iter()
+            .find(|it| is_copy_of(replica, it));
         if let Some(holding) = holding {
-            track.seen = Some(sequence);
-            track.stir();
+            orders.last_seen = Some(sequence);
+            orders.reset_absence();
             let holding = holding.clone();
-            self.shown(replica, &holding, sequence, turn);
+            self.on_replica_shown(replica, &holding, sequence, ctx);
         } else {
-            track.rest(turn.now);
-            if track.is_gone(replica, fencing(replica, turn), sequence) {
+            orders.count_absence(ctx.now);
+            if orders.is_gone(replica, checks_fencing(replica, ctx), sequence) {
                 let command = Command::Release {
                     replica: replica.id,
                     evidence: Evidence::Inventory { sequence },
-                    unknown: track.doubtful,
+                    unknown: orders.may_arrive,
                 };
-                self.pending.propose(command, turn);
+                self.pending.propose(command, ctx);
             }
         }
-        self.drive(replica.id, turn);
+        self.send_due_order(replica.id, ctx);
     }
 
     /// Records what a worker shows of a replica.
-    fn shown(&mut self, replica: &Replica, holding: &Holding, sequence: u64, turn: &mut Turn) {
+    fn on_replica_shown(
+        &mut self,
+        replica: &Replica,
+        holding: &Holding,
+        sequence: u64,
+        ctx: &mut Context,
+    ) {
         if holding.stage == Stage::Ready && replica.state == State::Loading {
             let command = Command::Ready {
                 replica: replica.id,
                 sequence,
             };
-            self.pending.propose(command, turn);
+            self.pending.propose(command, ctx);
         }
-        let Some(track) = self.tracks.get_mut(&replica.id) else {
+        let Some(orders) = self.replica_orders.get_mut(&replica.id) else {
             return;
         };
-        if track.adapters != holding.adapters {
-            track.adapters.clone_from(&holding.adapters);
+        if orders.adapters != holding.adapters {
+            orders.adapters.clone_from(&holding.adapters);
             self.adapters.retain(|adapter, _| {
                 adapter.replica != replica.id || !holding.adapters.contains(&adapter.name)
             });
-            self.sketch.replica(replica.id, &replica.target);
-            self.feed.replica(replica.id, true);
-            self.eager = true;
+            self.planner_input.mark_replica(replica.id, &replica.target);
+            self.feed.mark_replica(replica.id, true);
+            self.plan_requested = true;
         }
     }
 
@@ -217,9 +227,9 @@
     /// In managed groups a copy without a replica id is adopted where the rules allow it, so that a
     /// change from unmanaged to managed ends no request; other copies are unloaded. Copies in
     /// unmanaged groups, and of models that the settings do not list, are left alone.
-    fn meet(&mut self, target: &TargetId, stranger: &Stranger, turn: &mut Turn) {
-        let settings = turn.state.catalogue().fleet();
-        let model = settings.model(&stranger.model.model);
+    fn handle_orphan(&mut self, target: &TargetId, orphan: &Orphan, ctx: &mut Context) {
+        let settings = ctx.state.catalogue().fleet();
+        let model = settings.model(&orphan.model.model);
         let Some(model) = model.filter(|model| settings.managed(model)) else {
             return;
         };
@@ -227,100 +237,104 @@
             return;
         };
         let sequence = worker.sequence();
-        if sequence < stranger.first.saturating_add(PERSISTENT) {
+        if sequence < orphan.first.saturating_add(MIN_ORPHAN_HEARTBEATS) {
             return;
         }
-        let mut peers = turn.state.replicas().on(target);
-        let alone = peers.all(|replica| replica.model != stranger.model.model);
-        let adoptable = alone && stranger.ready && stranger.replica.is_none() && !stranger.refused;
-        if adoptable && stranger.ordered.is_none() {
+        let mut peers = ctx.state.replicas().on(target);
+        let alone = peers.all(|replica| replica.model != orphan.model.model);
+        let adoptable = alone && orphan.ready && orphan.replica.is_none() && !orphan.refused;
+        if adoptable && orphan.ordered.is_none() {
             let decide = Decide {
-                model: stranger.model.model.clone(),
-                version: stranger.model.version.clone(),
+                model: orphan.model.model.clone(),
+                version: orphan.model.version.clone(),
                 target: target.clone(),
                 incarnation: worker.incarnation,
-                bytes: stranger.bytes.max(model.bytes),
+                bytes: orphan.bytes.max(model.bytes),
                 after: sequence,
                 adopted: true,
             };
-            self.pending.propose(Command::Decide(decide), turn);
+            self.pending.propose(Command::Decide(decide), ctx);
             return;
         }
-        self.unload_stranger(target, stranger, sequence, turn);
+        self.unload_orphan(target, orphan, sequence, ctx);
     }
 
     /// Orders the unload of a copy that belongs to no decided replica, once nothing runs on it.
-    fn unload_stranger(
+    fn unload_orphan(
         &mut self,
         target: &TargetId,
-        stranger: &Stranger,
+        orphan: &Orphan,
         sequence: u64,
-        turn: &mut Turn,
+        ctx: &mut Context,
     ) {
         // A worker that identifies copies by model name only would unload the replica's copy.
-        let mut peers = turn.state.replicas().on(target);
-        let named = stranger.replica.is_some() || stranger.model.version.is_some();
-        if !named && peers.any(|replica| replica.model == stranger.model.model) {
+        let mut peers = ctx.state.replicas().on(target);
+        let named = orphan.replica.is_some() || orphan.model.version.is_some();
+        if !named && peers.any(|replica| replica.model == orphan.model.model) {
             return;
         }
-        let asked = |ordered: u64| sequence < ordered.saturating_add(QUIET_BEATS);
-        let drained = self.is_drained(target, &stranger.model.model, stranger.since, turn);
-        if !drained || stranger.ordered.is_some_and(asked) {
+        let recently_ordered = |ordered: u64| sequence < ordered.saturating_add(QUIET_BEATS);
+        let drained = self.is_drained(target, &orphan.model.model, orphan.since, ctx);
+        if !drained || orphan.ordered.is_some_and(recently_ordered) {
             return;
         }
-        let model = stranger.model.clone();
-        self.order(
+        let model = orphan.model.clone();
+        self.send_order(
             target,
-            stranger.replica.unwrap_or(0),
+            orphan.replica.unwrap_or(0),
             Action::Unload { model },
-            turn,
+            ctx,
         );
         let Some(worker) = self.workers.get_mut(target) else {
             return;
         };
-        let until = turn.now + turn.timing.quiet;
-        worker.back_off(&stranger.model.model, until, turn.now);
-        let same =
-            |it: &&mut Stranger| it.model == stranger.model && it.replica == stranger.replica;
-        if let Some(known) = worker.strangers.iter_mut().find(same) {
+        let until = ctx.now + ctx.timing.quiet_period;
+        worker.back_off(&orphan.model.model, until, ctx.now);
+        let same = |it: &&mut Orphan| it.model == orphan.model && it.replica == orphan.replica;
+        if let Some(known) = worker.orphans.iter_mut().find(same) {
             known.ordered = Some(sequence);
         }
     }
 
     /// Handles a report that an entry host lost its connections to a target.
-    pub(crate) fn lost(&mut self, target: &TargetId, incarnation: Incarnation, turn: &mut Turn) {
+    pub(crate) fn on_connection_lost(
+        &mut self,
+        target: &TargetId,
+        incarnation: Incarnation,
+        ctx: &mut Context,
+    ) {
         let worker = self.workers.get_mut(target);
         let Some(worker) = worker.filter(|worker| worker.incarnation == incarnation) else {
             return;
         };
-        worker.hinted = true;
+        worker.reported_lost = true;
         // An entry host that cannot reach a target which others do reach must not close it
         // repeatedly.
-        if !worker.suspected && turn.now >= worker.distrusted {
+        if !worker.suspected && ctx.now >= worker.reports_ignored_until {
             worker.suspected = true;
-            self.suspect(target, turn);
+            self.close_target(target, ctx);
         }
     }
 
     /// Handles the committed notice that a target is leaving.
-    pub(crate) fn left(&mut self, target: &TargetId, turn: &mut Turn) {
+    pub(crate) fn on_leave(&mut self, target: &TargetId, ctx: &mut Context) {
         if let Some(worker) = self.workers.get_mut(target) {
-            worker.leave = Leave::Told;
-            self.suspect(target, turn);
+            worker.leave_state = LeaveState::Final;
+            self.close_target(target, ctx);
         }
     }
 
     /// Suspects targets that are silent, and removes those that have been silent for long.
-    pub(crate) fn watch(&mut self, turn: &mut Turn) {
+    pub(crate) fn check_silence(&mut self, ctx: &mut Context) {
         let mut suspects = Vec::new();
         for (target, worker) in self.workers.iter_mut() {
-            let silence = turn.now.saturating_sub(worker.heard);
-            let patience = if worker.hinted {
-                turn.timing.doubt
+            let silence = ctx.now.saturating_sub(worker.last_heard);
+            let limit = if worker.reported_lost {
+                ctx.timing.suspect_reported_after
             } else {
-                turn.timing.suspicion
+                ctx.timing.suspect_after
             };
-            if silence < patience {
+            if silence < limit {
                 continue;
             }
             let first = !worker.suspected;
@@ -329,35 +343,35 @@
         }
         for (target, silence, first) in suspects {
             if first {
-                self.suspect(&target, turn);
+                self.close_target(&target, ctx);
             }
-            self.drive_all(&target, turn);
-            if silence >= turn.timing.silence {
-                self.silent(&target, silence >= turn.timing.dismissal, turn);
+            self.send_due_orders_to(&target, ctx);
+            if silence >= ctx.timing.silent_after {
+                self.propose_silent(&target, silence >= ctx.timing.dismiss_after, ctx);
             }
         }
     }
 
     /// Publishes that a target gets no new work, and drives its replicas.
-    fn suspect(&mut self, target: &TargetId, turn: &mut Turn) {
-        self.feed.target(target, true);
-        self.sketch.worker(target);
-        self.eager = true;
-        self.drive_all(target, turn);
+    fn close_target(&mut self, target: &TargetId, ctx: &mut Context) {
+        self.feed.mark_target(target, true);
+        self.planner_input.mark_worker(target);
+        self.plan_requested = true;
+        self.send_due_orders_to(target, ctx);
     }
 
     /// Sends the due orders of all replicas on a target.
-    fn drive_all(&mut self, target: &TargetId, turn: &mut Turn) {
-        let on = turn.state.replicas().on(target);
+    fn send_due_orders_to(&mut self, target: &TargetId, ctx: &mut Context) {
+        let on = ctx.state.replicas().on(target);
         let ids: Vec<ReplicaId> = on.map(|replica| replica.id).collect();
         for id in ids {
-            self.drive(id, turn);
+            self.send_due_order(id, ctx);
         }
     }
 
     /// Proposes to record that a target is silent, or to remove it.
-    fn silent(&mut self, target: &TargetId, long: bool, turn: &mut Turn) {
-        let Some(known) = turn.state.fleet().get(target) else {
+    fn propose_silent(&mut self, target: &TargetId, dismissible: bool, ctx: &mut Context) {
+        let Some(known) = ctx.state.fleet().get(target) else {
             return;
         };
         let target = target.clone();
@@ -368,20 +382,20 @@
                 incarnation,
                 silent: true,
             };
-            self.pending.propose(command, turn);
-        } else if long && turn.state.replicas().reserved(&target) == 0 {
+            self.pending.propose(command, ctx);
+        } else if dismissible && ctx.state.replicas().reserved(&target) == 0 {
             let command = Command::Dismiss {
                 target,
                 incarnation,
                 attested: false,
             };
-            self.pending.propose(command, turn);
+            self.pending.propose(command, ctx);
         }
     }
 }
 
 /// Returns whether a replica's worker refuses orders with an old fencing number.
-pub(crate) fn fencing(replica: &Replica, turn: &Turn) -> bool {
-    let target = turn.state.fleet().get(&replica.target);
+pub(crate) fn checks_fencing(replica: &Replica, ctx: &Context) -> bool {
+    let target = ctx.state.fleet().get(&replica.target);
     target.is_some_and(|target| target.announcement.fencing)
 }
--- a/crates/control/src/hosting.rs
+++ b/crates/control/src/hosting.rs
@@ -5,7 +5,7 @@
 //! was lost can therefore take effect only before the next one is accepted, and no memory has to be
 //! reserved in the log: what a worker holds follows from its heartbeats and the orders it accepted.
 
-mod station;
+mod worker_orders;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,32 +18,32 @@
 use cornelhitch_types::target::{Holding, Inspection, Stage};
 use cornelhitch_types::view::{Change, State};
 
-use self::station::{BACKOFF, Given, Station, held};
+use self::worker_orders::{InFlightOrder, REFUSED_BACKOFF, WorkerOrders, held};
 use crate::command::Command;
-use crate::levels::Total;
+use crate::context::Context;
+use crate::demand::Total;
 use crate::output::Output;
-use crate::reign::Reign;
-use crate::turn::Turn;
-use crate::workers::{Beat, Coming, Worker};
+use crate::term_state::TermState;
+use crate::workers::{LastHeartbeat, PendingLoad, Worker};
 
 /// Backoff for a worker that is busy with an order unknown to this leader.
-const BUSY: Time = Time::from_millis(700);
+const BUSY_BACKOFF: Time = Time::from_millis(700);
 
 /// How far an accepted order may be overdue before the worker is inspected.
-const PATIENCE: Time = Time::from_millis(1_500);
+const OVERDUE_GRACE: Time = Time::from_millis(1_500);
 
 /// How long an inspection may take before it is repeated.
-const INSPECTION: Time = Time::from_secs(2);
+const INSPECTION_TIMEOUT: Time = Time::from_secs(2);
 
 /// How long a new leader waits for workers to report which models they have on local storage.
-const SURVEY: Time = Time::from_secs(4);
+const SURVEY_TIMEOUT: Time = Time::from_secs(4);
 
 /// The minimum interval between two plans.
-const PAUSE: Time = Time::from_millis(40);
+const MIN_PLAN_INTERVAL: Time = Time::from_millis(40);
 
 /// Moving averages of the demand for a model.
 #[derive(Debug, Clone, Copy)]
-struct Pace {
+struct MeanDemand {
     /// The arrival rate.
     rate: Rate,
     /// Requests that wait or are in progress.
@@ -56,77 +56,80 @@
 /// The state of all workers that count their orders, and of the demand for their models.
 #[derive(Debug, Default)]
 pub(crate) struct Hosting {
-    stations: BTreeMap<TargetId, Station>,
+    workers: BTreeMap<TargetId, WorkerOrders>,
     policies: BTreeMap<Name, Policy>,
-    paces: BTreeMap<ModelId, Pace>,
+    mean_demand: BTreeMap<ModelId, MeanDemand>,
     /// The models of each service, for one version of the route table.
     models: (Version, BTreeMap<Name, Models>),
     /// For each service, the models that only the weight store holds, with their load time.
-    distant: BTreeMap<Name, BTreeMap<ModelId, Time>>,
+    store_only: BTreeMap<Name, BTreeMap<ModelId, Time>>,
     /// When loads from the weight store were started, newest last.
-    starts: Vec<Time>,
-    planned: Time,
+    store_load_starts: Vec<Time>,
+    last_plan: Time,
     /// Whether a change calls for a plan.
-    eager: bool,
+    plan_requested: bool,
 }
 
 impl Hosting {
     /// Records the registration of an incarnation; `new` if it was registered in this term.
     pub(crate) fn register(&mut self, target: &TargetId, incarnation: Incarnation, new: bool) {
-        let known = self.stations.get(target);
+        let known = self.workers.get(target);
         if known.is_none_or(|known| known.incarnation != incarnation) {
-            let station = Station::new(incarnation, new);
-            self.stations.insert(target.clone(), station);
+            let worker_orders = WorkerOrders::new(incarnation, new);
+            self.workers.insert(target.clone(), worker_orders);
         }
-        self.eager = true;
+        self.plan_requested = true;
     }
 
     /// Removes a worker.
     pub(crate) fn forget(&mut self, target: &str) {
-        self.stations.remove(target);
+        self.workers.remove(target);
     }
 
     /// Requests a plan.
-    pub(crate) fn hurry(&mut self) {
-        self.eager = true;
+    pub(crate) fn request_plan(&mut self) {
+        self.plan_requested = true;
     }
 
     /// Handles a heartbeat.
-    pub(crate) fn beat(&mut self, target: &str, beat: &Beat, now: Time) {
-        if let Some(station) = self.stations.get_mut(target) {
-            station.beat(beat, now);
+    pub(crate) fn on_heartbeat(&mut self, target: &str, last_heartbeat: &LastHeartbeat, now: Time) {
+        if let Some(worker_orders) = self.workers.get_mut(target) {
+            worker_orders.on_heartbeat(last_heartbeat, now);
         }
-        self.eager = true;
+        self.plan_requested = true;
     }
 
     /// Returns the adapters of a copy, and whether it takes requests.
-    pub(crate) fn shown(&self, target: &str, holding: &Holding) -> (Vec<Name>, State) {
-        let Some(station) = self.stations.get(target) else {
+    pub(crate) fn copy_status(&self, target: &str, holding: &Holding) -> (Vec<Name>, State) {
+        let Some(worker_orders) = self.workers.get(target) else {
             return (holding.adapters.clone(), State::Ready);
         };
-        let state = if station.unloads(&holding.model.model) {
+        let state = if worker_orders.unloads(&holding.model.model) {
             State::Retiring
         } else {
             State::Ready
         };
-        (station.adapters(holding, true), state)
+        (worker_orders.adapters(holding, true), state)
     }
 
     /// Returns the model that a worker loads from the weight store, and when it is due.
     ///
     /// Such a load takes longer than many requests can wait, so entry hosts have to know of it.
-    fn coming(&self, target: &str) -> Option<Coming> {
-        let station = self.stations.get(target)?;
-        let given = station.given.as_ref().filter(|_| station.fetches())?;
-        let model = given.action.model().clone();
-        let due = given.due;
-        Some(Coming { model, due })
+    fn pending_load(&self, target: &str) -> Option<PendingLoad> {
+        let worker_orders = self.workers.get(target)?;
+        let in_flight = worker_orders
+            .in_flight
+            .as_ref()
+            .filter(|_| worker_orders.fetches())?;
+        let model = in_flight.action.model().clone();
+        let due = in_flight.due;
+        Some(PendingLoad { model, due })
     }
 
     /// Returns the models that only the weight store holds, for an entry host without a view.
     pub(crate) fn outlooks(&self) -> impl Iterator<Item = Change> {
-        let all = self.distant.values().flatten();
-        all.map(|(model, lasts)| outlook(model, *lasts))
+        let all = self.store_only.values().flatten();
+        all.map(|(model, load_time)| outlook_change(model, *load_time))
     }
 
     /// Returns the models of a service, cached for one version of the table.
@@ -146,83 +149,102 @@
     /// Returns whether the weight store's start rate allows another load.
     fn store_open(&mut self, engine: &Engine, now: Time) -> bool {
         let interval = engine.start_interval;
-        self.starts.retain(|start| now < *start + interval);
-        self.starts.is_empty()
+        self.store_load_starts
+            .retain(|start| now < *start + interval);
+        self.store_load_starts.is_empty()
     }
 
     /// Adds the demand for a model and returns its moving averages.
-    fn pace(&mut self, model: &ModelId, total: &Total, now: Time) -> Pace {
-        let pace = self.paces.entry(model.clone());
-        let pace = pace.or_insert_with(|| Pace {
+    fn update_demand(&mut self, model: &ModelId, total: &Total, now: Time) -> MeanDemand {
+        let mean = self.mean_demand.entry(model.clone());
+        let mean = mean.or_insert_with(|| MeanDemand {
             rate: Rate::new(0, now),
             load: Mean::new(now),
         });
-        pace.rate.count(total.arrivals, now);
-        pace.load
+        mean.rate.count(total.arrivals, now);
+        mean.load
             .take(f64::from(total.waiting + total.running), now);
-        *pace
+        *mean
     }
 }
 
-impl Reign {
+impl TermState {
     /// Handles the outcome of an order to a worker that counts its orders.
-    pub(crate) fn hosted_done(&mut self, order: &Order, outcome: &Outcome, turn: &mut Turn) {
-        let station = self.hosting.stations.get_mut(&order.target);
-        let Some(station) = station.filter(|it| it.incarnation == order.incarnation) else {
+    pub(crate) fn on_hosted_order_done(
+        &mut self,
+        order: &Order,
+        outcome: &Outcome,
+        ctx: &mut Context,
+    ) {
+        let worker_orders = self.hosting.workers.get_mut(&order.target);
+        let Some(worker_orders) = worker_orders.filter(|it| it.incarnation == order.incarnation)
+        else {
             return;
         };
-        station.done(order, outcome, turn.now);
-        self.hosting.eager = true;
-        self.show_hosted(&order.target, turn.now);
-        self.host(turn);
+        worker_orders.on_outcome(order, outcome, ctx.now);
+        self.hosting.plan_requested = true;
+        self.publish_hosted(&order.target, ctx.now);
+        self.plan_hosted(ctx);
     }
 
     /// Handles the result of an inspection; `None` if the worker did not answer.
-    pub(crate) fn inspected(
+    pub(crate) fn on_inspected(
         &mut self,
         target: &TargetId,
-        life: Incarnation,
+        incarnation: Incarnation,
         inspection: Option<&Inspection>,
-        turn: &mut Turn,
+        ctx: &mut Context,
     ) {
-        let station = self.hosting.stations.get_mut(target);
-        let Some(station) = station.filter(|station| station.incarnation == life) else {
+        let worker_orders = self.hosting.workers.get_mut(target);
+        let Some(worker_orders) =
+            worker_orders.filter(|worker_orders| worker_orders.incarnation == incarnation)
+        else {
             return;
         };
-        station.asked(inspection.is_some());
-        station.pause = turn.now + BACKOFF;
+        worker_orders.on_inspection_done(inspection.is_some());
+        worker_orders.paused_until = ctx.now + REFUSED_BACKOFF;
         if inspection.is_some_and(|inspection| inspection.busy) {
-            station.pause = turn.now + BUSY;
+            worker_orders.paused_until = ctx.now + BUSY_BACKOFF;
         }
         if let Some(inspection) = inspection.filter(|inspection| !inspection.busy) {
-            station.accepted = Some(inspection.orders);
-            station.given = None;
-            station.pause = turn.now;
-            station.recount(&inspection.inventory, turn.now);
-            if let Some(beat) = self.workers.get_mut(target).and_then(|it| it.beat.as_mut()) {
-                beat.inventory
+            worker_orders.accepted = Some(inspection.orders);
+            worker_orders.in_flight = None;
+            worker_orders.paused_until = ctx.now;
+            worker_orders.replace_recent(&inspection.inventory, ctx.now);
+            if let Some(last_heartbeat) = self
+                .workers
+                .get_mut(target)
+                .and_then(|it| it.last_heartbeat.as_mut())
+            {
+                last_heartbeat
+                    .inventory
                     .retain(|holding| holding.stage != Stage::Ready);
-                beat.inventory.extend(inspection.inventory.iter().cloned());
+                last_heartbeat
+                    .inventory
+                    .extend(inspection.inventory.iter().cloned());
             }
         }
-        self.hosting.eager = true;
-        self.show_hosted(target, turn.now);
-        self.host(turn);
+        self.hosting.plan_requested = true;
+        self.publish_hosted(target, ctx.now);
+        self.plan_hosted(ctx);
     }
 
     /// Proposes to record what a worker holds, if that has changed.
-    pub(crate) fn note_held(&mut self, target: &TargetId, turn: &mut Turn) {
-        let Some(known) = turn.state.fleet().get(target) else {
+    pub(crate) fn propose_held(&mut self, target: &TargetId, ctx: &mut Context) {
+        let Some(known) = ctx.state.fleet().get(target) else {
             return;
         };
-        let beat = self
+        let last_heartbeat = self
             .workers
             .get(target)
-            .and_then(|worker| worker.beat.as_ref());
-        let Some(beat) = beat else {
+            .and_then(|worker| worker.last_heartbeat.as_ref());
+        let Some(last_heartbeat) = last_heartbeat else {
             return;
         };
-        let ready = beat.inventory.iter().filter(|it| it.stage == Stage::Ready);
+        let ready = last_heartbeat
+            .inventory
+            .iter()
+            .filter(|it| it.stage == Stage::Ready);
         let models: Vec<Reference> = ready.map(|holding| holding.model.clone()).collect();
         if models != known.held {
             let command = Command::Hold {
@@ -230,22 +252,22 @@
                 incarnation: known.announcement.incarnation,
                 models,
             };
-            self.pending.propose(command, turn);
+            self.pending.propose(command, ctx);
         }
     }
 
     /// Publishes the copies on a worker that counts its orders.
-    pub(crate) fn show_hosted(&mut self, target: &TargetId, now: Time) {
+    pub(crate) fn publish_hosted(&mut self, target: &TargetId, now: Time) {
         let Some(worker) = self.workers.get_mut(target) else {
             return;
         };
         let before = worker.observed.clone();
         let hosting = &self.hosting;
-        let coming = hosting.coming(target);
+        let pending_load = hosting.pending_load(target);
         if worker.observe(
             target,
-            |holding| hosting.shown(target, holding),
-            coming,
+            |holding| hosting.copy_status(target, holding),
+            pending_load,
             now,
         ) {
             let observed = worker.observed.clone();
@@ -254,53 +276,53 @@
     }
 
     /// Sends the orders that are due, and inspects workers whose state is unknown.
-    pub(crate) fn host(&mut self, turn: &mut Turn) {
-        let Some(table) = turn.state.document().table().cloned() else {
+    pub(crate) fn plan_hosted(&mut self, ctx: &mut Context) {
+        let Some(table) = ctx.state.document().table().cloned() else {
             return;
         };
-        if !self.hosting.eager || turn.now < self.hosting.planned + PAUSE {
+        if !self.hosting.plan_requested || ctx.now < self.hosting.last_plan + MIN_PLAN_INTERVAL {
             return;
         }
-        self.hosting.eager = false;
-        self.hosting.planned = turn.now;
-        self.inspect(turn);
-        let totals = self.levels.totals();
+        self.hosting.plan_requested = false;
+        self.hosting.last_plan = ctx.now;
+        self.inspect_workers(ctx);
+        let totals = self.demand.totals();
         for (service, engine) in table.engines() {
-            self.host_service(&table, &service.name, engine, &totals, turn);
+            self.plan_hosted_service(&table, &service.name, engine, &totals, ctx);
         }
     }
 
     /// Sends the orders that are due to the workers of one service.
-    fn host_service(
+    fn plan_hosted_service(
         &mut self,
         table: &Table,
         service: &Name,
         engine: &Engine,
         totals: &BTreeMap<ModelId, Total>,
-        turn: &mut Turn,
+        ctx: &mut Context,
     ) {
         let models = self.hosting.models(table, service, engine);
         let mut wishes = BTreeMap::new();
         for id in models.keys() {
             let total = totals.get(id).cloned().unwrap_or_default();
-            let pace = self.hosting.pace(id, &total, turn.now);
+            let mean = self.hosting.update_demand(id, &total, ctx.now);
             wishes.insert(
                 id.clone(),
                 Wish {
                     waiting: total.waiting,
                     running: total.running,
-                    load: pace.load.value(),
-                    rate: pace.rate.per_second(),
+                    load: mean.load.value(),
+                    rate: mean.rate.per_second(),
                     slack: total.slack,
                     weight: total.weight,
                     adapters: total.adapters,
                 },
             );
         }
-        let workers = self.hosts_of(service, turn);
+        let workers = self.policy_workers(service, ctx);
         let fetching = self
             .hosting
-            .stations
+            .workers
             .values()
             .filter(|it| it.fetches())
             .count();
@@ -310,34 +332,37 @@
             workers,
             wishes,
             fetching: u32::try_from(fetching).unwrap_or(u32::MAX),
-            store_open: self.is_surveyed(turn) && self.hosting.store_open(engine, turn.now),
+            store_open: self.is_storage_known(ctx) && self.hosting.store_open(engine, ctx.now),
         };
         let policy = self.hosting.policies.entry(service.clone()).or_default();
         let steps = policy.plan(&scene);
-        let distant = scene.distant().into_iter().cloned();
-        let distant = distant.map(|id| (models[&id].from_store, id));
-        let distant = distant.map(|(lasts, id)| (id, lasts)).collect();
+        let store_only = scene.distant().into_iter().cloned();
+        let store_only = store_only.map(|id| (models[&id].from_store, id));
+        let store_only = store_only.map(|(load_time, id)| (id, load_time)).collect();
         drop(scene);
-        if self.is_surveyed(turn) {
-            self.show_distant(service, distant);
+        if self.is_storage_known(ctx) {
+            self.publish_store_only(service, store_only);
         }
         for step in steps {
-            self.give(&models, step, turn);
+            self.send_hosted_order(&models, step, ctx);
         }
     }
 
     /// Publishes changes to the set of models that only the weight store holds.
-    fn show_distant(&mut self, service: &Name, distant: BTreeMap<ModelId, Time>) {
-        let known = self.hosting.distant.entry(service.clone()).or_default();
-        for model in known.keys().filter(|model| !distant.contains_key(*model)) {
-            self.feed.push(outlook(model, Time::ZERO), true);
+    fn publish_store_only(&mut self, service: &Name, store_only: BTreeMap<ModelId, Time>) {
+        let known = self.hosting.store_only.entry(service.clone()).or_default();
+        for model in known
+            .keys()
+            .filter(|model| !store_only.contains_key(*model))
+        {
+            self.feed.push(outlook_change(model, Time::ZERO), true);
         }
-        for (model, lasts) in &distant {
-            if known.get(model) != Some(lasts) {
-                self.feed.push(outlook(model, *lasts), true);
+        for (model, load_time) in &store_only {
+            if known.get(model) != Some(load_time) {
+                self.feed.push(outlook_change(model, *load_time), true);
             }
         }
-        *known = distant;
+        *known = store_only;
     }
 
     /// Returns whether each worker has told this leader what it has on local storage, or the time
@@ -345,33 +370,35 @@
     ///
     /// A model that no worker is known to have on local storage is loaded from the weight store,
     /// which is slow.
-    fn is_surveyed(&self, turn: &Turn) -> bool {
+    fn is_storage_known(&self, ctx: &Context) -> bool {
         let silent = |target: &TargetId| {
             let worker = self.workers.get(target);
             worker.is_some_and(|worker| worker.is_open() && worker.sequence() == 0)
         };
-        let mut hosted = self.hosting.stations.keys();
-        turn.now >= self.since + SURVEY || !hosted.any(silent)
+        let mut hosted = self.hosting.workers.keys();
+        ctx.now >= self.since + SURVEY_TIMEOUT || !hosted.any(silent)
     }
 
     /// Returns the workers of a service as the policy sees them.
-    fn hosts_of(&self, service: &Name, turn: &Turn) -> Vec<hosting::Worker> {
-        let fleet = turn.state.fleet();
-        let stations = self.hosting.stations.iter();
-        let workers = stations.filter_map(|(target, station)| {
-            let known = fleet.alive(target, station.incarnation)?;
+    fn policy_workers(&self, service: &Name, ctx: &Context) -> Vec<hosting::Worker> {
+        let fleet = ctx.state.fleet();
+        let workers = self.hosting.workers.iter();
+        let workers = workers.filter_map(|(target, worker_orders)| {
+            let known = fleet.alive(target, worker_orders.incarnation)?;
             let announcement = &known.announcement;
             let worker = self.workers.get(target)?;
-            let beat = worker.beat.as_ref()?;
+            let last_heartbeat = worker.last_heartbeat.as_ref()?;
             let serves = announcement.services.contains(service);
             serves.then(|| hosting::Worker {
                 target: target.clone(),
                 region: announcement.region.clone(),
-                held: held(beat, station),
-                near: station.near.clone(),
-                coming: station.coming().cloned(),
+                held: held(last_heartbeat, worker_orders),
+                near: worker_orders.nearest.clone(),
+                coming: worker_orders.loading_model().cloned(),
                 // Before its first heartbeat to this leader, the worker's local storage is unknown.
-                free_in: station.free_in(turn.now).filter(|_| beat.sequence > 0),
+                free_in: worker_orders
+                    .free_in(ctx.now)
+                    .filter(|_| last_heartbeat.sequence > 0),
                 open: !known.leaving && worker.is_open(),
             })
         });
@@ -379,80 +406,83 @@
     }
 
     /// Sends one order.
-    fn give(&mut self, models: &Models, step: Step, turn: &mut Turn) {
-        let now = turn.now;
-        let Some(station) = self.hosting.stations.get_mut(&step.target) else {
+    fn send_hosted_order(&mut self, models: &Models, step: Step, ctx: &mut Context) {
+        let now = ctx.now;
+        let Some(worker_orders) = self.hosting.workers.get_mut(&step.target) else {
             return;
         };
-        let (action, lasts) = match &step.action {
+        let (action, load_time) = match &step.action {
             Action::Load { model, from } => {
                 let Some(known) = models.get(model) else {
                     return;
                 };
                 let bytes = known.bytes;
-                let lasts = match from {
+                let load_time = match from {
                     Stage::Memory => known.from_memory,
                     Stage::Disk => known.from_disk,
                     _ => known.from_store,
                 };
                 if *from < Stage::Disk {
-                    self.hosting.starts.push(now);
+                    self.hosting.store_load_starts.push(now);
                 }
                 let model = Reference::base(model.clone());
-                (order::Action::Load { model, bytes }, lasts)
+                (order::Action::Load { model, bytes }, load_time)
             }
             Action::Unload { model } => {
                 let model = Reference::base(model.clone());
                 (order::Action::Unload { model }, Time::ZERO)
             }
             Action::Adapter { model, adapter } => {
-                let model = with(model, adapter);
+                let model = with_adapter(model, adapter);
                 (order::Action::Adapter { model }, Time::ZERO)
             }
             Action::DropAdapter { model, adapter } => {
-                let model = with(model, adapter);
+                let model = with_adapter(model, adapter);
                 (order::Action::DropAdapter { model }, Time::ZERO)
             }
         };
         let order = Order {
             fence: self.term,
             target: step.target.clone(),
-            incarnation: station.incarnation,
+            incarnation: worker_orders.incarnation,
             replica: 0,
-            after: station.accepted,
+            after: worker_orders.accepted,
             action,
         };
-        turn.out.push(Output::Decided(step.clone()));
+        ctx.out.push(Output::Decided(step.clone()));
         if matches!(step.action, Action::Load { .. } | Action::Adapter { .. }) {
             // Counts as held from now on: whether the order arrived is known only later.
-            station.note(&step.action, false, now);
+            worker_orders.record(&step.action, false, now);
         }
-        station.given = Some(Given {
+        worker_orders.in_flight = Some(InFlightOrder {
             order: order.clone(),
             action: step.action,
-            due: now + lasts,
+            due: now + load_time,
             accepted: false,
         });
-        turn.out.push(Output::Order(order));
-        self.show_hosted(&step.target, now);
+        ctx.out.push(Output::Order(order));
+        self.publish_hosted(&step.target, now);
     }
 
     /// Inspects workers whose accepted count is unknown or whose order is overdue.
-    fn inspect(&mut self, turn: &mut Turn) {
-        let now = turn.now;
-        for (target, station) in &mut self.hosting.stations {
+    fn inspect_workers(&mut self, ctx: &mut Context) {
+        let now = ctx.now;
+        for (target, worker_orders) in &mut self.hosting.workers {
             let heard = self.workers.get(target).is_some_and(Worker::is_loadable);
-            let late = station.given.as_ref();
-            let late = late.is_some_and(|given| given.accepted && now > given.due + PATIENCE);
-            let unknown = station.given.is_none() && station.accepted.is_none();
-            let asked = station.inspected.is_some_and(|at| now < at + INSPECTION);
-            if !heard || asked || station.pause > now || !(late || unknown) {
+            let late = worker_orders.in_flight.as_ref();
+            let late = late
+                .is_some_and(|in_flight| in_flight.accepted && now > in_flight.due + OVERDUE_GRACE);
+            let unknown = worker_orders.in_flight.is_none() && worker_orders.accepted.is_none();
+            let inspecting = worker_orders
+                .inspected
+                .is_some_and(|at| now < at + INSPECTION_TIMEOUT);
+            if !heard || inspecting || worker_orders.paused_until > now || !(late || unknown) {
                 continue;
             }
-            station.inspected = Some(now);
-            turn.out.push(Output::Inspect {
+            worker_orders.inspected = Some(now);
+            ctx.out.push(Output::Inspect {
                 target: target.clone(),
-                incarnation: station.incarnation,
+                incarnation: worker_orders.incarnation,
             });
         }
     }
@@ -460,13 +490,13 @@
 
 /// Builds the change that announces how long a load takes where no target has the model on local
 /// storage; zero where one has.
-fn outlook(model: &ModelId, lasts: Time) -> Change {
-    let ms = u32::try_from(lasts.as_millis()).unwrap_or(u32::MAX);
+fn outlook_change(model: &ModelId, load_time: Time) -> Change {
+    let ms = u32::try_from(load_time.as_millis()).unwrap_or(u32::MAX);
     Change::Outlook(model.clone(), ms)
 }
 
 /// Returns the reference to a model with an adapter.
-fn with(model: &ModelId, adapter: &Name) -> Reference {
+fn with_adapter(model: &ModelId, adapter: &Name) -> Reference {
     Reference {
         adapter: Some(adapter.clone()),
         ..Reference::base(model.clone())
--- a/crates/control/src/hosting/station.rs
+++ b/crates/control/src/hosting/worker_orders.rs
@@ -8,30 +8,30 @@
 use cornelhitch_types::order::{Order, Outcome, Reply};
 use cornelhitch_types::target::{Holding, Stage};
 
-use crate::workers::Beat;
+use crate::workers::LastHeartbeat;
 
 /// Backoff after an order that the worker did not accept.
-pub(super) const BACKOFF: Time = Time::from_millis(250);
+pub(super) const REFUSED_BACKOFF: Time = Time::from_millis(250);
 
 /// Usual delay from an order's expected end to the heartbeat or inspection that shows it done.
-const TAIL: Time = Time::from_millis(100);
+const COMPLETION_DELAY: Time = Time::from_millis(100);
 
 /// Usual time to learn by inspection how many orders a worker has accepted.
-const ASKING: Time = Time::from_millis(500);
+const INSPECTION_ESTIMATE: Time = Time::from_millis(500);
 
 /// Consecutive unanswered inspections after which a worker is not counted on.
-const SILENT: u32 = 2;
+const MAX_UNANSWERED: u32 = 2;
 
 /// The minimum expected remaining time of an order in progress.
-const LEAST: Time = Time::from_millis(20);
+const MIN_REMAINING: Time = Time::from_millis(20);
 
 /// The maximum delay of a heartbeat: what was ordered within this time counts as held, whatever
 /// heartbeats show.
-const LAG: Time = Time::from_secs(8);
+const MAX_HEARTBEAT_DELAY: Time = Time::from_secs(8);
 
 /// An order that was sent and is not known to have ended.
 #[derive(Debug, Clone)]
-pub(super) struct Given {
+pub(super) struct InFlightOrder {
     /// The order as it was sent.
     pub(super) order: Order,
     /// The effect of the order.
@@ -44,7 +44,7 @@
 
 /// A model or an adapter that was ordered recently.
 #[derive(Debug, Clone)]
-struct Item {
+struct RecentOrder {
     /// The model.
     model: ModelId,
     /// The adapter; `None` for the model itself.
@@ -57,76 +57,76 @@
     at: Time,
 }
 
-impl Item {
+impl RecentOrder {
     /// Returns whether the entry is about this model or adapter.
-    pub(super) fn is(&self, model: &str, adapter: Option<&Name>) -> bool {
+    pub(super) fn is_about(&self, model: &str, adapter: Option<&Name>) -> bool {
         *self.model == *model && self.adapter.as_ref() == adapter
     }
 }
 
 /// The order state of one worker.
 #[derive(Debug, Clone)]
-pub(super) struct Station {
+pub(super) struct WorkerOrders {
     /// The incarnation of the worker.
     pub(super) incarnation: Incarnation,
     /// The number of orders it has accepted; `None` if unknown after a change of leader or a lost
     /// answer.
     pub(super) accepted: Option<u64>,
     /// The order in progress.
-    pub(super) given: Option<Given>,
+    pub(super) in_flight: Option<InFlightOrder>,
     /// Recent orders that delayed heartbeats may not show yet.
-    ledger: Vec<Item>,
+    recent: Vec<RecentOrder>,
     /// For each model, the fastest storage tier below accelerator memory that holds a copy.
-    pub(super) near: Arc<BTreeMap<ModelId, Stage>>,
+    pub(super) nearest: Arc<BTreeMap<ModelId, Stage>>,
     /// When the inspection in progress was sent.
     pub(super) inspected: Option<Time>,
     /// Consecutive inspections without an answer.
     unanswered: u32,
     /// No order is sent before this time.
-    pub(super) pause: Time,
+    pub(super) paused_until: Time,
 }
 
-impl Station {
+impl WorkerOrders {
     /// Creates the state of an incarnation without known orders; `new` if it was registered in this
     /// term.
     pub(super) fn new(incarnation: Incarnation, new: bool) -> Self {
         Self {
             incarnation,
             accepted: new.then_some(0),
-            given: None,
-            ledger: Vec::new(),
-            near: Arc::default(),
+            in_flight: None,
+            recent: Vec::new(),
+            nearest: Arc::default(),
             inspected: None,
             unanswered: 0,
-            pause: Time::ZERO,
+            paused_until: Time::ZERO,
         }
     }
 
     /// Returns the expected time until the worker takes an order; `None` if it does not answer
     /// inspections.
     pub(super) fn free_in(&self, now: Time) -> Option<Time> {
-        let pause = self.pause.saturating_sub(now);
+        let pause = self.paused_until.saturating_sub(now);
         if self.accepted.is_none() {
-            return (self.unanswered < SILENT).then_some(ASKING.max(pause));
+            return (self.unanswered < MAX_UNANSWERED).then_some(INSPECTION_ESTIMATE.max(pause));
         }
-        let Some(given) = &self.given else {
+        let Some(in_flight) = &self.in_flight else {
             return Some(pause);
         };
-        let due = given.due + TAIL;
+        let due = in_flight.due + COMPLETION_DELAY;
         // An order that is overdue is expected to take as long again.
         let left = due.saturating_sub(now).max(now.saturating_sub(due));
-        Some(left.max(pause).max(LEAST))
+        Some(left.max(pause).max(MIN_REMAINING))
     }
 
     /// Records the end of an inspection, with an answer or without.
-    pub(super) fn asked(&mut self, answered: bool) {
+    pub(super) fn on_inspection_done(&mut self, answered: bool) {
         self.inspected = None;
         self.unanswered = if answered { 0 } else { self.unanswered + 1 };
     }
 
     /// Returns the model that the worker is loading.
-    pub(super) fn coming(&self) -> Option<&ModelId> {
-        match &self.given.as_ref()?.action {
+    pub(super) fn loading_model(&self) -> Option<&ModelId> {
+        match &self.in_flight.as_ref()?.action {
             Action::Load { model, .. } => Some(model),
             _ => None,
         }
@@ -134,25 +134,25 @@
 
     /// Returns whether the worker is loading from the weight store.
     pub(super) fn fetches(&self) -> bool {
-        let given = self.given.as_ref().map(|given| &given.action);
-        matches!(given, Some(Action::Load { from, .. }) if *from < Stage::Disk)
+        let in_flight = self.in_flight.as_ref().map(|in_flight| &in_flight.action);
+        matches!(in_flight, Some(Action::Load { from, .. }) if *from < Stage::Disk)
     }
 
     /// Returns whether the worker is unloading the model.
     pub(super) fn unloads(&self, model: &str) -> bool {
-        let given = self.given.as_ref().map(|given| &given.action);
-        matches!(given, Some(Action::Unload { model: it }) if **it == *model)
+        let in_flight = self.in_flight.as_ref().map(|in_flight| &in_flight.action);
+        matches!(in_flight, Some(Action::Unload { model: it }) if **it == *model)
     }
 
     /// Returns the adapters of a copy according to heartbeats and recent orders; `sure` excludes
     /// orders that the worker has not accepted yet.
-    pub(super) fn adapters(&self, holding: &Holding, sure: bool) -> Vec<Name> {
+    pub(super) fn adapters(&self, holding: &Holding, accepted_only: bool) -> Vec<Name> {
         let mut adapters = holding.adapters.clone();
         let ordered = self
-            .ledger
+            .recent
             .iter()
             .filter(|it| it.model == holding.model.model);
-        let ordered = ordered.filter(|it| it.accepted || !sure);
+        let ordered = ordered.filter(|it| it.accepted || !accepted_only);
         for item in ordered {
             let Some(adapter) = &item.adapter else {
                 continue;
@@ -168,29 +168,29 @@
     }
 
     /// Returns the models that were ordered but that the newest heartbeat does not show.
-    pub(super) fn hidden(&self, beat: &Beat) -> Vec<ModelId> {
+    pub(super) fn not_shown(&self, last_heartbeat: &LastHeartbeat) -> Vec<ModelId> {
         let models = self
-            .ledger
+            .recent
             .iter()
             .filter(|it| it.adapter.is_none() && it.loaded);
-        let hidden = models.filter(|item| !shows(beat, &item.model));
-        hidden.map(|item| item.model.clone()).collect()
+        let not_shown = models.filter(|item| !is_shown_ready(last_heartbeat, &item.model));
+        not_shown.map(|item| item.model.clone()).collect()
     }
 
     /// Records the effect of an order, replacing earlier entries for the same model or adapter.
-    pub(super) fn note(&mut self, action: &Action, accepted: bool, at: Time) {
+    pub(super) fn record(&mut self, action: &Action, accepted: bool, at: Time) {
         let (model, adapter, loaded) = match action.clone() {
             Action::Load { model, .. } => (model, None, true),
             Action::Unload { model } => (model, None, false),
             Action::Adapter { model, adapter } => (model, Some(adapter), true),
             Action::DropAdapter { model, adapter } => (model, Some(adapter), false),
         };
-        self.ledger
-            .retain(|item| !item.is(&model, adapter.as_ref()));
+        self.recent
+            .retain(|item| !item.is_about(&model, adapter.as_ref()));
         if adapter.is_none() {
-            self.ledger.retain(|item| item.model != model);
+            self.recent.retain(|item| item.model != model);
         }
-        self.ledger.push(Item {
+        self.recent.push(RecentOrder {
             model,
             adapter,
             loaded,
@@ -200,39 +200,42 @@
     }
 
     /// Replaces the recent orders by the inventory that the worker reported.
-    pub(super) fn recount(&mut self, inventory: &[Holding], at: Time) {
-        self.ledger.clear();
+    pub(super) fn replace_recent(&mut self, inventory: &[Holding], at: Time) {
+        self.recent.clear();
         for holding in inventory {
             let model = &holding.model.model;
             let whole = std::iter::once(None);
             let adapters = holding.adapters.iter().cloned().map(Some);
-            let items = whole.chain(adapters).map(|adapter| Item {
+            let items = whole.chain(adapters).map(|adapter| RecentOrder {
                 model: model.clone(),
                 adapter,
                 loaded: true,
                 accepted: true,
                 at,
             });
-            self.ledger.extend(items);
+            self.recent.extend(items);
         }
     }
 
     /// Handles a heartbeat; an order that it shows to be complete is over.
-    pub(super) fn beat(&mut self, beat: &Beat, now: Time) {
-        self.near = Arc::new(near(beat));
-        let given = self.given.as_ref().filter(|given| given.accepted);
-        let done = match given.map(|given| &given.action) {
-            Some(Action::Load { model, .. }) => shows(beat, model),
-            Some(Action::Unload { model }) => !shows(beat, model),
+    pub(super) fn on_heartbeat(&mut self, last_heartbeat: &LastHeartbeat, now: Time) {
+        self.nearest = Arc::new(nearest_copies(last_heartbeat));
+        let in_flight = self
+            .in_flight
+            .as_ref()
+            .filter(|in_flight| in_flight.accepted);
+        let done = match in_flight.map(|in_flight| &in_flight.action) {
+            Some(Action::Load { model, .. }) => is_shown_ready(last_heartbeat, model),
+            Some(Action::Unload { model }) => !is_shown_ready(last_heartbeat, model),
             _ => false,
         };
         if done {
-            self.given = None;
+            self.in_flight = None;
         }
-        let coming = self.coming().cloned();
-        self.ledger.retain(|item| {
-            let expected = coming.as_ref() == Some(&item.model);
-            expected || now < item.at + LAG
+        let loading = self.loading_model().cloned();
+        self.recent.retain(|item| {
+            let expected = loading.as_ref() == Some(&item.model);
+            expected || now < item.at + MAX_HEARTBEAT_DELAY
         });
     }
 
@@ -240,68 +243,80 @@
     ///
     /// Only the order in progress counts: an earlier one that an inspection has settled may have
     /// been sent with the same number of accepted orders.
-    pub(super) fn done(&mut self, order: &Order, outcome: &Outcome, now: Time) {
-        let given = self.given.as_mut();
-        let Some(given) = given.filter(|given| given.order == *order && !given.accepted) else {
+    pub(super) fn on_outcome(&mut self, order: &Order, outcome: &Outcome, now: Time) {
+        let in_flight = self.in_flight.as_mut();
+        let Some(in_flight) =
+            in_flight.filter(|in_flight| in_flight.order == *order && !in_flight.accepted)
+        else {
             return;
         };
         match outcome {
             Outcome::Answered(Reply::Accepted) => {
                 self.accepted = self.accepted.map(|accepted| accepted + 1);
-                given.accepted = true;
-                let action = given.action.clone();
+                in_flight.accepted = true;
+                let action = in_flight.action.clone();
                 if matches!(action, Action::Adapter { .. } | Action::DropAdapter { .. }) {
-                    self.given = None;
+                    self.in_flight = None;
                 }
-                self.note(&action, true, now);
+                self.record(&action, true, now);
             }
             Outcome::Unsent => {
-                self.given = None;
-                self.pause = now + BACKOFF;
-                self.ledger.retain(|item| item.accepted);
+                self.in_flight = None;
+                self.paused_until = now + REFUSED_BACKOFF;
+                self.recent.retain(|item| item.accepted);
             }
             Outcome::Answered(_) | Outcome::Unknown => {
-                self.given = None;
+                self.in_flight = None;
                 self.accepted = None;
-                self.pause = now + BACKOFF;
+                self.paused_until = now + REFUSED_BACKOFF;
             }
         }
     }
 }
 
 /// Returns what a worker holds in accelerator memory.
-pub(super) fn held(beat: &Beat, station: &Station) -> Vec<Held> {
-    let ready = beat.inventory.iter().filter(|it| it.stage == Stage::Ready);
+pub(super) fn held(last_heartbeat: &LastHeartbeat, orders: &WorkerOrders) -> Vec<Held> {
+    let ready = last_heartbeat
+        .inventory
+        .iter()
+        .filter(|it| it.stage == Stage::Ready);
     let held = ready.map(|holding| Held {
         model: holding.model.model.clone(),
-        adapters: station.adapters(holding, false),
-        leaving: station.unloads(&holding.model.model),
+        adapters: orders.adapters(holding, false),
+        leaving: orders.unloads(&holding.model.model),
     });
     // A model that no heartbeat shows takes memory and gets no requests.
-    let hidden = station.hidden(beat).into_iter();
-    let hidden = hidden.filter(|model| station.coming() != Some(model));
-    let hidden = hidden.map(|model| Held {
+    let not_shown = orders.not_shown(last_heartbeat).into_iter();
+    let not_shown = not_shown.filter(|model| orders.loading_model() != Some(model));
+    let not_shown = not_shown.map(|model| Held {
         model,
         adapters: Vec::new(),
         leaving: true,
     });
-    held.chain(hidden).collect()
+    held.chain(not_shown).collect()
 }
 
 /// Returns whether a heartbeat shows a model in accelerator memory.
-fn shows(beat: &Beat, model: &str) -> bool {
-    let mut ready = beat.inventory.iter().filter(|it| it.stage == Stage::Ready);
+fn is_shown_ready(last_heartbeat: &LastHeartbeat, model: &str) -> bool {
+    let mut ready = last_heartbeat
+        .inventory
+        .iter()
+        .filter(|it| it.stage == Stage::Ready);
     ready.any(|it| *it.model.model == *model)
 }
 
 /// Returns, for each model, the fastest storage tier below accelerator memory that holds a copy.
-fn near(beat: &Beat) -> BTreeMap<ModelId, Stage> {
-    let mut near = BTreeMap::new();
-    for holding in beat.inventory.iter().filter(|it| it.stage < Stage::Loading) {
-        let stage = near
+fn nearest_copies(last_heartbeat: &LastHeartbeat) -> BTreeMap<ModelId, Stage> {
+    let mut nearest = BTreeMap::new();
+    for holding in last_heartbeat
+        .inventory
+        .iter()
+        .filter(|it| it.stage < Stage::Loading)
+    {
+        let stage = nearest
             .entry(holding.model.model.clone())
             .or_insert(holding.stage);
         *stage = holding.stage.max(*stage);
     }
-    near
+    nearest
 }
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -6,13 +6,13 @@
 use cornelhitch_types::id::{Term, Time, Version};
 use cornelhitch_types::view::View;
 
+use crate::context::Context;
 use crate::dump::Dump;
 use crate::input::Input;
 use crate::output::Output;
-use crate::reign::Reign;
 use crate::state::State;
+use crate::term_state::TermState;
 use crate::timing::Timing;
-use crate::turn::Turn;
 
 /// The leader of the replicated log, apart from consensus itself.
 ///
@@ -45,14 +45,16 @@
 pub struct Leader {
     timing: Timing,
     planner: Box<dyn Planner>,
-    reign: Option<Reign>,
+    term_state: Option<TermState>,
 }
 
 impl fmt::Debug for Leader {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut debug = f.debug_struct("Leader");
         debug.field("timing", &self.timing);
-        debug.field("reign", &self.reign).finish_non_exhaustive()
+        debug
+            .field("reign", &self.term_state)
+            .finish_non_exhaustive()
     }
 }
 
@@ -69,14 +71,14 @@
         Self {
             timing,
             planner,
-            reign: None,
+            term_state: None,
         }
     }
 
     /// Returns the term in which this host leads; `None` when it does not lead.
     #[must_use]
     pub fn term(&self) -> Option<Term> {
-        self.reign.as_ref().map(|reign| reign.term)
+        self.term_state.as_ref().map(|term_state| term_state.term)
     }
 
     /// Handles one input and returns the actions to carry out.
@@ -85,46 +87,50 @@
     /// the entries which this host proposes: time since the Unix epoch, which must not go back
     /// while the process runs.
     pub fn handle(&mut self, input: Input, state: &State, now: Time) -> Vec<Output> {
-        let mut turn = Turn {
+        let mut ctx = Context {
             state,
             now,
             timing: &self.timing,
             out: Vec::new(),
         };
         match input {
-            Input::Elected { term } => self.reign = Some(Reign::new(term, &turn)),
-            Input::Deposed => self.reign = None,
+            Input::Elected { term } => self.term_state = Some(TermState::new(term, &ctx)),
+            Input::Deposed => self.term_state = None,
             input => {
-                if let Some(reign) = &mut self.reign {
-                    reign.handle(input, self.planner.as_mut(), &mut turn);
+                if let Some(term_state) = &mut self.term_state {
+                    term_state.handle(input, self.planner.as_mut(), &mut ctx);
                 }
             }
         }
-        turn.out
+        ctx.out
     }
 
     /// Returns the sequence number of the newest published view; 0 when this host does not lead.
     #[must_use]
     pub fn sequence(&self) -> u64 {
-        self.reign.as_ref().map_or(0, |reign| reign.feed.sequence())
+        self.term_state
+            .as_ref()
+            .map_or(0, |term_state| term_state.feed.sequence())
     }
 
     /// Returns whether no entry host can still act on settings older than `version`.
     #[must_use]
     pub fn in_force(&self, version: Version, now: Time) -> bool {
-        let reign = self.reign.as_ref();
-        reign.is_some_and(|reign| reign.leases.in_force(version, now))
+        let term_state = self.term_state.as_ref();
+        term_state.is_some_and(|term_state| term_state.leases.in_force(version, now))
     }
 
     /// Returns the full view, for operators; empty when this host does not lead.
     #[must_use]
     pub fn view(&self, state: &State, now: Time) -> View {
-        let reign = self.reign.as_ref();
+        let term_state = self.term_state.as_ref();
         View {
             term: self.term().unwrap_or_default(),
             from: 0,
             to: 0,
-            changes: reign.map_or_else(Vec::new, |reign| reign.scene(state, now).whole()),
+            changes: term_state.map_or_else(Vec::new, |term_state| {
+                term_state.view_builder(state, now).full_view()
+            }),
         }
     }
 
@@ -143,8 +149,8 @@
     /// ```
     #[must_use]
     pub fn dump(&self, state: &State, now: Time) -> Option<Dump> {
-        let reign = self.reign.as_ref();
-        reign.map(|reign| Dump::new(reign, state, now))
+        let term_state = self.term_state.as_ref();
+        term_state.map(|term_state| Dump::new(term_state, state, now))
     }
 
     /// Explains the placement of a model to operators, one line for each step.
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -5,9 +5,9 @@
 use cornelhitch_types::entry;
 use cornelhitch_types::id::{HostId, Time, Version};
 
+use crate::context::Context;
 use crate::mutation::{self, Mutation};
 use crate::output::Output;
-use crate::turn::Turn;
 
 /// An entry host and its leases.
 #[derive(Debug, Clone)]
@@ -15,11 +15,11 @@
     /// The newest renewal of the host.
     pub(crate) host: entry::Host,
     /// When the renewal arrived.
-    pub(crate) heard: Time,
+    pub(crate) last_heard: Time,
     /// Versions of the settings that it may act on, and until when.
     grants: BTreeMap<Version, Time>,
     /// Whether the expiry of all of them was already reported.
-    lapsed: bool,
+    expired: bool,
 }
 
 impl Lease {
@@ -46,9 +46,9 @@
 
 impl Leases {
     /// Creates the leases at the start of a term.
-    pub(crate) fn new(turn: &Turn) -> Self {
+    pub(crate) fn new(ctx: &Context) -> Self {
         Self {
-            inherited: turn.now + turn.timing.guarded_lease(),
+            inherited: ctx.now + ctx.timing.guarded_lease(),
             hosts: BTreeMap::new(),
             announced: 0,
         }
@@ -69,8 +69,8 @@
     /// A host that acts on older settings has to fetch the newer ones first; its lease on the older
     /// ones is not extended. A lease counts from now on, since the host may fetch the settings as
     /// soon as it hears of them.
-    pub(crate) fn renew(&mut self, host: entry::Host, turn: &mut Turn) -> bool {
-        let version = turn.state.catalogue().version();
+    pub(crate) fn renew(&mut self, host: entry::Host, ctx: &mut Context) -> bool {
+        let version = ctx.state.catalogue().version();
         let old = self.hosts.remove(&host.host);
         if let Some(newer) = old
             .as_ref()
@@ -81,22 +81,22 @@
         }
         let changed = old
             .as_ref()
-            .is_none_or(|old| old.host != host || !old.is_valid(turn.now));
+            .is_none_or(|old| old.host != host || !old.is_valid(ctx.now));
         let same = old.filter(|old| old.host.incarnation == host.incarnation);
         let mut grants = same.map(|old| old.grants).unwrap_or_default();
         grants.retain(|granted, _| *granted >= host.settings);
         if version > 0 {
-            grants.insert(version, turn.now + turn.timing.guarded_lease());
+            grants.insert(version, ctx.now + ctx.timing.guarded_lease());
         }
-        turn.out.push(Output::Lease {
+        ctx.out.push(Output::Lease {
             host: host.host,
             incarnation: host.incarnation,
-            length: turn.timing.lease,
+            length: ctx.timing.lease_length,
             version,
         });
         let lease = Lease {
-            heard: turn.now,
-            lapsed: version == 0,
+            last_heard: ctx.now,
+            expired: version == 0,
             grants,
             host,
         };
@@ -105,15 +105,15 @@
     }
 
     /// Returns the hosts whose leases have expired since the last call.
-    pub(crate) fn lapsed(&mut self, now: Time) -> Vec<HostId> {
-        let mut lapsed = Vec::new();
+    pub(crate) fn expired(&mut self, now: Time) -> Vec<HostId> {
+        let mut expired = Vec::new();
         for (host, lease) in &mut self.hosts {
-            if !lease.lapsed && !lease.is_valid(now) {
-                lease.lapsed = true;
-                lapsed.push(*host);
+            if !lease.expired && !lease.is_valid(now) {
+                lease.expired = true;
+                expired.push(*host);
             }
         }
-        lapsed
+        expired
     }
 
     /// Returns whether no entry host can still act on settings older than a version.
@@ -134,18 +134,19 @@
     }
 
     /// Reports once that the settings are in force.
-    pub(crate) fn announce(&mut self, turn: &mut Turn) {
-        let version = turn.state.catalogue().version();
-        if version > self.announced && self.in_force(version, turn.now) {
+    pub(crate) fn announce(&mut self, ctx: &mut Context) {
+        let version = ctx.state.catalogue().version();
+        if version > self.announced && self.in_force(version, ctx.now) {
             self.announced = version;
-            turn.out.push(Output::InForce { version });
+            ctx.out.push(Output::InForce { version });
         }
     }
 
     /// Removes hosts that have been silent for long, and returns them.
-    pub(crate) fn expire(&mut self, turn: &Turn) -> Vec<Lease> {
-        let silent =
-            |lease: &Lease| !lease.is_valid(turn.now) && lease.heard + turn.timing.host < turn.now;
+    pub(crate) fn remove_silent(&mut self, ctx: &Context) -> Vec<Lease> {
+        let silent = |lease: &Lease| {
+            !lease.is_valid(ctx.now) && lease.last_heard + ctx.timing.host_timeout < ctx.now
+        };
         let ids: Vec<HostId> = self
             .hosts
             .iter()
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -25,37 +25,37 @@
 //! # Ok::<(), cornelhitch_control::error::Error>(())
 //! ```
 
-mod beats;
 pub mod catalogue;
 mod claim;
 pub mod claims;
 pub mod command;
+mod context;
+mod demand;
 pub mod document;
 pub mod dump;
 pub mod error;
 mod feed;
 pub mod fleet;
+mod heartbeats;
 mod hosting;
 pub mod input;
 pub mod leader;
 mod leases;
-mod levels;
 pub mod mutation;
 mod orders;
 mod outcome;
 pub mod output;
 mod pending;
 mod plan;
+mod planner_input;
 pub mod prelude;
-mod reign;
+mod replica_orders;
 pub mod replicas;
 mod rules;
-mod scene;
-mod sketch;
 pub mod state;
 pub mod strikes;
+mod term_state;
 pub mod timing;
 mod tombstones;
-mod tracks;
-mod turn;
+mod view_builder;
 mod workers;
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -6,28 +6,28 @@
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
 
-use crate::beats::fencing;
 use crate::command::Command;
+use crate::context::Context;
+use crate::heartbeats::checks_fencing;
 use crate::mutation::{self, Mutation};
 use crate::output::Output;
-use crate::reign::{Adapter, Reign};
+use crate::replica_orders::OrderStatus;
 use crate::replicas::{Evidence, QUIET_BEATS, Replica};
-use crate::tracks::Sent;
-use crate::turn::Turn;
+use crate::term_state::{Adapter, TermState};
 
-impl Reign {
+impl TermState {
     /// Sends an order with this term as its fencing number.
-    pub(crate) fn order(
+    pub(crate) fn send_order(
         &mut self,
         target: &TargetId,
         replica: ReplicaId,
         action: Action,
-        turn: &mut Turn,
+        ctx: &mut Context,
     ) {
         let Some(worker) = self.workers.get(target) else {
             return;
         };
-        turn.out.push(Output::Order(Order {
+        ctx.out.push(Output::Order(Order {
             fence: self.term,
             target: target.clone(),
             incarnation: worker.incarnation,
@@ -38,97 +38,97 @@
     }
 
     /// Sends the load or unload order that a replica needs, if it is due.
-    pub(crate) fn drive(&mut self, id: ReplicaId, turn: &mut Turn) {
-        let Some(replica) = turn.state.replicas().get(id) else {
+    pub(crate) fn send_due_order(&mut self, id: ReplicaId, ctx: &mut Context) {
+        let Some(replica) = ctx.state.replicas().get(id) else {
             return;
         };
         match replica.state {
-            State::Loading => self.drive_load(replica, turn),
+            State::Loading => self.send_due_load(replica, ctx),
             State::Ready => {}
-            State::Retiring => self.drive_unload(replica, turn),
+            State::Retiring => self.send_due_unload(replica, ctx),
         }
     }
 
     /// Sends a load order, if it is due.
-    fn drive_load(&mut self, replica: &Replica, turn: &mut Turn) {
+    fn send_due_load(&mut self, replica: &Replica, ctx: &mut Context) {
         let Some(worker) = self.workers.get(&replica.target) else {
             return;
         };
-        let reserved = turn.state.replicas().reserved(&replica.target);
-        let memory = turn.state.fleet().get(&replica.target);
+        let reserved = ctx.state.replicas().reserved(&replica.target);
+        let memory = ctx.state.fleet().get(&replica.target);
         let memory = memory.map_or(0, |target| target.announcement.memory);
-        let room = reserved.saturating_add(worker.unexplained()) <= memory;
-        let alone = !worker.shows(&replica.model);
+        let room = reserved.saturating_add(worker.orphan_bytes()) <= memory;
+        let alone = !worker.has_orphan_of(&replica.model);
         let usable = room && alone && worker.is_loadable();
-        let Some(track) = self.tracks.get_mut(&replica.id) else {
+        let Some(orders) = self.replica_orders.get_mut(&replica.id) else {
             return;
         };
-        if replica.adopted || track.seen.is_some() {
+        if replica.adopted || orders.last_seen.is_some() {
             return;
         }
-        let withheld = track.load == Sent::Withheld;
-        if track.is_unsent(replica) && (!usable || withheld) {
-            self.refuse_load(replica, turn);
+        let withheld = orders.load == OrderStatus::Withheld;
+        if orders.is_unsent(replica) && (!usable || withheld) {
+            self.cancel_load(replica, ctx);
             return;
         }
         // If the worker does not check fencing numbers, an order of an earlier leader, or one with
         // an unknown outcome, may still arrive; a second order could then load a second copy.
-        let fencing = fencing(replica, turn) || mutation::is(Mutation::BlindResend);
-        let due = match track.load {
-            Sent::Never => !track.inherited || fencing,
-            Sent::Unknown { at } => fencing && turn.now >= at + turn.timing.resend,
-            Sent::Out { .. } | Sent::Settled | Sent::Withheld => false,
+        let fencing = checks_fencing(replica, ctx) || mutation::is(Mutation::BlindResend);
+        let due = match orders.load {
+            OrderStatus::NotSent => !orders.inherited || fencing,
+            OrderStatus::Unknown { at } => fencing && ctx.now >= at + ctx.timing.resend_interval,
+            OrderStatus::InFlight { .. } | OrderStatus::Answered | OrderStatus::Withheld => false,
         };
         if !due || !usable {
             return;
         }
-        track.load = Sent::Out { at: turn.now };
-        track.stir();
+        orders.load = OrderStatus::InFlight { at: ctx.now };
+        orders.reset_absence();
         let action = Action::Load {
             model: reference(replica),
             bytes: replica.bytes,
         };
-        self.order(&replica.target, replica.id, action, turn);
+        self.send_order(&replica.target, replica.id, action, ctx);
     }
 
     /// Sends an unload order, if it is due.
-    fn drive_unload(&mut self, replica: &Replica, turn: &mut Turn) {
+    fn send_due_unload(&mut self, replica: &Replica, ctx: &mut Context) {
         let Some(worker) = self.workers.get(&replica.target) else {
             return;
         };
         let sequence = worker.sequence();
-        let heard = !worker.suspected && worker.beat.is_some();
-        let Some(track) = self.tracks.get(&replica.id) else {
+        let heard = !worker.suspected && worker.last_heartbeat.is_some();
+        let Some(orders) = self.replica_orders.get(&replica.id) else {
             return;
         };
-        if track.is_unsent(replica) {
-            self.refuse_load(replica, turn);
+        if orders.is_unsent(replica) {
+            self.cancel_load(replica, ctx);
             return;
         }
-        let since = track.retired.unwrap_or(turn.now);
-        if !heard || !self.is_drained(&replica.target, &replica.model, since, turn) {
+        let since = orders.retired.unwrap_or(ctx.now);
+        if !heard || !self.is_drained(&replica.target, &replica.model, since, ctx) {
             return;
         }
-        let fencing = fencing(replica, turn);
-        let Some(track) = self.tracks.get_mut(&replica.id) else {
+        let fencing = checks_fencing(replica, ctx);
+        let Some(orders) = self.replica_orders.get_mut(&replica.id) else {
             return;
         };
-        let shown = track.seen == Some(sequence);
-        let asked = track.asked.saturating_add(QUIET_BEATS);
-        let quiet = sequence >= asked;
-        let due = match track.unload {
-            Sent::Never => true,
-            Sent::Unknown { at } if fencing => turn.now >= at + turn.timing.resend,
-            Sent::Unknown { .. } | Sent::Settled => quiet,
-            Sent::Out { .. } | Sent::Withheld => false,
+        let shown = orders.last_seen == Some(sequence);
+        let resend_from = orders.unload_sequence.saturating_add(QUIET_BEATS);
+        let resend_due = sequence >= resend_from;
+        let due = match orders.unload {
+            OrderStatus::NotSent => true,
+            OrderStatus::Unknown { at } if fencing => ctx.now >= at + ctx.timing.resend_interval,
+            OrderStatus::Unknown { .. } | OrderStatus::Answered => resend_due,
+            OrderStatus::InFlight { .. } | OrderStatus::Withheld => false,
         };
         if !due || !shown {
             return;
         }
-        track.unload = Sent::Out { at: turn.now };
-        track.asked = sequence;
+        orders.unload = OrderStatus::InFlight { at: ctx.now };
+        orders.unload_sequence = sequence;
         let model = reference(replica);
-        self.order(&replica.target, replica.id, Action::Unload { model }, turn);
+        self.send_order(&replica.target, replica.id, Action::Unload { model }, ctx);
     }
 
     /// Returns whether nothing runs on a model's copy that got its last new request at `since`.
@@ -137,17 +137,17 @@
         target: &TargetId,
         model: &ModelId,
         since: Time,
-        turn: &Turn,
+        ctx: &Context,
     ) -> bool {
         let Some(worker) = self.workers.get(target) else {
             return false;
         };
-        if turn.now >= since + turn.timing.drain {
+        if ctx.now >= since + ctx.timing.drain_timeout {
             return true;
         }
-        let settled = since + turn.timing.settle;
-        let idle = worker.is_idle() && worker.heard >= settled;
-        turn.now >= settled && (idle || self.is_unused(model, settled, turn))
+        let settled = since + ctx.timing.retire_settle;
+        let idle = worker.is_idle() && worker.last_heard >= settled;
+        ctx.now >= settled && (idle || self.is_unused(model, settled, ctx))
     }
 
     /// Returns whether every entry host has reported, since a time, that it runs nothing on a
@@ -155,25 +155,25 @@
     ///
     /// A new leader has not heard of hosts that are out of contact, so it returns false until their
     /// timeout has passed.
-    fn is_unused(&self, model: &ModelId, since: Time, turn: &Turn) -> bool {
-        let acquainted = turn.now >= self.since + turn.timing.host;
-        let mut hosts = self.leases.iter().filter(|it| it.is_valid(turn.now));
-        let heard = hosts.all(|lease| self.levels.is_heard(lease.host.host, since));
-        acquainted && heard && self.levels.running(model) == 0
+    fn is_unused(&self, model: &ModelId, since: Time, ctx: &Context) -> bool {
+        let hosts_known = ctx.now >= self.since + ctx.timing.host_timeout;
+        let mut hosts = self.leases.iter().filter(|it| it.is_valid(ctx.now));
+        let heard = hosts.all(|lease| self.demand.has_reported_since(lease.host.host, since));
+        hosts_known && heard && self.demand.running(model) == 0
     }
 
     /// Handles the outcome of an order.
-    pub(crate) fn order_done(&mut self, order: &Order, outcome: &Outcome, turn: &mut Turn) {
+    pub(crate) fn on_order_done(&mut self, order: &Order, outcome: &Outcome, ctx: &mut Context) {
         if order.fence != self.term {
             return;
         }
-        let known = turn.state.fleet().get(&order.target);
+        let known = ctx.state.fleet().get(&order.target);
         if known.is_some_and(|known| known.announcement.is_hosted()) {
-            return self.hosted_done(order, outcome, turn);
+            return self.on_hosted_order_done(order, outcome, ctx);
         }
         match &order.action {
-            Action::Load { .. } => self.load_done(order, outcome, turn),
-            Action::Unload { .. } => self.unload_done(order, outcome, turn),
+            Action::Load { .. } => self.on_load_done(order, outcome, ctx),
+            Action::Unload { .. } => self.on_unload_done(order, outcome, ctx),
             Action::Adapter { model } => {
                 let refused = matches!(
                     outcome,
@@ -190,69 +190,71 @@
     }
 
     /// Handles the outcome of a load order.
-    fn load_done(&mut self, order: &Order, outcome: &Outcome, turn: &mut Turn) {
-        let Some(replica) = turn.state.replicas().get(order.replica) else {
+    fn on_load_done(&mut self, order: &Order, outcome: &Outcome, ctx: &mut Context) {
+        let Some(replica) = ctx.state.replicas().get(order.replica) else {
             return;
         };
-        let Some(track) = self.tracks.get_mut(&order.replica) else {
+        let Some(orders) = self.replica_orders.get_mut(&order.replica) else {
             return;
         };
-        track.stir();
-        let certain = !track.doubtful && !track.inherited && track.seen.is_none();
+        orders.reset_absence();
+        let certain = !orders.may_arrive && !orders.inherited && orders.last_seen.is_none();
         match outcome {
             Outcome::Answered(Reply::Accepted) => {
-                track.load = Sent::Settled;
+                orders.load = OrderStatus::Answered;
             }
             Outcome::Unknown => {
-                track.doubtful = true;
-                track.load = Sent::Unknown { at: turn.now };
+                orders.may_arrive = true;
+                orders.load = OrderStatus::Unknown { at: ctx.now };
             }
             Outcome::Unsent | Outcome::Answered(_) if certain => {
-                self.refuse_load(replica, turn);
+                self.cancel_load(replica, ctx);
             }
-            Outcome::Unsent => track.load = Sent::Unknown { at: turn.now },
-            Outcome::Answered(_) => track.load = Sent::Settled,
+            Outcome::Unsent => orders.load = OrderStatus::Unknown { at: ctx.now },
+            Outcome::Answered(_) => orders.load = OrderStatus::Answered,
         }
     }
 
     /// Handles the outcome of an unload order.
-    fn unload_done(&mut self, order: &Order, outcome: &Outcome, turn: &Turn) {
-        let Some(track) = self.tracks.get_mut(&order.replica) else {
+    fn on_unload_done(&mut self, order: &Order, outcome: &Outcome, ctx: &Context) {
+        let Some(orders) = self.replica_orders.get_mut(&order.replica) else {
             return;
         };
-        track.unload = match outcome {
-            Outcome::Answered(_) => Sent::Settled,
-            Outcome::Unsent => Sent::Never,
+        orders.unload = match outcome {
+            Outcome::Answered(_) => OrderStatus::Answered,
+            Outcome::Unsent => OrderStatus::NotSent,
             Outcome::Unknown => {
-                track.doubtful = true;
-                Sent::Unknown { at: turn.now }
+                orders.may_arrive = true;
+                OrderStatus::Unknown { at: ctx.now }
             }
         };
     }
 
     /// Proposes to release the reservation of a load that did not take place.
-    fn refuse_load(&mut self, replica: &Replica, turn: &mut Turn) {
-        if let Some(track) = self.tracks.get_mut(&replica.id) {
-            track.load = Sent::Withheld;
+    fn cancel_load(&mut self, replica: &Replica, ctx: &mut Context) {
+        if let Some(orders) = self.replica_orders.get_mut(&replica.id) {
+            orders.load = OrderStatus::Withheld;
         }
         if let Some(worker) = self.workers.get_mut(&replica.target) {
-            let until = turn.now + turn.timing.backoff;
-            worker.back_off(&replica.model, until, turn.now);
+            let until = ctx.now + ctx.timing.load_backoff;
+            worker.back_off(&replica.model, until, ctx.now);
         }
-        self.sketch.worker(&replica.target);
+        self.planner_input.mark_worker(&replica.target);
         let command = Command::Release {
             replica: replica.id,
             evidence: Evidence::Refused,
             unknown: false,
         };
-        self.pending.propose(command, turn);
+        self.pending.propose(command, ctx);
     }
 
     /// Returns the fastest storage tier of the worker that holds the replica's weights.
     pub(crate) fn nearest(&self, replica: &Replica) -> Stage {
         let worker = self.workers.get(&replica.target);
-        let beat = worker.and_then(|worker| worker.beat.as_ref());
-        let inventory = beat.into_iter().flat_map(|beat| &beat.inventory);
+        let last_heartbeat = worker.and_then(|worker| worker.last_heartbeat.as_ref());
+        let inventory = last_heartbeat
+            .into_iter()
+            .flat_map(|last_heartbeat| &last_heartbeat.inventory);
         let copies = inventory.filter(|it| it.model.model == replica.model);
         copies.map(|it| it.stage).max().unwrap_or(Stage::Remote)
     }
--- a/crates/control/src/pending.rs
+++ b/crates/control/src/pending.rs
@@ -5,12 +5,12 @@
 use cornelhitch_types::id::{HostId, ModelId, ReplicaId, TargetId, Time};
 
 use crate::command::Command;
+use crate::context::Context;
 use crate::output::Output;
-use crate::turn::Turn;
 
 /// The subject of a proposal; at most one proposal for each is in flight.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Topic {
+enum ProposalSubject {
     Register(TargetId),
     Silence(TargetId),
     Hold(TargetId),
@@ -22,10 +22,10 @@
     HostEnded(HostId),
 }
 
-impl Topic {
+impl ProposalSubject {
     /// Returns the subject of a command; `None` for commands that the leader itself never proposes.
     fn of(command: &Command) -> Option<Self> {
-        let topic = match command {
+        let subject = match command {
             Command::Register(announcement) => Self::Register(announcement.target.clone()),
             Command::Silence { target, .. } => Self::Silence(target.clone()),
             Command::Hold { target, .. } => Self::Hold(target.clone()),
@@ -37,47 +37,48 @@
             Command::HostEnded { host, .. } => Self::HostEnded(*host),
             _ => return None,
         };
-        Some(topic)
+        Some(subject)
     }
 }
 
 /// The proposals in flight, with the time of each.
 #[derive(Debug, Default)]
 pub(crate) struct Pending {
-    topics: BTreeMap<Topic, Time>,
+    proposals: BTreeMap<ProposalSubject, Time>,
 }
 
 impl Pending {
     /// Proposes a command, unless one with the same subject is in flight.
-    pub(crate) fn propose(&mut self, command: Command, turn: &mut Turn) {
-        let Some(topic) = Topic::of(&command) else {
+    pub(crate) fn propose(&mut self, command: Command, ctx: &mut Context) {
+        let Some(subject) = ProposalSubject::of(&command) else {
             return;
         };
-        let lapsed = |at: &Time| turn.now >= *at + turn.timing.proposal;
-        if self.topics.get(&topic).is_none_or(lapsed) {
-            self.topics.insert(topic, turn.now);
-            turn.out.push(Output::Propose(command));
+        let lapsed = |at: &Time| ctx.now >= *at + ctx.timing.proposal_timeout;
+        if self.proposals.get(&subject).is_none_or(lapsed) {
+            self.proposals.insert(subject, ctx.now);
+            ctx.out.push(Output::Propose(command));
         }
     }
 
     /// Records that a command was applied.
     pub(crate) fn applied(&mut self, command: &Command) {
-        if let Some(topic) = Topic::of(command) {
-            self.topics.remove(&topic);
+        if let Some(subject) = ProposalSubject::of(command) {
+            self.proposals.remove(&subject);
         }
     }
 
     /// Returns whether a decision is in flight.
-    pub(crate) fn is_deciding(&self, turn: &Turn) -> bool {
-        let mut topics = self.topics.iter();
-        topics.any(|(topic, at)| {
-            matches!(topic, Topic::Decide(..)) && turn.now < *at + turn.timing.proposal
+    pub(crate) fn is_deciding(&self, ctx: &Context) -> bool {
+        let mut proposals = self.proposals.iter();
+        proposals.any(|(subject, at)| {
+            matches!(subject, ProposalSubject::Decide(..))
+                && ctx.now < *at + ctx.timing.proposal_timeout
         })
     }
 
     /// Drops proposals that timed out.
-    pub(crate) fn expire(&mut self, turn: &Turn) {
-        self.topics
-            .retain(|_, at| turn.now < *at + turn.timing.proposal);
+    pub(crate) fn expire(&mut self, ctx: &Context) {
+        self.proposals
+            .retain(|_, at| ctx.now < *at + ctx.timing.proposal_timeout);
     }
 }
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -10,56 +10,56 @@
 use cornelhitch_types::view::State;
 
 use crate::command::Command;
+use crate::context::Context;
 use crate::mutation::{self, Mutation};
 use crate::orders::reference;
-use crate::reign::{Adapter, Reign, Warming};
 use crate::replicas::Decide;
-use crate::turn::Turn;
+use crate::term_state::{Adapter, TermState, Warming};
 use crate::workers::Worker;
 
 /// Memory taken by the decisions of one plan, by worker, in bytes.
 type Taken = BTreeMap<TargetId, u64>;
 
-impl Reign {
+impl TermState {
     /// Runs the planner, if it is due.
-    pub(crate) fn plan(&mut self, planner: &mut dyn Planner, turn: &mut Turn) {
+    pub(crate) fn plan(&mut self, planner: &mut dyn Planner, ctx: &mut Context) {
         // Models of engines that count their orders are placed by `hosting`.
-        let managed = !turn.state.catalogue().fleet().models.is_empty();
-        if !managed || !self.is_plan_due(turn) {
+        let managed = !ctx.state.catalogue().fleet().models.is_empty();
+        if !managed || !self.is_plan_due(ctx) {
             return;
         }
-        self.planned = Some(turn.now);
-        self.eager = false;
+        self.last_plan = Some(ctx.now);
+        self.plan_requested = false;
         let adapters = u32::try_from(self.adapters.len()).unwrap_or(u32::MAX);
-        let picture = self.sketch.refresh(
+        let picture = self.planner_input.refresh(
             &self.workers,
-            &mut self.tracks,
-            &mut self.levels,
+            &mut self.replica_orders,
+            &mut self.demand,
             adapters,
-            turn,
+            ctx,
         );
-        let decisions = planner.plan(picture, turn.now);
+        let decisions = planner.plan(picture, ctx.now);
         let mut taken = Taken::new();
         for decision in decisions {
-            self.carry_out(decision, &mut taken, turn);
+            self.carry_out(decision, &mut taken, ctx);
         }
     }
 
     /// Returns whether the planner may run now.
-    fn is_plan_due(&self, turn: &Turn) -> bool {
-        let wait = if self.eager {
-            turn.timing.plan
+    fn is_plan_due(&self, ctx: &Context) -> bool {
+        let wait = if self.plan_requested {
+            ctx.timing.min_plan_interval
         } else {
-            turn.timing.replan
+            ctx.timing.max_plan_interval
         };
         let due = self
-            .planned
-            .is_none_or(|planned| turn.now >= planned + wait);
-        due && self.is_gathered(turn) && !self.pending.is_deciding(turn)
+            .last_plan
+            .is_none_or(|planned| ctx.now >= planned + wait);
+        due && self.is_fleet_heard(ctx) && !self.pending.is_deciding(ctx)
     }
 
     /// Proposes or orders what the planner decided.
-    fn carry_out(&mut self, decision: Decision, taken: &mut Taken, turn: &mut Turn) {
+    fn carry_out(&mut self, decision: Decision, taken: &mut Taken, ctx: &mut Context) {
         match decision.action {
             Action::Load {
                 model,
@@ -76,49 +76,49 @@
                     bytes,
                     adopted: false,
                 };
-                self.decide(decide, taken, turn);
+                self.decide(decide, taken, ctx);
             }
             Action::Unload { replica } => {
-                let standing = turn.state.replicas().get(replica);
+                let standing = ctx.state.replicas().get(replica);
                 if standing.is_some_and(|it| it.state != State::Retiring) {
-                    self.pending.propose(Command::Retire { replica }, turn);
+                    self.pending.propose(Command::Retire { replica }, ctx);
                 }
             }
-            Action::Adapter { replica, adapter } => self.load_adapter(replica, adapter, turn),
-            Action::Warm { model, target } => self.warm(model, &target, turn),
+            Action::Adapter { replica, adapter } => self.load_adapter(replica, adapter, ctx),
+            Action::Warm { model, target } => self.warm(model, &target, ctx),
         }
     }
 
     /// Proposes a replica, if models may be loaded on the worker and it has free memory besides
     /// copies that belong to no decided replica.
-    fn decide(&mut self, decide: Decide, taken: &mut Taken, turn: &mut Turn) {
+    fn decide(&mut self, decide: Decide, taken: &mut Taken, ctx: &mut Context) {
         let Some(worker) = self.workers.get(&decide.target) else {
             return;
         };
-        let Some(known) = turn.state.fleet().get(&decide.target) else {
+        let Some(known) = ctx.state.fleet().get(&decide.target) else {
             return;
         };
         let sum = taken.entry(decide.target.clone()).or_default();
-        let used = turn.state.replicas().reserved(&decide.target);
-        let used = used.saturating_add(worker.unexplained());
+        let used = ctx.state.replicas().reserved(&decide.target);
+        let used = used.saturating_add(worker.orphan_bytes());
         let used = used.saturating_add(*sum).saturating_add(decide.bytes);
         let room = used <= known.announcement.memory;
-        if room && worker.is_loadable() && !worker.blocks(&decide.model, turn.now) {
+        if room && worker.is_loadable() && !worker.is_load_blocked(&decide.model, ctx.now) {
             *sum = sum.saturating_add(decide.bytes);
             if mutation::is(Mutation::EarlyOrder) {
                 let model = Reference::base(decide.model.clone());
                 let bytes = decide.bytes;
-                let next = turn.state.replicas().last() + 1;
+                let next = ctx.state.replicas().last() + 1;
                 let action = order::Action::Load { model, bytes };
-                self.order(&decide.target, next, action, turn);
+                self.send_order(&decide.target, next, action, ctx);
             }
-            self.pending.propose(Command::Decide(decide), turn);
+            self.pending.propose(Command::Decide(decide), ctx);
         }
     }
 
     /// Orders an adapter to be loaded onto a ready replica.
-    fn load_adapter(&mut self, replica: ReplicaId, name: Name, turn: &mut Turn) {
-        let standing = turn.state.replicas().get(replica);
+    fn load_adapter(&mut self, replica: ReplicaId, name: Name, ctx: &mut Context) {
+        let standing = ctx.state.replicas().get(replica);
         let Some(standing) = standing.filter(|it| it.state == State::Ready) else {
             return;
         };
@@ -131,26 +131,26 @@
         if !open || self.adapters.contains_key(&adapter) {
             return;
         }
-        self.adapters.insert(adapter, turn.now);
+        self.adapters.insert(adapter, ctx.now);
         let model = Reference {
             adapter: Some(name),
             ..reference(standing)
         };
         let action = order::Action::Adapter { model };
-        self.order(&standing.target, replica, action, turn);
+        self.send_order(&standing.target, replica, action, ctx);
     }
 
     /// Orders a model into a faster storage tier of a worker.
-    fn warm(&mut self, model: ModelId, target: &TargetId, turn: &mut Turn) {
+    fn warm(&mut self, model: ModelId, target: &TargetId, ctx: &mut Context) {
         let open = self.workers.get(target);
         let warming = Warming {
             target: target.clone(),
             model: model.clone(),
         };
         if open.is_some_and(Worker::is_loadable) && !self.warming.contains_key(&warming) {
-            self.warming.insert(warming, turn.now);
+            self.warming.insert(warming, ctx.now);
             let model = Reference::base(model);
-            self.order(target, 0, order::Action::Warm { model }, turn);
+            self.send_order(target, 0, order::Action::Warm { model }, ctx);
         }
     }
 }
--- a/crates/control/src/sketch.rs
+++ b/crates/control/src/planner_input.rs
@@ -7,60 +7,60 @@
 use cornelhitch_types::target::{Kind, Stage};
 use cornelhitch_types::view::State;
 
-use crate::levels::Levels;
-use crate::tracks::Tracks;
-use crate::turn::Turn;
-use crate::workers::{Worker as Heard, Workers};
+use crate::context::Context;
+use crate::demand::DemandTracker;
+use crate::replica_orders::OrdersByReplica;
+use crate::workers::{Worker as KnownWorker, Workers};
 
 /// The planner's input, and which parts of it are out of date.
 #[derive(Debug, Default)]
-pub(crate) struct Sketch {
+pub(crate) struct PlannerInput {
     picture: Picture,
-    workers: BTreeSet<TargetId>,
-    replicas: BTreeSet<ReplicaId>,
+    stale_workers: BTreeSet<TargetId>,
+    stale_replicas: BTreeSet<ReplicaId>,
 }
 
-impl Sketch {
+impl PlannerInput {
     /// Marks a worker as changed.
-    pub(crate) fn worker(&mut self, target: &TargetId) {
-        self.workers.insert(target.clone());
+    pub(crate) fn mark_worker(&mut self, target: &TargetId) {
+        self.stale_workers.insert(target.clone());
     }
 
     /// Marks a replica as changed, and with it the free memory of its worker.
-    pub(crate) fn replica(&mut self, replica: ReplicaId, target: &TargetId) {
-        self.replicas.insert(replica);
-        self.worker(target);
+    pub(crate) fn mark_replica(&mut self, replica: ReplicaId, target: &TargetId) {
+        self.stale_replicas.insert(replica);
+        self.mark_worker(target);
     }
 
     /// Updates the parts that are out of date and returns the input.
     pub(crate) fn refresh(
         &mut self,
         workers: &Workers,
-        tracks: &mut Tracks,
-        levels: &mut Levels,
+        replica_orders: &mut OrdersByReplica,
+        demand: &mut DemandTracker,
         adapters: u32,
-        turn: &Turn,
+        ctx: &Context,
     ) -> &Picture {
-        self.picture.settings = turn.state.catalogue().fleet().clone();
-        for target in std::mem::take(&mut self.workers) {
-            self.put_worker(&target, workers, turn);
+        self.picture.settings = ctx.state.catalogue().fleet().clone();
+        for target in std::mem::take(&mut self.stale_workers) {
+            self.refresh_worker(&target, workers, ctx);
         }
-        for replica in std::mem::take(&mut self.replicas) {
-            self.put_replica(replica, tracks, turn);
+        for replica in std::mem::take(&mut self.stale_replicas) {
+            self.refresh_replica(replica, replica_orders, ctx);
         }
-        self.count_running(workers, tracks, levels, turn);
-        self.picture.demand = levels.rows();
+        self.count_running(workers, replica_orders, demand, ctx);
+        self.picture.demand = demand.rows();
         self.picture.adapters_in_flight = adapters;
         &self.picture
     }
 
     /// Inserts, replaces or removes a worker.
-    fn put_worker(&mut self, target: &TargetId, workers: &Workers, turn: &Turn) {
-        let place = self
+    fn refresh_worker(&mut self, target: &TargetId, workers: &Workers, ctx: &Context) {
+        let position = self
             .picture
             .workers
             .binary_search_by(|it| it.target.cmp(target));
-        match (place, draw_worker(target, workers, turn)) {
+        match (position, planner_worker(target, workers, ctx)) {
             (Ok(at), Some(worker)) => self.picture.workers[at] = worker,
             (Err(at), Some(worker)) => self.picture.workers.insert(at, worker),
             (Ok(at), None) => {
@@ -71,12 +71,12 @@
     }
 
     /// Inserts, replaces or removes a replica.
-    fn put_replica(&mut self, id: ReplicaId, tracks: &Tracks, turn: &Turn) {
-        let place = self
+    fn refresh_replica(&mut self, id: ReplicaId, replica_orders: &OrdersByReplica, ctx: &Context) {
+        let position = self
             .picture
             .replicas
             .binary_search_by(|it| it.replica.cmp(&id));
-        match (place, draw_replica(id, tracks, turn)) {
+        match (position, planner_replica(id, replica_orders, ctx)) {
             (Ok(at), Some(replica)) => self.picture.replicas[at] = replica,
             (Err(at), Some(replica)) => self.picture.replicas.insert(at, replica),
             (Ok(at), None) => {
@@ -90,9 +90,9 @@
     fn count_running(
         &mut self,
         workers: &Workers,
-        tracks: &mut Tracks,
-        levels: &Levels,
-        turn: &Turn,
+        replica_orders: &mut OrdersByReplica,
+        demand: &DemandTracker,
+        ctx: &Context,
     ) {
         let mut peers: BTreeMap<ModelId, u32> = BTreeMap::new();
         for replica in self.picture.replicas.iter().filter(|it| is_used(it)) {
@@ -101,10 +101,10 @@
         for replica in &mut self.picture.replicas {
             // Requests reported by hosts out of contact have ended if the worker is idle.
             let worker = workers.get(&replica.target);
-            let running = if worker.is_some_and(Heard::is_idle) {
-                levels.fresh(&replica.model)
+            let running = if worker.is_some_and(KnownWorker::is_idle) {
+                demand.running_in_contact(&replica.model)
             } else {
-                levels.running(&replica.model)
+                demand.running(&replica.model)
             };
             if running == 0 {
                 replica.running = 0;
@@ -115,9 +115,9 @@
             }
             let peers = peers.get(&replica.model).copied().unwrap_or(1);
             replica.running = running.div_ceil(peers);
-            replica.used = turn.now;
-            if let Some(track) = tracks.get_mut(&replica.replica) {
-                track.used = turn.now;
+            replica.used = ctx.now;
+            if let Some(orders) = replica_orders.get_mut(&replica.replica) {
+                orders.last_used = ctx.now;
             }
         }
     }
@@ -129,16 +129,19 @@
 }
 
 /// Returns a worker as the planner sees it; `None` for a plain service.
-fn draw_worker(target: &TargetId, workers: &Workers, turn: &Turn) -> Option<Worker> {
-    let known = turn.state.fleet().get(target)?;
+fn planner_worker(target: &TargetId, workers: &Workers, ctx: &Context) -> Option<Worker> {
+    let known = ctx.state.fleet().get(target)?;
     let announcement = &known.announcement;
     let worker = workers.get(target)?;
     if announcement.kind != Kind::Worker {
         return None;
     }
-    let taken = turn.state.replicas().reserved(target);
-    let taken = taken.saturating_add(worker.unexplained());
-    let inventory = worker.beat.iter().flat_map(|beat| &beat.inventory);
+    let taken = ctx.state.replicas().reserved(target);
+    let taken = taken.saturating_add(worker.orphan_bytes());
+    let inventory = worker
+        .last_heartbeat
+        .iter()
+        .flat_map(|last_heartbeat| &last_heartbeat.inventory);
     let copies = inventory.filter(|it| matches!(it.stage, Stage::Disk | Stage::Memory));
     let copies = copies.map(|it| Copy {
         model: it.model.model.clone(),
@@ -153,47 +156,51 @@
         accelerators: announcement.accelerators,
         open: worker.is_loadable() && !known.silent,
         copies: copies.collect(),
-        quiet: quiet(target, worker, turn),
+        quiet: quiet_models(target, worker, ctx),
     })
 }
 
 /// The interval between two heartbeats.
-const BEAT: Time = Time::from_secs(1);
+const HEARTBEAT_INTERVAL: Time = Time::from_secs(1);
 
 /// Returns how many heartbeats remain until the given one.
-fn left(until: u64, sequence: u64) -> u32 {
+fn heartbeats_until(until: u64, sequence: u64) -> u32 {
     u32::try_from(until.saturating_sub(sequence)).unwrap_or(u32::MAX)
 }
 
 /// Returns the models that must not be loaded on a worker for a while.
-fn quiet(target: &TargetId, worker: &Heard, turn: &Turn) -> Vec<Quiet> {
-    let committed = turn.state.replicas().quiet();
+fn quiet_models(target: &TargetId, worker: &KnownWorker, ctx: &Context) -> Vec<Quiet> {
+    let committed = ctx.state.replicas().quiet();
     let committed = committed.filter(|it| it.target == *target);
     let committed = committed.map(|it| Quiet {
         model: it.model.clone(),
-        until: turn.now + BEAT * left(it.until, worker.sequence()),
+        until: ctx.now + HEARTBEAT_INTERVAL * heartbeats_until(it.until, worker.sequence()),
     });
     let backoff = worker.backoff.iter().map(|it| Quiet {
         model: it.model.clone(),
         until: it.until,
     });
-    let strangers = worker.strangers.iter().map(|it| Quiet {
+    let orphans = worker.orphans.iter().map(|it| Quiet {
         model: it.model.model.clone(),
-        until: turn.now + turn.timing.backoff,
+        until: ctx.now + ctx.timing.load_backoff,
     });
-    let quiet = committed.chain(backoff).chain(strangers);
-    quiet.filter(|it| turn.now < it.until).collect()
+    let quiet = committed.chain(backoff).chain(orphans);
+    quiet.filter(|it| ctx.now < it.until).collect()
 }
 
 /// Returns a replica as the planner sees it.
-fn draw_replica(id: ReplicaId, tracks: &Tracks, turn: &Turn) -> Option<Replica> {
-    let replica = turn.state.replicas().get(id)?;
+fn planner_replica(
+    id: ReplicaId,
+    replica_orders: &OrdersByReplica,
+    ctx: &Context,
+) -> Option<Replica> {
+    let replica = ctx.state.replicas().get(id)?;
     // A replica on a silent worker serves no requests; its memory stays reserved all the same.
-    turn.state
+    ctx.state
         .fleet()
         .get(&replica.target)
         .filter(|it| !it.silent)?;
-    let track = tracks.get(&id);
+    let orders = replica_orders.get(&id);
     Some(Replica {
         replica: id,
         model: replica.model.clone(),
@@ -203,9 +210,9 @@
         state: replica.state,
         decided: replica.decided,
         ready: replica.ready,
-        from: track.map_or(Stage::Remote, |track| track.from),
+        from: orders.map_or(Stage::Remote, |orders| orders.from),
         running: 0,
-        used: track.map_or(replica.decided, |track| track.used),
-        adapters: track.map(|it| it.adapters.clone()).unwrap_or_default(),
+        used: orders.map_or(replica.decided, |orders| orders.last_used),
+        adapters: orders.map(|it| it.adapters.clone()).unwrap_or_default(),
     })
 }
--- a/crates/control/src/replicas.rs
+++ b/crates/control/src/replicas.rs
@@ -151,14 +151,14 @@
     /// The number of replicas ever decided, by model.
     decided: BTreeMap<ModelId, u64>,
     /// Derived from `standing`.
-    targets: BTreeMap<TargetId, Room>,
+    targets: BTreeMap<TargetId, Reservations>,
     /// Derived from `standing`.
     models: BTreeMap<ModelId, BTreeSet<ReplicaId>>,
 }
 
 /// The replicas of one worker and their memory.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-struct Room {
+struct Reservations {
     reserved: u64,
     replicas: BTreeSet<ReplicaId>,
 }
@@ -174,7 +174,7 @@
 
 /// Replicas as encoded into a snapshot, with the layout of [`Image`].
 #[derive(Serialize)]
-struct Borrowed<'a> {
+struct ImageRef<'a> {
     last: ReplicaId,
     standing: Vec<&'a Replica>,
     quiet: &'a VecDeque<Quiet>,
@@ -183,13 +183,13 @@
 
 impl Serialize for Replicas {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let borrowed = Borrowed {
+        let image = ImageRef {
             last: self.last,
             standing: self.standing.values().collect(),
             quiet: &self.quiet,
             decided: &self.decided,
         };
-        borrowed.serialize(serializer)
+        image.serialize(serializer)
     }
 }
 
@@ -233,7 +233,7 @@
     /// Returns the replicas of one worker.
     pub fn on<'a>(&'a self, target: &str) -> impl Iterator<Item = &'a Replica> {
         let ids = self.targets.get(target).into_iter();
-        ids.flat_map(|room| &room.replicas)
+        ids.flat_map(|reservations| &reservations.replicas)
             .filter_map(|id| self.standing.get(id))
     }
 
@@ -246,7 +246,9 @@
     /// Returns the memory reserved on a worker, in bytes.
     #[must_use]
     pub fn reserved(&self, target: &str) -> u64 {
-        self.targets.get(target).map_or(0, |room| room.reserved)
+        self.targets
+            .get(target)
+            .map_or(0, |reservations| reservations.reserved)
     }
 
     /// Returns the models that must not be loaded on workers for a while.
@@ -328,7 +330,7 @@
         };
         let alive = fleet.alive(&replica.target, replica.incarnation);
         let shown = match evidence {
-            Evidence::Inventory { sequence } => replica.absent(sequence),
+            Evidence::Inventory { sequence } => replica.is_proven_absent(sequence),
             Evidence::Ended => alive.is_none(),
             Evidence::Refused => replica.ready.is_none() && !replica.adopted,
         };
@@ -342,13 +344,13 @@
             Evidence::Inventory { sequence } => sequence,
             Evidence::Ended | Evidence::Refused => replica.after,
         };
-        self.rest(&replica, sequence, unknown);
+        self.update_quiet(&replica, sequence, unknown);
         Answer::Released(replica)
     }
 
     /// Drops quiet periods of the worker that are over, and starts one if an order may still
     /// arrive.
-    fn rest(&mut self, replica: &Replica, sequence: u64, unknown: bool) {
+    fn update_quiet(&mut self, replica: &Replica, sequence: u64, unknown: bool) {
         self.quiet
             .retain(|quiet| quiet.target != replica.target || sequence < quiet.until);
         if unknown {
@@ -362,7 +364,7 @@
     }
 
     /// Ends all reservations on a worker whose incarnation ended.
-    pub(crate) fn end(&mut self, target: &str) {
+    pub(crate) fn release_all(&mut self, target: &str) {
         let ids: Vec<ReplicaId> = self.on(target).map(|replica| replica.id).collect();
         for id in ids {
             self.remove(id);
@@ -372,9 +374,9 @@
 
     /// Adds a replica and counts its memory.
     fn insert(&mut self, replica: Replica) {
-        let room = self.targets.entry(replica.target.clone()).or_default();
-        room.reserved = room.reserved.saturating_add(replica.bytes);
-        room.replicas.insert(replica.id);
+        let reservations = self.targets.entry(replica.target.clone()).or_default();
+        reservations.reserved = reservations.reserved.saturating_add(replica.bytes);
+        reservations.replicas.insert(replica.id);
         let ids = self.models.entry(replica.model.clone()).or_default();
         ids.insert(replica.id);
         self.standing.insert(replica.id, replica);
@@ -383,10 +385,10 @@
     /// Removes a replica and frees its memory.
     fn remove(&mut self, id: ReplicaId) -> Option<Replica> {
         let replica = self.standing.remove(&id)?;
-        if let Some(room) = self.targets.get_mut(&replica.target) {
-            room.reserved = room.reserved.saturating_sub(replica.bytes);
-            room.replicas.remove(&id);
-            if room.replicas.is_empty() {
+        if let Some(reservations) = self.targets.get_mut(&replica.target) {
+            reservations.reserved = reservations.reserved.saturating_sub(replica.bytes);
+            reservations.replicas.remove(&id);
+            if reservations.replicas.is_empty() {
                 self.targets.remove(&replica.target);
             }
         }
@@ -405,7 +407,7 @@
     ///
     /// Once the replica was seen ready, any later inventory does. Before that its order may still
     /// be in flight, so the worker must have run for another [`QUIET_BEATS`] heartbeats.
-    pub(crate) fn absent(&self, sequence: u64) -> bool {
+    pub(crate) fn is_proven_absent(&self, sequence: u64) -> bool {
         match self.ready {
             Some(_) => sequence > self.after,
             None if mutation::is(Mutation::EarlyRelease) => true,
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -49,7 +49,7 @@
 
 /// The state as encoded into a snapshot, with the layout of [`Image`].
 #[derive(Serialize)]
-struct Borrowed<'a> {
+struct ImageRef<'a> {
     entry: Entry,
     catalogue: catalogue::Image,
     fleet: &'a Fleet,
@@ -180,12 +180,12 @@
             Command::Batch(commands) => {
                 Reply::Batch(commands.into_iter().map(|it| self.run(it)).collect())
             }
-            command => self.run_work(command, now),
+            command => self.run_replica_command(command, now),
         }
     }
 
     /// Runs a command about replicas or strikes; other commands are passed on.
-    fn run_work(&mut self, command: Command, now: Time) -> Reply {
+    fn run_replica_command(&mut self, command: Command, now: Time) -> Reply {
         match command {
             Command::Decide(decide) => Reply::Replica(self.decide(decide)),
             Command::Ready { replica, sequence } => {
@@ -207,12 +207,12 @@
                 Reply::Strike(self.strikes.strike(strike, quarantine, now))
             }
             Command::Pardon { fingerprint } => Reply::Strike(self.strikes.pardon(fingerprint)),
-            command => self.run_claim(command, now),
+            command => self.run_claim_command(command, now),
         }
     }
 
     /// Runs a command about claims.
-    fn run_claim(&mut self, command: Command, now: Time) -> Reply {
+    fn run_claim_command(&mut self, command: Command, now: Time) -> Reply {
         self.claims.expire(self.retention(), now);
         let answer = match command {
             Command::Claim(claim) => self.claims.claim(&claim, &LIMITS),
@@ -238,7 +238,7 @@
         let target = announcement.target.clone();
         let answer = self.fleet.register(announcement, now);
         if answer == fleet::Answer::Registered {
-            self.replicas.end(&target);
+            self.replicas.release_all(&target);
         }
         answer
     }
@@ -248,7 +248,7 @@
         let reserved = self.replicas.reserved(target) > 0;
         let answer = self.fleet.dismiss(target, incarnation, attested, reserved);
         if answer == fleet::Answer::Done {
-            self.replicas.end(target);
+            self.replicas.release_all(target);
         }
         answer
     }
@@ -266,7 +266,7 @@
     /// Encodes the whole state.
     #[must_use]
     pub fn snapshot(&self) -> Bytes {
-        let image = Borrowed {
+        let image = ImageRef {
             entry: self.entry,
             catalogue: self.catalogue.image(),
             fleet: &self.fleet,
--- a/crates/control/src/scene.rs
+++ b/crates/control/src/view_builder.rs
@@ -7,22 +7,22 @@
 
 use crate::hosting::Hosting;
 use crate::leases::{Lease, Leases};
+use crate::replica_orders::OrdersByReplica;
 use crate::replicas::Replica;
 use crate::state::State;
 use crate::strikes::Count;
-use crate::tracks::Tracks;
 use crate::workers::Workers;
 
-const GIB: u64 = 1 << 30;
+const BYTES_PER_GIB: u64 = 1 << 30;
 
 /// The inputs of a view.
-pub(crate) struct Scene<'a> {
+pub(crate) struct ViewBuilder<'a> {
     /// The replicated state.
     pub(crate) state: &'a State,
     /// What was heard from targets.
     pub(crate) workers: &'a Workers,
     /// The order state of replicas.
-    pub(crate) tracks: &'a Tracks,
+    pub(crate) replica_orders: &'a OrdersByReplica,
     /// The entry hosts and their leases.
     pub(crate) leases: &'a Leases,
     /// The state of workers that count their orders.
@@ -31,13 +31,13 @@
     pub(crate) now: Time,
 }
 
-impl Scene<'_> {
+impl ViewBuilder<'_> {
     /// Returns a target, if it is registered.
     pub(crate) fn target(&self, target: &str) -> Option<view::Target> {
         let known = self.state.fleet().get(target)?;
         let announcement = &known.announcement;
         let worker = self.workers.get(target);
-        let beat = worker.and_then(|worker| worker.beat.as_ref());
+        let last_heartbeat = worker.and_then(|worker| worker.last_heartbeat.as_ref());
         Some(view::Target {
             target: announcement.target.clone(),
             incarnation: announcement.incarnation,
@@ -49,7 +49,9 @@
             open: !known.silent
                 && !known.leaving
                 && worker.is_some_and(crate::workers::Worker::is_open),
-            load: beat.map(|beat| beat.load).unwrap_or_default(),
+            load: last_heartbeat
+                .map(|last_heartbeat| last_heartbeat.load)
+                .unwrap_or_default(),
             slots: announcement.slots,
         })
     }
@@ -57,26 +59,29 @@
     /// Returns a decided replica, if it still holds a reservation.
     pub(crate) fn replica(&self, id: ReplicaId) -> Option<view::Replica> {
         let replica = self.state.replicas().get(id)?;
-        let track = self.tracks.get(&id);
-        let from = track.map_or(Stage::Remote, |track| track.from);
+        let orders = self.replica_orders.get(&id);
+        let from = orders.map_or(Stage::Remote, |orders| orders.from);
         Some(view::Replica {
             replica: id,
             model: replica.model.clone(),
             version: replica.version.clone(),
             target: replica.target.clone(),
             state: replica.state,
-            ready_in_ms: self.ready_in(replica, from),
-            adapters: track.map(|it| it.adapters.clone()).unwrap_or_default(),
+            ready_in_ms: self.ready_in_ms_of(replica, from),
+            adapters: orders.map(|it| it.adapters.clone()).unwrap_or_default(),
         })
     }
 
     /// Returns the time until a replica is expected to be ready, in milliseconds.
-    fn ready_in(&self, replica: &Replica, from: Stage) -> u32 {
+    fn ready_in_ms_of(&self, replica: &Replica, from: Stage) -> u32 {
         if replica.state != view::State::Loading {
             return 0;
         }
-        let rate = rate(&self.state.catalogue().fleet().loading, from);
-        let length = replica.bytes.div_ceil(GIB).saturating_mul(rate);
+        let ms_per_gib = ms_per_gib(&self.state.catalogue().fleet().loading, from);
+        let length = replica
+            .bytes
+            .div_ceil(BYTES_PER_GIB)
+            .saturating_mul(ms_per_gib);
         let ready = replica.decided.saturating_add(Time::from_millis(length));
         let left = ready.saturating_sub(self.now).as_millis();
         u32::try_from(left).unwrap_or(u32::MAX)
@@ -109,7 +114,7 @@
     }
 
     /// Returns the full view.
-    pub(crate) fn whole(&self) -> Vec<Change> {
+    pub(crate) fn full_view(&self) -> Vec<Change> {
         let state = self.state;
         let targets = state.fleet().iter();
         let targets = targets.filter_map(|it| self.target(&it.announcement.target));
@@ -129,7 +134,7 @@
 }
 
 /// Returns the load time from a storage tier, in milliseconds for each gibibyte.
-fn rate(loading: &Loading, from: Stage) -> u64 {
+fn ms_per_gib(loading: &Loading, from: Stage) -> u64 {
     match from {
         Stage::Remote => loading.remote_ms_per_gib,
         Stage::Disk => loading.disk_ms_per_gib,
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -13,7 +13,7 @@
 
 /// The newest heartbeat of a target.
 #[derive(Debug, Clone)]
-pub(crate) struct Beat {
+pub(crate) struct LastHeartbeat {
     /// Its sequence number.
     pub(crate) sequence: u64,
     /// The copies that the target holds.
@@ -24,7 +24,7 @@
 
 /// A copy in accelerator memory that belongs to no decided replica.
 #[derive(Debug, Clone)]
-pub(crate) struct Stranger {
+pub(crate) struct Orphan {
     /// The model of the copy.
     pub(crate) model: Reference,
     /// The replica that the worker names, which no longer holds a reservation.
@@ -45,7 +45,7 @@
 
 /// A load in progress on a worker whose replicas are not decided in the log.
 #[derive(Debug, Clone)]
-pub(crate) struct Coming {
+pub(crate) struct PendingLoad {
     /// The model being loaded.
     pub(crate) model: ModelId,
     /// When it is expected to be ready.
@@ -63,18 +63,22 @@
 
 /// Whether a target is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Leave {
+pub(crate) enum LeaveState {
     /// It is not leaving.
-    Stays,
+    Staying,
     /// Its newest heartbeat says that it is leaving.
-    Beats,
+    ByHeartbeat,
     /// It said so outside its heartbeats; that lasts for its incarnation.
-    Told,
+    Final,
 }
 
-impl From<bool> for Leave {
+impl From<bool> for LeaveState {
     fn from(leaving: bool) -> Self {
-        if leaving { Self::Beats } else { Self::Stays }
+        if leaving {
+            Self::ByHeartbeat
+        } else {
+            Self::Staying
+        }
     }
 }
 
@@ -84,23 +88,23 @@
     /// The incarnation.
     pub(crate) incarnation: Incarnation,
     /// When it was last heard, or when the leader began to listen.
-    pub(crate) heard: Time,
+    pub(crate) last_heard: Time,
     /// Its newest heartbeat in this term.
-    pub(crate) beat: Option<Beat>,
+    pub(crate) last_heartbeat: Option<LastHeartbeat>,
     /// Whether it is suspected to have failed.
     pub(crate) suspected: bool,
     /// Whether it is leaving.
-    pub(crate) leave: Leave,
+    pub(crate) leave_state: LeaveState,
     /// Whether an entry host reported it lost since its last heartbeat.
-    pub(crate) hinted: bool,
+    pub(crate) reported_lost: bool,
     /// Until when such reports alone are ignored.
-    pub(crate) distrusted: Time,
+    pub(crate) reports_ignored_until: Time,
     /// Copies that belong to no decided replica.
-    pub(crate) strangers: Vec<Stranger>,
+    pub(crate) orphans: Vec<Orphan>,
     /// Replicas of unmanaged models, as entry hosts see them.
     pub(crate) observed: Vec<view::Replica>,
     /// The load in progress, which is among the observed replicas.
-    coming: Option<Coming>,
+    pending_load: Option<PendingLoad>,
     /// Models that must not be loaded here for a while.
     pub(crate) backoff: Vec<Backoff>,
 }
@@ -110,21 +114,21 @@
     pub(crate) fn new(incarnation: Incarnation, now: Time) -> Self {
         Self {
             incarnation,
-            heard: now,
-            beat: None,
+            last_heard: now,
+            last_heartbeat: None,
             suspected: false,
-            leave: Leave::Stays,
-            hinted: false,
-            distrusted: Time::ZERO,
-            strangers: Vec::new(),
+            leave_state: LeaveState::Staying,
+            reported_lost: false,
+            reports_ignored_until: Time::ZERO,
+            orphans: Vec::new(),
             observed: Vec::new(),
-            coming: None,
+            pending_load: None,
             backoff: Vec::new(),
         }
     }
 
     /// Restores what the worker held under an earlier leader, until its first heartbeat.
-    pub(crate) fn recall(&mut self, held: &[Reference]) {
+    pub(crate) fn restore_held(&mut self, held: &[Reference]) {
         let holding = |model: &Reference| Holding {
             model: model.clone(),
             replica: None,
@@ -132,7 +136,7 @@
             bytes: 0,
             adapters: Vec::new(),
         };
-        self.beat = Some(Beat {
+        self.last_heartbeat = Some(LastHeartbeat {
             sequence: 0,
             inventory: held.iter().map(holding).collect(),
             load: Load::default(),
@@ -141,44 +145,49 @@
 
     /// Returns the sequence number of the newest heartbeat; 0 before the first.
     pub(crate) fn sequence(&self) -> u64 {
-        self.beat.as_ref().map_or(0, |beat| beat.sequence)
+        self.last_heartbeat
+            .as_ref()
+            .map_or(0, |last_heartbeat| last_heartbeat.sequence)
     }
 
     /// Returns whether the target may get new work.
     pub(crate) fn is_open(&self) -> bool {
-        self.leave == Leave::Stays && !self.suspected
+        self.leave_state == LeaveState::Staying && !self.suspected
     }
 
     /// Returns whether models may be loaded on the target.
     pub(crate) fn is_loadable(&self) -> bool {
-        self.is_open() && self.beat.is_some()
+        self.is_open() && self.last_heartbeat.is_some()
     }
 
     /// Returns the accelerator memory of copies that belong to no decided replica, in bytes.
-    pub(crate) fn unexplained(&self) -> u64 {
+    pub(crate) fn orphan_bytes(&self) -> u64 {
         if mutation::is(Mutation::NoStrangers) {
             return 0;
         }
-        let bytes = self.strangers.iter().map(|stranger| stranger.bytes);
+        let bytes = self.orphans.iter().map(|orphan| orphan.bytes);
         bytes.fold(0, u64::saturating_add)
     }
 
     /// Returns whether nothing runs or waits on the target.
     pub(crate) fn is_idle(&self) -> bool {
-        let load = self.beat.as_ref().map(|beat| beat.load);
+        let load = self
+            .last_heartbeat
+            .as_ref()
+            .map(|last_heartbeat| last_heartbeat.load);
         load.is_some_and(|load| load.running == 0 && load.queued == 0)
     }
 
     /// Returns whether the target holds a copy of a model that belongs to no decided replica.
-    pub(crate) fn shows(&self, model: &str) -> bool {
-        let mut strangers = self.strangers.iter();
-        strangers.any(|it| &*it.model.model == model) && !mutation::is(Mutation::NoStrangers)
+    pub(crate) fn has_orphan_of(&self, model: &str) -> bool {
+        let mut orphans = self.orphans.iter();
+        orphans.any(|it| &*it.model.model == model) && !mutation::is(Mutation::NoStrangers)
     }
 
     /// Returns whether a model must not be loaded here now.
-    pub(crate) fn blocks(&self, model: &str, now: Time) -> bool {
+    pub(crate) fn is_load_blocked(&self, model: &str, now: Time) -> bool {
         let mut backoff = self.backoff.iter();
-        self.shows(model) || backoff.any(|it| &*it.model == model && now < it.until)
+        self.has_orphan_of(model) || backoff.any(|it| &*it.model == model && now < it.until)
     }
 
     /// Keeps a model from being loaded here until a time.
@@ -192,16 +201,16 @@
     }
 
     /// Handles a heartbeat.
-    pub(crate) fn take(&mut self, heartbeat: Heartbeat, now: Time, distrust: Time) {
-        self.heard = now;
+    pub(crate) fn on_heartbeat(&mut self, heartbeat: Heartbeat, now: Time, report_distrust: Time) {
+        self.last_heard = now;
         self.suspected = false;
-        if self.leave != Leave::Told {
-            self.leave = Leave::from(heartbeat.leaving);
+        if self.leave_state != LeaveState::Final {
+            self.leave_state = LeaveState::from(heartbeat.leaving);
         }
-        if std::mem::take(&mut self.hinted) {
-            self.distrusted = now + distrust;
+        if std::mem::take(&mut self.reported_lost) {
+            self.reports_ignored_until = now + report_distrust;
         }
-        self.beat = Some(Beat {
+        self.last_heartbeat = Some(LastHeartbeat {
             sequence: heartbeat.sequence,
             inventory: heartbeat.inventory,
             load: heartbeat.load,
@@ -212,28 +221,28 @@
     /// ones of unmanaged models are also observed.
     ///
     /// Returns whether the observed ones changed.
-    pub(crate) fn sort(
+    pub(crate) fn classify_copies(
         &mut self,
         target: &TargetId,
         replicas: &[&Replica],
         settings: &Settings,
         now: Time,
     ) -> bool {
-        let Some(beat) = &self.beat else {
+        let Some(last_heartbeat) = &self.last_heartbeat else {
             return false;
         };
-        let mut strangers = Vec::new();
+        let mut orphans = Vec::new();
         let mut observed = Vec::new();
-        for holding in unexplained(&beat.inventory, replicas) {
+        for holding in unmatched_copies(&last_heartbeat.inventory, replicas) {
             let model = settings.model(&holding.model.model);
             if model.is_some_and(|model| !settings.managed(model)) && holding.stage == Stage::Ready
             {
-                observed.push(observe(target, self.incarnation, holding));
+                observed.push(observed_replica(target, self.incarnation, holding));
             }
-            strangers.push(self.stranger(holding, beat.sequence, now));
+            orphans.push(self.orphan(holding, last_heartbeat.sequence, now));
         }
         let changed = observed != self.observed;
-        self.strangers = strangers;
+        self.orphans = orphans;
         self.observed = observed;
         changed
     }
@@ -248,31 +257,35 @@
         &mut self,
         target: &TargetId,
         shown: impl Fn(&Holding) -> (Vec<Name>, view::State),
-        coming: Option<Coming>,
+        pending_load: Option<PendingLoad>,
         now: Time,
     ) -> bool {
-        let Some(beat) = &self.beat else {
+        let Some(last_heartbeat) = &self.last_heartbeat else {
             return false;
         };
-        let ready = beat.inventory.iter().filter(|it| it.stage == Stage::Ready);
+        let ready = last_heartbeat
+            .inventory
+            .iter()
+            .filter(|it| it.stage == Stage::Ready);
         let mut observed: Vec<_> = ready
             .map(|holding| {
                 let (adapters, state) = shown(holding);
                 view::Replica {
                     adapters,
                     state,
-                    ..observe(target, self.incarnation, holding)
+                    ..observed_replica(target, self.incarnation, holding)
                 }
             })
             .collect();
-        let coming = coming.filter(|it| observed.iter().all(|copy| copy.model != it.model));
-        if let Some(coming) = &coming {
-            let copy = loading(target, self.incarnation, coming, now);
+        let pending_load =
+            pending_load.filter(|it| observed.iter().all(|copy| copy.model != it.model));
+        if let Some(pending_load) = &pending_load {
+            let copy = loading_replica(target, self.incarnation, pending_load, now);
             let known = self.observed.iter().find(|it| it.replica == copy.replica);
             let known = known.filter(|it| it.state == view::State::Loading);
             observed.push(known.cloned().unwrap_or(copy));
         }
-        self.coming = coming;
+        self.pending_load = pending_load;
         let changed = observed != self.observed;
         self.observed = observed;
         changed
@@ -280,13 +293,16 @@
 
     /// Returns the observed replicas, with the remaining load time as of now.
     pub(crate) fn observed(&self, now: Time) -> impl Iterator<Item = view::Replica> {
-        let due = self.coming.as_ref().map(|coming| coming.due);
+        let due = self
+            .pending_load
+            .as_ref()
+            .map(|pending_load| pending_load.due);
         self.observed
             .iter()
             .cloned()
             .map(move |copy| view::Replica {
                 ready_in_ms: match copy.state {
-                    view::State::Loading => left(due.unwrap_or_default(), now),
+                    view::State::Loading => remaining_ms(due.unwrap_or_default(), now),
                     _ => 0,
                 },
                 ..copy
@@ -294,10 +310,10 @@
     }
 
     /// Returns an orphan, with what is known of it from earlier heartbeats.
-    fn stranger(&self, holding: &Holding, sequence: u64, now: Time) -> Stranger {
-        let same = |it: &&Stranger| it.model == holding.model && it.replica == holding.replica;
-        let old = self.strangers.iter().find(same);
-        Stranger {
+    fn orphan(&self, holding: &Holding, sequence: u64, now: Time) -> Orphan {
+        let same = |it: &&Orphan| it.model == holding.model && it.replica == holding.replica;
+        let old = self.orphans.iter().find(same);
+        Orphan {
             model: holding.model.clone(),
             replica: holding.replica,
             bytes: holding.bytes,
@@ -313,7 +329,7 @@
 /// Returns whether a copy belongs to a replica.
 ///
 /// Workers that report replica ids are matched by id, others by model and version.
-pub(crate) fn explains(replica: &Replica, holding: &Holding) -> bool {
+pub(crate) fn is_copy_of(replica: &Replica, holding: &Holding) -> bool {
     if let Some(id) = holding.replica {
         return id == replica.id;
     }
@@ -326,13 +342,13 @@
 
 /// Returns the copies in accelerator memory that belong to no replica; each replica accounts for
 /// one.
-fn unexplained<'a>(inventory: &'a [Holding], replicas: &[&Replica]) -> Vec<&'a Holding> {
-    let mut explained = Vec::new();
+fn unmatched_copies<'a>(inventory: &'a [Holding], replicas: &[&Replica]) -> Vec<&'a Holding> {
+    let mut matched = Vec::new();
     let mut left = Vec::new();
     for holding in inventory.iter().filter(|it| it.stage >= Stage::Loading) {
-        let mut free = replicas.iter().filter(|it| !explained.contains(&it.id));
-        match free.find(|replica| explains(replica, holding)) {
-            Some(replica) => explained.push(replica.id),
+        let mut free = replicas.iter().filter(|it| !matched.contains(&it.id));
+        match free.find(|replica| is_copy_of(replica, holding)) {
+            Some(replica) => matched.push(replica.id),
             None => left.push(holding),
         }
     }
@@ -340,7 +356,11 @@
 }
 
 /// Returns an unmanaged copy as entry hosts see it, under an id that no decided replica gets.
-fn observe(target: &TargetId, incarnation: Incarnation, holding: &Holding) -> view::Replica {
+fn observed_replica(
+    target: &TargetId,
+    incarnation: Incarnation,
+    holding: &Holding,
+) -> view::Replica {
     let mut hasher = blake3::Hasher::new();
     hasher.update(target.as_bytes());
     hasher.update(&incarnation.to_le_bytes());
@@ -348,7 +368,7 @@
     let mut id = [0; 8];
     id.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
     view::Replica {
-        replica: ReplicaId::from_le_bytes(id) | OBSERVED,
+        replica: ReplicaId::from_le_bytes(id) | OBSERVED_ID_BIT,
         model: holding.model.model.clone(),
         version: holding.model.version.clone(),
         target: target.clone(),
@@ -359,14 +379,14 @@
 }
 
 /// Returns a copy being loaded as entry hosts see it, under the id that it keeps once it is ready.
-fn loading(
+fn loading_replica(
     target: &TargetId,
     incarnation: Incarnation,
-    coming: &Coming,
+    pending_load: &PendingLoad,
     now: Time,
 ) -> view::Replica {
     let holding = Holding {
-        model: Reference::base(coming.model.clone()),
+        model: Reference::base(pending_load.model.clone()),
         replica: None,
         stage: Stage::Loading,
         bytes: 0,
@@ -374,19 +394,19 @@
     };
     view::Replica {
         state: view::State::Loading,
-        ready_in_ms: left(coming.due, now),
-        ..observe(target, incarnation, &holding)
+        ready_in_ms: remaining_ms(pending_load.due, now),
+        ..observed_replica(target, incarnation, &holding)
     }
 }
 
 /// Returns the remaining time, in milliseconds.
-fn left(then: Time, now: Time) -> u32 {
+fn remaining_ms(then: Time, now: Time) -> u32 {
     let left = then.saturating_sub(now).as_millis();
     u32::try_from(left).unwrap_or(u32::MAX)
 }
 
 /// The bit that is set in ids of observed replicas and never in ids of decided ones.
-pub(crate) const OBSERVED: ReplicaId = 1 << 63;
+pub(crate) const OBSERVED_ID_BIT: ReplicaId = 1 << 63;
 
 /// All targets by their names.
 #[derive(Debug, Default)]
