--- a/crates/control/src/claim.rs
+++ b/crates/control/src/claim.rs
@@ -7,7 +7,7 @@
 use crate::outcome::Outcome;
 
 /// The longest caller and idempotency key, in bytes.
-pub const NAME: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 
 /// The identity of a request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Refusal {
-    /// The caller or the key is empty or longer than [`NAME`].
+    /// The caller or the key is empty or longer than [`MAX_KEY_BYTES`].
     Malformed,
     /// The maximum number of claims is reached.
     Full,
@@ -93,7 +93,7 @@
 impl Key {
     /// Returns whether both parts have an allowed length.
     pub(crate) fn is_valid(&self) -> bool {
-        let allowed = 1..=NAME;
+        let allowed = 1..=MAX_KEY_BYTES;
         allowed.contains(&self.caller.len()) && allowed.contains(&self.key.len())
     }
 }
--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -11,9 +11,9 @@
 use cornelhitch_types::id::{HostId, Incarnation, Time};
 use serde::{Deserialize, Serialize, Serializer};
 
-pub use crate::claim::{Answer, Claim, Finish, Holder, Key, NAME, Refusal};
+pub use crate::claim::{Answer, Claim, Finish, Holder, Key, MAX_KEY_BYTES, Refusal};
 use crate::mutation::{self, Mutation};
-pub use crate::outcome::{BODY, CONTENT, Outcome};
+pub use crate::outcome::{MAX_BODY_BYTES, MAX_CONTENT_TYPE_BYTES, Outcome};
 use crate::tombstones::Tombstones;
 
 /// The size limits of the claims table; beyond them the oldest outcomes lose data.
@@ -111,8 +111,8 @@
         };
         for (key, record) in &image.records {
             match &record.outcome {
-                Some(outcome) => claims.bodies += outcome.size(),
-                None => claims.hold(record.holder, key),
+                Some(outcome) => claims.bodies += outcome.body_bytes(),
+                None => claims.add_running(record.holder, key),
             }
         }
         claims.records = image.records;
@@ -158,12 +158,12 @@
         if let Some(record) = self.records.get(&claim.key) {
             return record.answer(claim);
         }
-        let early = claim.issued.is_some_and(|issued| issued < self.watermark);
-        if early || self.tombstones.contains(&claim.key) {
+        let is_expired = claim.issued.is_some_and(|issued| issued < self.watermark);
+        if is_expired || self.tombstones.contains(&claim.key) {
             return Answer::Forgotten;
         }
-        let full = limits.records + limits.tombstones;
-        if self.records.len() + self.tombstones.len() >= full {
+        let capacity = limits.records + limits.tombstones;
+        if self.records.len() + self.tombstones.len() >= capacity {
             return Answer::Refused(Refusal::Full);
         }
         let record = Record {
@@ -173,8 +173,8 @@
             outcome: None,
         };
         self.records.insert(claim.key.clone(), record);
-        self.hold(claim.holder, &claim.key);
-        self.shrink(limits);
+        self.add_running(claim.holder, &claim.key);
+        self.enforce_limits(limits);
         Answer::Granted
     }
 
@@ -186,21 +186,21 @@
         if !record.is_held(finish.holder, finish.call) {
             return Answer::Refused(Refusal::Holder);
         }
-        let outcome = finish.outcome.bounded();
+        let outcome = finish.outcome.with_bounded_body();
         match &record.outcome {
             Some(Outcome::Unknown) => {
                 // The claim keeps its position in `ended`, which may be among those that have lost
                 // their bodies, so only the short form is kept.
-                record.outcome = Some(outcome.short());
+                record.outcome = Some(outcome.without_body());
                 return Answer::Done;
             }
             Some(_) => return Answer::Refused(Refusal::Ended),
             None => {}
         }
-        self.bodies += outcome.size();
+        self.bodies += outcome.body_bytes();
         record.outcome = Some(outcome);
-        self.ended(finish.holder, finish.key, now);
-        self.shrink(limits);
+        self.end(finish.holder, finish.key, now);
+        self.enforce_limits(limits);
         Answer::Done
     }
 
@@ -219,7 +219,7 @@
             return Answer::Refused(Refusal::Ended);
         }
         self.records.remove(key);
-        self.drop_hold(holder, key);
+        self.remove_running(holder, key);
         Answer::Done
     }
 
@@ -256,7 +256,7 @@
                 self.ended.push_back(End { time: now, key });
             }
         }
-        self.shrink(limits);
+        self.enforce_limits(limits);
         Answer::Done
     }
 
@@ -268,23 +268,23 @@
         }
         self.watermark = watermark;
         while self.ended.front().is_some_and(|end| end.time < watermark) {
-            self.forget();
+            self.drop_oldest();
         }
         self.tombstones.expire(watermark);
     }
 
     /// Enforces the limits: the oldest bodies are dropped first, then records become tombstones.
-    fn shrink(&mut self, limits: &Limits) {
+    fn enforce_limits(&mut self, limits: &Limits) {
         while self.bodies > limits.bodies && self.bare < self.ended.len() {
             let record = self.records.get_mut(&self.ended[self.bare].key);
             self.bare += 1;
             if let Some(outcome) = record.and_then(|record| record.outcome.as_mut()) {
-                self.bodies -= outcome.size();
-                *outcome = outcome.short();
+                self.bodies -= outcome.body_bytes();
+                *outcome = outcome.without_body();
             }
         }
         while self.records.len() > limits.records {
-            let Some(end) = self.forget() else {
+            let Some(end) = self.drop_oldest() else {
                 return;
             };
             self.tombstones.insert(&end.key, end.time);
@@ -292,28 +292,28 @@
     }
 
     /// Drops the record that ended first.
-    fn forget(&mut self) -> Option<End> {
+    fn drop_oldest(&mut self) -> Option<End> {
         let end = self.ended.pop_front()?;
         self.bare = self.bare.saturating_sub(1);
         let record = self.records.remove(&end.key);
         let outcome = record.and_then(|record| record.outcome);
-        self.bodies -= outcome.map_or(0, |outcome| outcome.size());
+        self.bodies -= outcome.map_or(0, |outcome| outcome.body_bytes());
         Some(end)
     }
 
     /// Records that a claim is no longer in progress.
-    fn ended(&mut self, holder: Holder, key: Key, now: Time) {
-        self.drop_hold(holder, &key);
+    fn end(&mut self, holder: Holder, key: Key, now: Time) {
+        self.remove_running(holder, &key);
         self.ended.push_back(End { time: now, key });
     }
 
     /// Records that a holder has a claim in progress.
-    fn hold(&mut self, holder: Holder, key: &Key) {
+    fn add_running(&mut self, holder: Holder, key: &Key) {
         self.running.entry(holder).or_default().insert(key.clone());
     }
 
     /// Records that a holder no longer has a claim in progress.
-    fn drop_hold(&mut self, holder: Holder, key: &Key) {
+    fn remove_running(&mut self, holder: Holder, key: &Key) {
         if let Some(keys) = self.running.get_mut(&holder) {
             keys.remove(key);
             if keys.is_empty() {
--- a/crates/control/src/claims/tests.rs
+++ b/crates/control/src/claims/tests.rs
@@ -170,7 +170,7 @@
             }
             (Answer::Recorded(outcome), Some(old)) => {
                 let first = old.outcome.as_ref();
-                let kept = first.is_some_and(|it| outcome == it || *outcome == it.short());
+                let kept = first.is_some_and(|it| outcome == it || *outcome == it.without_body());
                 kept && old.digest == digest
             }
             (Answer::Mismatch, Some(old)) => old.digest != digest,
@@ -235,7 +235,7 @@
         let claims = &self.claims;
         let running: usize = claims.running.values().map(BTreeSet::len).sum();
         let sizes = claims.records.values().filter_map(|it| it.outcome.as_ref());
-        let bodies: usize = sizes.map(Outcome::size).sum();
+        let bodies: usize = sizes.map(Outcome::body_bytes).sum();
         let holds = bodies == claims.bodies
             && bodies <= SMALL.bodies
             && claims.len() <= SMALL.records.max(running)
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -11,19 +11,21 @@
 use crate::catalogue::{self, Apply};
 use crate::claims::{self, Claim, Finish, Holder, Key};
 use crate::document::{self, Publish};
-use crate::error::{Error, FormSnafu, KindSnafu, LeftSnafu, MalformedSnafu};
+use crate::error::{
+    CommandKindSnafu, Error, FormatVersionSnafu, MalformedSnafu, TrailingBytesSnafu,
+};
 use crate::fleet;
 use crate::replicas::{self, Decide, Evidence};
 use crate::strikes::{self, Strike};
 
 /// The format version of an encoded command, its first byte.
-pub const FORM: u8 = 1;
+pub const FORMAT_VERSION: u8 = 1;
 
 /// The second byte of an encoded single command.
-const ONE: u8 = 0;
+const SINGLE: u8 = 0;
 
 /// The second byte of an encoded batch.
-const MANY: u8 = 1;
+const BATCH: u8 = 1;
 
 /// The log metadata of a command.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -177,14 +179,14 @@
     /// ```
     #[must_use]
     pub fn encode(&self) -> Bytes {
-        let mut bytes = vec![FORM];
+        let mut bytes = vec![FORMAT_VERSION];
         let body = if let Self::Batch(commands) = self {
-            bytes.push(MANY);
+            bytes.push(BATCH);
             let mut flat = Vec::new();
             flatten(commands, &mut flat);
             postcard::to_stdvec(&flat)
         } else {
-            bytes.push(ONE);
+            bytes.push(SINGLE);
             postcard::to_stdvec(self)
         };
         bytes.extend(body.unwrap_or_default());
@@ -199,28 +201,30 @@
     /// bytes.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         let what = "command";
-        let (&form, rest) = bytes.split_first().ok_or(Error::Empty { what })?;
+        let (&version, rest) = bytes
+            .split_first()
+            .ok_or(Error::IncompleteHeader { what })?;
         ensure!(
-            form == FORM,
-            FormSnafu {
+            version == FORMAT_VERSION,
+            FormatVersionSnafu {
                 what,
-                found: form,
-                known: FORM
+                found: version,
+                known: FORMAT_VERSION
             }
         );
-        let (&many, rest) = rest.split_first().ok_or(Error::Empty { what })?;
-        let (command, left) = match many {
-            ONE => postcard::take_from_bytes(rest).context(MalformedSnafu { what })?,
-            MANY => {
+        let (&kind, rest) = rest.split_first().ok_or(Error::IncompleteHeader { what })?;
+        let (command, left) = match kind {
+            SINGLE => postcard::take_from_bytes(rest).context(MalformedSnafu { what })?,
+            BATCH => {
                 let (commands, left) =
                     postcard::take_from_bytes(rest).context(MalformedSnafu { what })?;
                 (Self::Batch(commands), left)
             }
-            found => return KindSnafu { found }.fail(),
+            found => return CommandKindSnafu { found }.fail(),
         };
         ensure!(
             left.is_empty(),
-            LeftSnafu {
+            TrailingBytesSnafu {
                 what,
                 left: left.len()
             }
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -98,7 +98,7 @@
 
     /// Returns whether an incarnation has ended or left and will not be registered again.
     #[must_use]
-    pub fn is_over(&self, target: &str, incarnation: Incarnation) -> bool {
+    pub fn has_ended(&self, target: &str, incarnation: Incarnation) -> bool {
         let newer = self
             .get(target)
             .is_some_and(|known| incarnation < known.announcement.incarnation);
@@ -215,7 +215,7 @@
     }
 
     /// Records what a worker holds.
-    pub(crate) fn hold(
+    pub(crate) fn record_held(
         &mut self,
         target: &str,
         incarnation: Incarnation,
@@ -236,7 +236,7 @@
     ///
     /// An incarnation that is not registered will never be, because its earlier announcements may
     /// still arrive; an incarnation older than the registered one has ended.
-    pub(crate) fn leave(&mut self, target: &TargetId, incarnation: Incarnation) -> Answer {
+    pub(crate) fn record_leaving(&mut self, target: &TargetId, incarnation: Incarnation) -> Answer {
         let known = self.targets.get_mut(target);
         let current = known.as_ref().map(|known| known.announcement.incarnation);
         if let Some(next) = current.filter(|current| incarnation < *current) {
@@ -252,7 +252,7 @@
     }
 
     /// Records whether a target is silent.
-    pub(crate) fn silence(
+    pub(crate) fn record_silence(
         &mut self,
         target: &str,
         incarnation: Incarnation,
--- a/crates/control/src/heartbeats.rs
+++ b/crates/control/src/heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::command::Command;
 use crate::context::Context;
 use crate::output::Output;
-use crate::replicas::{Decide, Evidence, QUIET_BEATS, Replica};
+use crate::replicas::{Decide, Evidence, QUIET_HEARTBEATS, Replica};
 use crate::term_state::TermState;
 use crate::workers::{LeaveState, Orphan, is_copy_of};
 
@@ -26,7 +26,7 @@
         let ended = ctx
             .state
             .fleet()
-            .is_over(&announcement.target, announcement.incarnation);
+            .has_ended(&announcement.target, announcement.incarnation);
         if !ended {
             self.pending.propose(Command::Register(announcement), ctx);
         }
@@ -110,7 +110,7 @@
     /// Reconciles a worker's inventory with its replicas.
     fn reconcile_inventory(&mut self, target: &TargetId, ctx: &mut Context) {
         let state = ctx.state;
-        let replicas: Vec<&Replica> = state.replicas().on(target).collect();
+        let replicas: Vec<&Replica> = state.replicas().on_target(target).collect();
         for replica in &replicas {
             self.reconcile_replica(replica, ctx);
         }
@@ -240,7 +240,7 @@
         if sequence < orphan.first.saturating_add(MIN_ORPHAN_HEARTBEATS) {
             return;
         }
-        let mut peers = ctx.state.replicas().on(target);
+        let mut peers = ctx.state.replicas().on_target(target);
         let alone = peers.all(|replica| replica.model != orphan.model.model);
         let adoptable = alone && orphan.ready && orphan.replica.is_none() && !orphan.refused;
         if adoptable && orphan.ordered.is_none() {
@@ -268,12 +268,12 @@
         ctx: &mut Context,
     ) {
         // A worker that identifies copies by model name only would unload the replica's copy.
-        let mut peers = ctx.state.replicas().on(target);
+        let mut peers = ctx.state.replicas().on_target(target);
         let named = orphan.replica.is_some() || orphan.model.version.is_some();
         if !named && peers.any(|replica| replica.model == orphan.model.model) {
             return;
         }
-        let recently_ordered = |ordered: u64| sequence < ordered.saturating_add(QUIET_BEATS);
+        let recently_ordered = |ordered: u64| sequence < ordered.saturating_add(QUIET_HEARTBEATS);
         let drained = self.is_drained(target, &orphan.model.model, orphan.since, ctx);
         if !drained || orphan.ordered.is_some_and(recently_ordered) {
             return;
@@ -362,7 +362,7 @@
 
     /// Sends the due orders of all replicas on a target.
     fn send_due_orders_to(&mut self, target: &TargetId, ctx: &mut Context) {
-        let on = ctx.state.replicas().on(target);
+        let on = ctx.state.replicas().on_target(target);
         let ids: Vec<ReplicaId> = on.map(|replica| replica.id).collect();
         for id in ids {
             self.send_due_order(id, ctx);
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -128,9 +128,7 @@
             term: self.term().unwrap_or_default(),
             from: 0,
             to: 0,
-            changes: term_state.map_or_else(Vec::new, |term_state| {
-                term_state.view_builder(state, now).full_view()
-            }),
+            changes: term_state.map_or_else(Vec::new, |it| it.view_builder(state, now).full_view()),
         }
     }
 
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -144,9 +144,8 @@
 
     /// Removes hosts that have been silent for long, and returns them.
     pub(crate) fn remove_silent(&mut self, ctx: &Context) -> Vec<Lease> {
-        let silent = |lease: &Lease| {
-            !lease.is_valid(ctx.now) && lease.last_heard + ctx.timing.host_timeout < ctx.now
-        };
+        let silent =
+            |it: &Lease| !it.is_valid(ctx.now) && it.last_heard + ctx.timing.host_timeout < ctx.now;
         let ids: Vec<HostId> = self
             .hosts
             .iter()
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -12,7 +12,7 @@
 use crate::mutation::{self, Mutation};
 use crate::output::Output;
 use crate::replica_orders::OrderStatus;
-use crate::replicas::{Evidence, QUIET_BEATS, Replica};
+use crate::replicas::{Evidence, QUIET_HEARTBEATS, Replica};
 use crate::term_state::{Adapter, TermState};
 
 impl TermState {
@@ -114,7 +114,7 @@
             return;
         };
         let shown = orders.last_seen == Some(sequence);
-        let resend_from = orders.unload_sequence.saturating_add(QUIET_BEATS);
+        let resend_from = orders.unload_sequence.saturating_add(QUIET_HEARTBEATS);
         let resend_due = sequence >= resend_from;
         let due = match orders.unload {
             OrderStatus::NotSent => true,
--- a/crates/control/src/outcome.rs
+++ b/crates/control/src/outcome.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 
 /// The largest response body that is kept, in bytes.
-pub const BODY: usize = 16 << 10;
+pub const MAX_BODY_BYTES: usize = 16 << 10;
 
 /// The longest content type that is kept, in bytes.
-pub const CONTENT: usize = 256;
+pub const MAX_CONTENT_TYPE_BYTES: usize = 256;
 
 /// The outcome of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
         status: u16,
         /// The content type.
         content: Name,
-        /// The body, of at most [`BODY`] bytes.
+        /// The body, of at most [`MAX_BODY_BYTES`] bytes.
         body: Bytes,
     },
     /// It was answered, but the body is not kept.
@@ -33,7 +33,7 @@
 
 impl Outcome {
     /// Returns the size of the kept body, in bytes.
-    pub(crate) fn size(&self) -> usize {
+    pub(crate) fn body_bytes(&self) -> usize {
         match self {
             Self::Answered { body, .. } => body.len(),
             Self::Completed { .. } | Self::Unknown => 0,
@@ -41,7 +41,7 @@
     }
 
     /// Returns the outcome without its body.
-    pub(crate) fn short(&self) -> Self {
+    pub(crate) fn without_body(&self) -> Self {
         match self {
             Self::Answered { status, .. } => Self::Completed { status: *status },
             other => other.clone(),
@@ -49,12 +49,12 @@
     }
 
     /// Returns the outcome, without its body if that or the content type is too large.
-    pub(crate) fn bounded(self) -> Self {
+    pub(crate) fn with_bounded_body(self) -> Self {
         match &self {
             Self::Answered { content, body, .. }
-                if body.len() > BODY || content.len() > CONTENT =>
+                if body.len() > MAX_BODY_BYTES || content.len() > MAX_CONTENT_TYPE_BYTES =>
             {
-                self.short()
+                self.without_body()
             }
             _ => self,
         }
--- a/crates/control/src/replica_orders.rs
+++ b/crates/control/src/replica_orders.rs
@@ -7,7 +7,7 @@
 use cornelhitch_types::view::State;
 
 use crate::mutation::{self, Mutation};
-use crate::replicas::{QUIET_BEATS, Replica};
+use crate::replicas::{QUIET_HEARTBEATS, Replica};
 
 /// The minimum interval between counted heartbeats, so that each stands for running time of the
 /// worker: it also sends one at each change of its inventory.
@@ -128,7 +128,8 @@
             return true;
         }
         let resending = fencing && replica.state == State::Loading && !replica.adopted;
-        let quiet = self.absent_heartbeats >= QUIET_BEATS || mutation::is(Mutation::EarlyRelease);
+        let quiet =
+            self.absent_heartbeats >= QUIET_HEARTBEATS || mutation::is(Mutation::EarlyRelease);
         match self.load {
             OrderStatus::InFlight { .. } | OrderStatus::Withheld => false,
             OrderStatus::Unknown { .. } => quiet && !resending,
--- a/crates/control/src/replicas.rs
+++ b/crates/control/src/replicas.rs
@@ -18,7 +18,7 @@
 
 /// The number of heartbeats, counted in the target's own running time, after which an order that
 /// was sent before them on a connection since closed can no longer arrive.
-pub const QUIET_BEATS: u64 = 10;
+pub const QUIET_HEARTBEATS: u64 = 10;
 
 /// A request to decide a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -231,14 +231,14 @@
     }
 
     /// Returns the replicas of one worker.
-    pub fn on<'a>(&'a self, target: &str) -> impl Iterator<Item = &'a Replica> {
+    pub fn on_target<'a>(&'a self, target: &str) -> impl Iterator<Item = &'a Replica> {
         let ids = self.targets.get(target).into_iter();
         ids.flat_map(|reservations| &reservations.replicas)
             .filter_map(|id| self.standing.get(id))
     }
 
     /// Returns the replicas of one model.
-    pub fn of<'a>(&'a self, model: &str) -> impl Iterator<Item = &'a Replica> {
+    pub fn of_model<'a>(&'a self, model: &str) -> impl Iterator<Item = &'a Replica> {
         let ids = self.models.get(model).into_iter().flatten();
         ids.filter_map(|id| self.standing.get(id))
     }
@@ -358,14 +358,14 @@
                 target: replica.target.clone(),
                 incarnation: replica.incarnation,
                 model: replica.model.clone(),
-                until: sequence.saturating_add(QUIET_BEATS),
+                until: sequence.saturating_add(QUIET_HEARTBEATS),
             });
         }
     }
 
     /// Ends all reservations on a worker whose incarnation ended.
     pub(crate) fn release_all(&mut self, target: &str) {
-        let ids: Vec<ReplicaId> = self.on(target).map(|replica| replica.id).collect();
+        let ids: Vec<ReplicaId> = self.on_target(target).map(|replica| replica.id).collect();
         for id in ids {
             self.remove(id);
         }
@@ -406,12 +406,12 @@
     /// Returns whether an inventory without this replica proves that it is gone.
     ///
     /// Once the replica was seen ready, any later inventory does. Before that its order may still
-    /// be in flight, so the worker must have run for another [`QUIET_BEATS`] heartbeats.
+    /// be in flight, so the worker must have run for another [`QUIET_HEARTBEATS`] heartbeats.
     pub(crate) fn is_proven_absent(&self, sequence: u64) -> bool {
         match self.ready {
             Some(_) => sequence > self.after,
             None if mutation::is(Mutation::EarlyRelease) => true,
-            None => sequence >= self.after.saturating_add(QUIET_BEATS),
+            None => sequence >= self.after.saturating_add(QUIET_HEARTBEATS),
         }
     }
 }
--- a/crates/control/src/rules.rs
+++ b/crates/control/src/rules.rs
@@ -21,13 +21,15 @@
         let model = settings.model(&decide.model).ok_or(Refusal::Model)?;
         require(settings.managed(model), Refusal::Unmanaged)?;
         require(decide.bytes >= model.bytes.max(1), Refusal::Bytes)?;
-        let present = self.on(&decide.target).any(|it| it.model == decide.model);
+        let present = self
+            .on_target(&decide.target)
+            .any(|it| it.model == decide.model);
         require(!present, Refusal::Present)?;
         let free = target.announcement.memory;
         let free = free.saturating_sub(self.reserved(&decide.target));
         let fits = decide.bytes <= free || mutation::is(Mutation::NoMemoryCheck);
         require(fits, Refusal::Memory)?;
-        let counted = self.of(&decide.model).filter(|it| counts(it, fleet));
+        let counted = self.of_model(&decide.model).filter(|it| counts(it, fleet));
         let limit = settings.rules(&decide.model).replicas as usize;
         let allowed = counted.count() < limit || mutation::is(Mutation::NoLimitCheck);
         require(allowed, Refusal::Limit)?;
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -12,13 +12,13 @@
 use crate::claims::{Claims, LIMITS};
 use crate::command::{Command, Entry, Reply};
 use crate::document::Document;
-use crate::error::{Error, FormSnafu, LeftSnafu, MalformedSnafu};
+use crate::error::{Error, FormatVersionSnafu, MalformedSnafu, TrailingBytesSnafu};
 use crate::fleet::{self, Fleet};
 use crate::replicas::{Answer, Decide, Replicas};
 use crate::strikes::Strikes;
 
 /// The format version of a snapshot, its first byte.
-pub const FORM: u8 = 2;
+pub const FORMAT_VERSION: u8 = 2;
 
 /// The state that every control host replicates.
 ///
@@ -166,16 +166,16 @@
                 target,
                 incarnation,
                 silent,
-            } => Reply::Target(self.fleet.silence(&target, incarnation, silent)),
+            } => Reply::Target(self.fleet.record_silence(&target, incarnation, silent)),
             Command::Leave {
                 target,
                 incarnation,
-            } => Reply::Target(self.fleet.leave(&target, incarnation)),
+            } => Reply::Target(self.fleet.record_leaving(&target, incarnation)),
             Command::Hold {
                 target,
                 incarnation,
                 models,
-            } => Reply::Target(self.fleet.hold(&target, incarnation, models)),
+            } => Reply::Target(self.fleet.record_held(&target, incarnation, models)),
             Command::Publish(publish) => Reply::Document(self.document.publish(publish)),
             Command::Batch(commands) => {
                 Reply::Batch(commands.into_iter().map(|it| self.run(it)).collect())
@@ -275,7 +275,7 @@
             strikes: &self.strikes,
             document: &self.document,
         };
-        let mut bytes = vec![FORM];
+        let mut bytes = vec![FORMAT_VERSION];
         bytes.extend(postcard::to_stdvec(&image).unwrap_or_default());
         bytes.into()
     }
@@ -288,20 +288,22 @@
     /// bytes, or hold settings that this build rejects.
     pub fn restore(bytes: &[u8]) -> Result<Self, Error> {
         let what = "snapshot";
-        let (&form, rest) = bytes.split_first().ok_or(Error::Empty { what })?;
+        let (&version, rest) = bytes
+            .split_first()
+            .ok_or(Error::IncompleteHeader { what })?;
         ensure!(
-            form == FORM,
-            FormSnafu {
+            version == FORMAT_VERSION,
+            FormatVersionSnafu {
                 what,
-                found: form,
-                known: FORM
+                found: version,
+                known: FORMAT_VERSION
             }
         );
         let (image, left): (Image, &[u8]) =
             postcard::take_from_bytes(rest).context(MalformedSnafu { what })?;
         ensure!(
             left.is_empty(),
-            LeftSnafu {
+            TrailingBytesSnafu {
                 what,
                 left: left.len()
             }
--- a/crates/control/src/strikes.rs
+++ b/crates/control/src/strikes.rs
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 
 /// The number of target incarnations lost with a fingerprint in progress at which it is refused.
-pub const LIMIT: usize = 2;
+pub const MAX_LOST_INCARNATIONS: usize = 2;
 
 /// The maximum number of fingerprints that are remembered.
-pub const FINGERPRINTS: usize = 10_000;
+pub const MAX_FINGERPRINTS: usize = 10_000;
 
 /// A target that was lost with requests in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
 /// The stored strikes of one fingerprint.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Suspect {
-    lost: BTreeSet<Life>,
+    lost: BTreeSet<TargetIncarnation>,
     last: Time,
     until: Option<Time>,
     forgotten: Time,
@@ -54,7 +54,7 @@
 
 /// One incarnation of a target.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-struct Life {
+struct TargetIncarnation {
     target: TargetId,
     incarnation: Incarnation,
 }
@@ -86,25 +86,25 @@
             .map(|fingerprint| self.count(*fingerprint))
     }
 
-    /// Records a strike; at [`LIMIT`] lost incarnations the fingerprint is refused for
+    /// Records a strike; at [`MAX_LOST_INCARNATIONS`] lost incarnations the fingerprint is refused for
     /// `quarantine`.
     pub(crate) fn strike(&mut self, strike: Strike, quarantine: Duration, now: Time) -> Answer {
-        let life = Life {
+        let incarnation = TargetIncarnation {
             target: strike.target,
             incarnation: strike.incarnation,
         };
         for fingerprint in &strike.fingerprints {
             let suspect = self.suspects.entry(*fingerprint).or_default();
-            if suspect.lost.len() < LIMIT {
-                suspect.lost.insert(life.clone());
+            if suspect.lost.len() < MAX_LOST_INCARNATIONS {
+                suspect.lost.insert(incarnation.clone());
             }
             suspect.last = now;
             suspect.forgotten = now.saturating_add(quarantine);
-            if suspect.lost.len() >= LIMIT {
+            if suspect.lost.len() >= MAX_LOST_INCARNATIONS {
                 suspect.until = Some(suspect.forgotten);
             }
         }
-        self.bound();
+        self.enforce_limit();
         self.answer(strike.fingerprints)
     }
 
@@ -128,8 +128,8 @@
     }
 
     /// Drops the oldest fingerprints above the limit, those that are not refused first.
-    fn bound(&mut self) {
-        while self.suspects.len() > FINGERPRINTS {
+    fn enforce_limit(&mut self) {
+        while self.suspects.len() > MAX_FINGERPRINTS {
             let oldest = self
                 .suspects
                 .iter()
--- a/crates/control/src/term_state.rs
+++ b/crates/control/src/term_state.rs
@@ -247,7 +247,7 @@
                 self.forget_released_replicas(&target, ctx);
             }
             (Command::Silence { target, .. }, Reply::Target(_)) => {
-                for replica in ctx.state.replicas().on(&target) {
+                for replica in ctx.state.replicas().on_target(&target) {
                     self.planner_input.mark_replica(replica.id, &target);
                 }
                 self.planner_input.mark_worker(&target);
--- a/crates/control/tests/bytes.rs
+++ b/crates/control/tests/bytes.rs
@@ -98,15 +98,12 @@
 #[test]
 fn errors_name_the_fault() {
     let rows: [(&[u8], &str); 4] = [
-        (&[], "the command is empty"),
-        (
-            &[9, 0, 0],
-            "the command has form 9, this build reads form 1",
-        ),
-        (&[1, 0, 0, 7], "the command has 1 bytes too many"),
+        (&[], "incomplete command: the header is missing"),
+        (&[9, 0, 0], "the command has format version 9, expected 1"),
+        (&[1, 0, 0, 7], "the command is followed by 1 extra bytes"),
         (
             &[1, 7],
-            "the command has kind 7, which this build does not know",
+            "the command has kind byte 7, expected 0 (single) or 1 (batch)",
         ),
     ];
     for (bytes, expected) in rows {
--- a/crates/control/tests/common/simulation.rs
+++ b/crates/control/tests/common/simulation.rs
@@ -239,7 +239,7 @@
 
     /// Returns how many replicas of a model are ready.
     pub fn ready(&self, model: &str) -> usize {
-        let replicas = self.state.replicas().of(model);
+        let replicas = self.state.replicas().of_model(model);
         replicas
             .filter(|it| it.state == ReplicaState::Ready)
             .count()
@@ -392,7 +392,7 @@
                 assert!(self.decided.insert(replica.id), "id {} twice", replica.id);
                 let fleet = self.state.fleet();
                 let heard = |target: &str| fleet.get(target).is_some_and(|it| !it.silent);
-                let standing = self.state.replicas().of(&replica.model);
+                let standing = self.state.replicas().of_model(&replica.model);
                 let counted = standing.filter(|it| heard(&it.target)).count();
                 let limit = self
                     .state
--- a/crates/control/tests/hosting/schedule.rs
+++ b/crates/control/tests/hosting/schedule.rs
@@ -162,13 +162,11 @@
                     self.send(answer);
                 }
             }
-            Message::Answer(target, incarnation, inspection) => {
-                self.bench.handle(Input::Inspected {
-                    target,
-                    incarnation,
-                    inspection: Some(inspection),
-                })
-            }
+            Message::Answer(target, incarnation, answer) => self.bench.handle(Input::Inspected {
+                target,
+                incarnation,
+                inspection: Some(answer),
+            }),
         }
         Ok(())
     }
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -106,7 +106,7 @@
     let replica = bench
         .state
         .replicas()
-        .of("script")
+        .of_model("script")
         .next()
         .expect("a replica");
     assert!(replica.adopted && replica.ready.is_some(), "{replica:?}");
