--- a/crates/control/examples/scale.rs
+++ b/crates/control/examples/scale.rs
@@ -88,15 +88,15 @@
             time: self.now,
         };
         let reply = self.state.apply(&entry, command.clone());
-        let told = reply.clone();
-        self.give(Input::Applied {
+        let applied = reply.clone();
+        self.handle(Input::Applied {
             command,
-            reply: told,
+            reply: applied,
         });
         reply
     }
 
-    fn give(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         for output in self.leader.handle(input, &self.state, self.now) {
             match output {
                 Output::Propose(command) => {
@@ -194,7 +194,7 @@
 
 /// Creates settings, targets, one replica for each worker, entry hosts and claims.
 fn fill(bench: &mut Bench, hosts: usize, workers: usize) {
-    bench.give(Input::Elected { term: 1 });
+    bench.handle(Input::Elected { term: 1 });
     let text = settings();
     bench.commit(Command::Apply(Apply {
         operator: "ann".into(),
@@ -203,7 +203,7 @@
         text: text.into(),
     }));
     for worker in 0..workers {
-        bench.give(Input::Announcement(announcement(worker)));
+        bench.handle(Input::Announcement(announcement(worker)));
         bench.commit(Command::Decide(Decide {
             model: model(worker).into(),
             version: None,
@@ -215,11 +215,11 @@
         }));
     }
     for worker in 0..workers {
-        bench.give(Input::Heartbeat(heartbeat(worker, 1)));
+        bench.handle(Input::Heartbeat(heartbeat(worker, 1)));
     }
     for host in 0..hosts {
-        bench.give(Input::Renewal(host_of(host)));
-        bench.give(Input::Report(report(host, 1)));
+        bench.handle(Input::Renewal(host_of(host)));
+        bench.handle(Input::Report(report(host, 1)));
     }
     for claim in 0..CLAIMS {
         bench.commit(Command::Claim(Claim {
@@ -241,33 +241,33 @@
         }));
     }
     bench.now += Duration::from_secs(2);
-    bench.give(Input::Tick);
+    bench.handle(Input::Tick);
 }
 
 /// Runs one second: a heartbeat of each worker, a report and a renewal of each host, ten ticks.
 fn run(bench: &mut Bench, hosts: usize, workers: usize, second: u64, spent: &mut [Duration; 4]) {
-    let beats: Vec<Heartbeat> = (0..workers).map(|it| heartbeat(it, second + 1)).collect();
+    let heartbeats: Vec<Heartbeat> = (0..workers).map(|it| heartbeat(it, second + 1)).collect();
     let reports: Vec<Report> = (0..hosts).map(|it| report(it, second + 1)).collect();
     let renewals: Vec<entry::Host> = (0..hosts).map(host_of).collect();
     let started = Instant::now();
-    for beat in beats {
-        bench.give(Input::Heartbeat(beat));
+    for heartbeat in heartbeats {
+        bench.handle(Input::Heartbeat(heartbeat));
     }
     spent[0] += started.elapsed();
     let started = Instant::now();
     for report in reports {
-        bench.give(Input::Report(report));
+        bench.handle(Input::Report(report));
     }
     spent[2] += started.elapsed();
     let started = Instant::now();
     for renewal in renewals {
-        bench.give(Input::Renewal(renewal));
+        bench.handle(Input::Renewal(renewal));
     }
     spent[3] += started.elapsed();
     let started = Instant::now();
     for _ in 0..10 {
         bench.now += Duration::from_millis(100);
-        bench.give(Input::Tick);
+        bench.handle(Input::Tick);
     }
     spent[1] += started.elapsed();
 }
@@ -320,9 +320,9 @@
         println!("{what}: {slope:.1} a worker, from {start:.0}");
     }
     if let Some(cost) = costs.last() {
-        let beats = ns(cost.heartbeat) * cost.workers as f64;
+        let heartbeats = ns(cost.heartbeat) * cost.workers as f64;
         let reports = ns(cost.report + cost.renewal) * cost.hosts as f64;
-        let share = (beats + reports + ns(cost.tick) * 10.0) / 1e9;
+        let share = (heartbeats + reports + ns(cost.tick) * 10.0) / 1e9;
         println!(
             "leader at the largest size: {:.1}% of a core",
             share * 100.0
--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -13,7 +13,7 @@
 
 pub use crate::claim::{Answer, Claim, Finish, Holder, Key, MAX_KEY_BYTES, Refusal};
 use crate::mutation::{self, Mutation};
-pub use crate::outcome::{MAX_BODY_BYTES, MAX_CONTENT_TYPE_BYTES, Outcome};
+pub use crate::outcome::{BODY, MAX_CONTENT_TYPE_BYTES, Outcome};
 use crate::tombstones::Tombstones;
 
 /// The size limits of the claims table; beyond them the oldest outcomes lose data.
@@ -239,13 +239,13 @@
             host,
             incarnation: newest,
         };
-        let lives: Vec<Holder> = self
+        let ended_holders: Vec<Holder> = self
             .running
             .range(first..=last)
             .map(|(it, _)| *it)
             .collect();
-        for life in lives {
-            for key in self.running.remove(&life).unwrap_or_default() {
+        for holder in ended_holders {
+            for key in self.running.remove(&holder).unwrap_or_default() {
                 if mutation::is(Mutation::FreedClaims) {
                     self.records.remove(&key);
                     continue;
--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -6,14 +6,14 @@
 use cornelhitch_types::demand::{Demand, Report};
 use cornelhitch_types::id::{HostId, Incarnation, ModelId, Name, RegionId, Time};
 
-/// What a row of demand is for.
+/// The model and version of a demand row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct DemandKey {
     model: ModelId,
     version: Option<Name>,
 }
 
-/// What a row of the planner's input is for.
+/// The model, version and region of a row of the planner's input.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct RegionalKey {
     key: DemandKey,
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -98,7 +98,7 @@
 
     /// Returns whether an incarnation has ended or left and will not be registered again.
     #[must_use]
-    pub fn has_ended(&self, target: &str, incarnation: Incarnation) -> bool {
+    pub fn is_over(&self, target: &str, incarnation: Incarnation) -> bool {
         let newer = self
             .get(target)
             .is_some_and(|known| incarnation < known.announcement.incarnation);
--- a/crates/control/src/heartbeats.rs
+++ b/crates/control/src/heartbeats.rs
@@ -26,7 +26,7 @@
         let ended = ctx
             .state
             .fleet()
-            .has_ended(&announcement.target, announcement.incarnation);
+            .is_over(&announcement.target, announcement.incarnation);
         if !ended {
             self.pending.propose(Command::Register(announcement), ctx);
         }
@@ -362,8 +362,8 @@
 
     /// Sends the due orders of all replicas on a target.
     fn send_due_orders_to(&mut self, target: &TargetId, ctx: &mut Context) {
-        let on = ctx.state.replicas().on_target(target);
-        let ids: Vec<ReplicaId> = on.map(|replica| replica.id).collect();
+        let replicas = ctx.state.replicas().on_target(target);
+        let ids: Vec<ReplicaId> = replicas.map(|replica| replica.id).collect();
         for id in ids {
             self.send_due_order(id, ctx);
         }
--- a/crates/control/src/hosting/worker_orders.rs
+++ b/crates/control/src/hosting/worker_orders.rs
@@ -144,7 +144,7 @@
         matches!(in_flight, Some(Action::Unload { model: it }) if **it == *model)
     }
 
-    /// Returns the adapters of a copy according to heartbeats and recent orders; `sure` excludes
+    /// Returns the adapters of a copy according to heartbeats and recent orders; `accepted_only` excludes
     /// orders that the worker has not accepted yet.
     pub(super) fn adapters(&self, holding: &Holding, accepted_only: bool) -> Vec<Name> {
         let mut adapters = holding.adapters.clone();
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -22,7 +22,7 @@
 
 impl TermState {
     /// Runs the planner, if it is due.
-    pub(crate) fn plan(&mut self, planner: &mut dyn Planner, ctx: &mut Context) {
+    pub(crate) fn run_planner(&mut self, planner: &mut dyn Planner, ctx: &mut Context) {
         // Models of engines that count their orders are placed by `hosting`.
         let managed = !ctx.state.catalogue().fleet().models.is_empty();
         if !managed || !self.is_plan_due(ctx) {
@@ -41,7 +41,7 @@
         let decisions = planner.plan(picture, ctx.now);
         let mut taken = Taken::new();
         for decision in decisions {
-            self.carry_out(decision, &mut taken, ctx);
+            self.apply_decision(decision, &mut taken, ctx);
         }
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Proposes or orders what the planner decided.
-    fn carry_out(&mut self, decision: Decision, taken: &mut Taken, ctx: &mut Context) {
+    fn apply_decision(&mut self, decision: Decision, taken: &mut Taken, ctx: &mut Context) {
         match decision.action {
             Action::Load {
                 model,
@@ -76,22 +76,22 @@
                     bytes,
                     adopted: false,
                 };
-                self.decide(decide, taken, ctx);
+                self.propose_load(decide, taken, ctx);
             }
             Action::Unload { replica } => {
-                let standing = ctx.state.replicas().get(replica);
-                if standing.is_some_and(|it| it.state != State::Retiring) {
+                let known = ctx.state.replicas().get(replica);
+                if known.is_some_and(|it| it.state != State::Retiring) {
                     self.pending.propose(Command::Retire { replica }, ctx);
                 }
             }
-            Action::Adapter { replica, adapter } => self.load_adapter(replica, adapter, ctx),
-            Action::Warm { model, target } => self.warm(model, &target, ctx),
+            Action::Adapter { replica, adapter } => self.order_adapter(replica, adapter, ctx),
+            Action::Warm { model, target } => self.order_warm(model, &target, ctx),
         }
     }
 
     /// Proposes a replica, if models may be loaded on the worker and it has free memory besides
     /// copies that belong to no decided replica.
-    fn decide(&mut self, decide: Decide, taken: &mut Taken, ctx: &mut Context) {
+    fn propose_load(&mut self, decide: Decide, taken: &mut Taken, ctx: &mut Context) {
         let Some(worker) = self.workers.get(&decide.target) else {
             return;
         };
@@ -117,16 +117,16 @@
     }
 
     /// Orders an adapter to be loaded onto a ready replica.
-    fn load_adapter(&mut self, replica: ReplicaId, name: Name, ctx: &mut Context) {
-        let standing = ctx.state.replicas().get(replica);
-        let Some(standing) = standing.filter(|it| it.state == State::Ready) else {
+    fn order_adapter(&mut self, replica: ReplicaId, name: Name, ctx: &mut Context) {
+        let known = ctx.state.replicas().get(replica);
+        let Some(known) = known.filter(|it| it.state == State::Ready) else {
             return;
         };
         let adapter = Adapter {
             replica,
             name: name.clone(),
         };
-        let open = self.workers.get(&standing.target);
+        let open = self.workers.get(&known.target);
         let open = open.is_some_and(Worker::is_loadable);
         if !open || self.adapters.contains_key(&adapter) {
             return;
@@ -134,14 +134,14 @@
         self.adapters.insert(adapter, ctx.now);
         let model = Reference {
             adapter: Some(name),
-            ..reference(standing)
+            ..reference(known)
         };
         let action = order::Action::Adapter { model };
-        self.send_order(&standing.target, replica, action, ctx);
+        self.send_order(&known.target, replica, action, ctx);
     }
 
     /// Orders a model into a faster storage tier of a worker.
-    fn warm(&mut self, model: ModelId, target: &TargetId, ctx: &mut Context) {
+    fn order_warm(&mut self, model: ModelId, target: &TargetId, ctx: &mut Context) {
         let open = self.workers.get(target);
         let warming = Warming {
             target: target.clone(),
--- a/crates/control/src/term_state.rs
+++ b/crates/control/src/term_state.rs
@@ -140,7 +140,7 @@
                 if self.demand.on_report(report, ctx.now) {
                     self.plan_requested = true;
                     self.hosting.request_plan();
-                    self.plan(planner, ctx);
+                    self.run_planner(planner, ctx);
                     self.plan_hosted(ctx);
                 }
             }
@@ -208,7 +208,7 @@
     /// Returns whether every target was heard in this term, or the time to wait for them has
     /// passed.
     pub(crate) fn is_fleet_heard(&self, ctx: &Context) -> bool {
-        ctx.now >= self.since + ctx.timing.initial_plan_wait
+        ctx.now >= self.since + ctx.timing.initial_heartbeat_wait
             || self.workers.values().all(|it| it.last_heartbeat.is_some())
     }
 
@@ -289,10 +289,8 @@
             fleet::Answer::Changed => self.feed.mark_target(target, true),
             _ => {}
         }
-        let pending_heartbeats = self.pending_heartbeats.remove(target);
-        if let Some(heartbeat) = pending_heartbeats
-            .filter(|pending_heartbeats| pending_heartbeats.incarnation == incarnation)
-        {
+        let pending = self.pending_heartbeats.remove(target);
+        if let Some(heartbeat) = pending.filter(|pending| pending.incarnation == incarnation) {
             self.on_heartbeat(heartbeat, ctx);
         }
     }
@@ -300,9 +298,9 @@
     /// Removes targets that were dismissed because a new incarnation took over their address.
     fn forget_removed_targets(&mut self, ctx: &Context) {
         let fleet = ctx.state.fleet();
-        let gone = |target: &&TargetId| fleet.get(target).is_none();
-        let gone: Vec<TargetId> = self.workers.keys().filter(gone).cloned().collect();
-        for target in gone {
+        let removed = |target: &&TargetId| fleet.get(target).is_none();
+        let removed: Vec<TargetId> = self.workers.keys().filter(removed).cloned().collect();
+        for target in removed {
             self.publish_observed_gone(&target);
             self.hosting.forget(&target);
             self.workers.remove(&target);
@@ -321,14 +319,14 @@
 
     /// Removes the state of replicas that no longer hold a reservation.
     fn forget_released_replicas(&mut self, target: &TargetId, ctx: &Context) {
-        let standing = ctx.state.replicas();
-        let gone: Vec<ReplicaId> = self
+        let replicas = ctx.state.replicas();
+        let released: Vec<ReplicaId> = self
             .replica_orders
             .keys()
             .copied()
-            .filter(|id| standing.get(*id).is_none())
+            .filter(|id| replicas.get(*id).is_none())
             .collect();
-        for id in gone {
+        for id in released {
             self.forget_replica(id, target);
         }
         self.planner_input.mark_worker(target);
@@ -429,7 +427,7 @@
         self.adapters.retain(|_, since| ctx.now < *since + adapter);
         self.warming.retain(|_, since| ctx.now < *since + adapter);
         self.leases.announce(ctx);
-        self.plan(planner, ctx);
+        self.run_planner(planner, ctx);
         self.hosting.request_plan();
         self.plan_hosted(ctx);
     }
--- a/crates/control/src/timing.rs
+++ b/crates/control/src/timing.rs
@@ -9,8 +9,8 @@
     pub min_plan_interval: Duration,
     /// The maximum interval between two plans.
     pub max_plan_interval: Duration,
-    /// How long the first plan of a term waits for the workers' heartbeats.
-    pub initial_plan_wait: Duration,
+    /// How long the first plan and the first view of a term wait for the targets' heartbeats.
+    pub initial_heartbeat_wait: Duration,
     /// How long a target must be silent before it is suspected.
     pub suspect_after: Duration,
     /// How long a target must be silent before it is suspected if entry hosts report it lost while
@@ -63,7 +63,7 @@
         Self {
             min_plan_interval: ms(100),
             max_plan_interval: s(1),
-            initial_plan_wait: ms(1_100),
+            initial_heartbeat_wait: ms(1_100),
             suspect_after: s(2),
             suspect_reported_after: ms(1_200),
             report_distrust: s(30),
--- a/crates/control/src/view_builder.rs
+++ b/crates/control/src/view_builder.rs
@@ -67,13 +67,13 @@
             version: replica.version.clone(),
             target: replica.target.clone(),
             state: replica.state,
-            ready_in_ms: self.ready_in_ms_of(replica, from),
+            ready_in_ms: self.remaining_load_ms(replica, from),
             adapters: orders.map(|it| it.adapters.clone()).unwrap_or_default(),
         })
     }
 
     /// Returns the time until a replica is expected to be ready, in milliseconds.
-    fn ready_in_ms_of(&self, replica: &Replica, from: Stage) -> u32 {
+    fn remaining_load_ms(&self, replica: &Replica, from: Stage) -> u32 {
         if replica.state != view::State::Loading {
             return 0;
         }
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -252,7 +252,6 @@
     /// shown as loading.
     ///
     /// Returns whether the observed replicas changed.
-    /// Says whether they changed.
     pub(crate) fn observe(
         &mut self,
         target: &TargetId,
--- a/crates/control/tests/common/simulation.rs
+++ b/crates/control/tests/common/simulation.rs
@@ -293,7 +293,9 @@
     /// Checks that no replica is left after [`Simulation::check_recovery`]; the planner must keep nothing idle.
     pub fn check_empty(&self) -> Result<(), String> {
         match self.state.replicas().iter().next() {
-            Some(replica) => Err(format!("{replica:?} is left though nobody asks for it")),
+            Some(replica) => Err(format!(
+                "{replica:?} is left although no request waits for it"
+            )),
             None => Ok(()),
         }
     }
--- a/crates/control/tests/hosting/main.rs
+++ b/crates/control/tests/hosting/main.rs
@@ -200,7 +200,7 @@
     step(&mut bench, Duration::from_millis(100));
     assert!(
         bench.orders().is_empty(),
-        "what it has near is not known yet"
+        "the content of its disk is not known yet"
     );
 }
 
@@ -271,7 +271,11 @@
         target: "w1".into(),
         incarnation: 2_000,
     });
-    let known = bench.state.fleet().get("w1").expect("the older life");
+    let known = bench
+        .state
+        .fleet()
+        .get("w1")
+        .expect("the older incarnation");
     assert!(known.leaving);
 }
 
@@ -324,7 +328,7 @@
     let ordered = loads(&mut bench);
     assert!(
         !ordered.contains(&id("g")),
-        "w1 has it near, and its orders are asked about"
+        "w1 has it on disk, and its accepted orders are being inspected"
     );
     answer_inspection(&mut bench, &worker);
     step(&mut bench, Duration::from_millis(100));
--- a/crates/control/tests/hosting/worker.rs
+++ b/crates/control/tests/hosting/worker.rs
@@ -96,7 +96,7 @@
             Outcome::Answered(Answer::Refused { reason })
         };
         if order.incarnation != self.incarnation {
-            return refused("another life");
+            return refused("another incarnation");
         }
         if order.after.is_some_and(|after| after != self.accepted) || self.busy.is_some() {
             return refused("another count, or busy");
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -144,8 +144,8 @@
             incarnation,
         });
         run_seconds(&mut bench, sequence, 1, &[], 0);
-        let gone = |it: &&Change| matches!(it, Change::Target(target) if !target.open);
-        closed += bench.changes().iter().filter(gone).count();
+        let closing = |it: &&Change| matches!(it, Change::Target(target) if !target.open);
+        closed += bench.changes().iter().filter(closing).count();
     }
     assert_eq!(closed, 1);
 }
