--- a/crates/control/src/claims/tests.rs
+++ b/crates/control/src/claims/tests.rs
@@ -113,7 +113,9 @@
                     let grant = self.grants.remove(&key);
                     let held = grant.is_some_and(|it| it.holder == holder && it.ended.is_none());
                     let held = held && !late;
-                    return held.then_some(()).ok_or("another's claim was freed".into());
+                    return held
+                        .then_some(())
+                        .ok_or("freed a claim of another holder or call".into());
                 }
             }
             Step::HostEnded { host } => {
@@ -179,7 +181,7 @@
             _ => false,
         };
         if !right {
-            return Err(format!("{claim:?} got {answer:?}, before {old:?}"));
+            return Err(format!("{claim:?} got {answer:?}, last grant {old:?}"));
         }
         self.forgotten += usize::from(answer == Answer::Forgotten);
         if answer == Answer::Granted {
@@ -228,7 +230,7 @@
         let same = restored == self.claims;
         self.claims = restored;
         same.then_some(())
-            .ok_or("a restart gives other claims".into())
+            .ok_or("claims differ after a restart".into())
     }
 
     fn bounds(&self) -> Result<(), String> {
@@ -240,7 +242,9 @@
             && bodies <= SMALL.bodies
             && claims.len() <= SMALL.records.max(running)
             && claims.len() + claims.tombstones() <= SMALL.records + SMALL.tombstones;
-        holds.then_some(()).ok_or(format!("bounds: {claims:?}"))
+        holds
+            .then_some(())
+            .ok_or(format!("limits exceeded or sizes miscounted: {claims:?}"))
     }
 }
 
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -130,7 +130,7 @@
     }
 
     /// Returns the changes that an entry host has missed, or the full view if they are no longer
-    /// kept.
+    /// kept; `None` before the first full view was published.
     pub(crate) fn resync(
         &self,
         host: HostId,
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -67,8 +67,8 @@
     /// Grants a host a lease on the settings in force; returns whether the view changes.
     ///
     /// A host that acts on older settings has to fetch the newer ones first; its lease on the older
-    /// ones is not extended. A lease counts from now on, since the host may fetch the settings as
-    /// soon as it hears of them.
+    /// ones is not extended. The leader counts the lease on the newer ones from now on, since the
+    /// host may fetch them as soon as it hears of them.
     pub(crate) fn renew(&mut self, host: entry::Host, ctx: &mut Context) -> bool {
         let version = ctx.state.catalogue().version();
         let old = self.hosts.remove(&host.host);
--- a/crates/control/src/mutation.rs
+++ b/crates/control/src/mutation.rs
@@ -1,6 +1,6 @@
 //! Faults that tests inject to show that their checks can fail.
 //!
-//! Without the feature `mutation` nothing is injected: [`is`] always returns false.
+//! Without the feature `mutation` nothing is injected: `is` always returns false.
 
 use strum::{Display, EnumIter};
 
--- a/crates/control/tests/common/simulation.rs
+++ b/crates/control/tests/common/simulation.rs
@@ -245,7 +245,7 @@
             .count()
     }
 
-    /// Runs without faults; fails unless every model becomes ready while requests wait for it.
+    /// Runs without faults: while requests wait, every model must become ready; then demand ends.
     pub fn check_recovery(&mut self) -> Result<(), String> {
         let second = Step::Second {
             lost: 0,
@@ -308,7 +308,7 @@
         }
         let same = replayed.digest() == self.state.digest();
         same.then_some(())
-            .ok_or_else(|| "a replay gives another state".to_owned())
+            .ok_or_else(|| "replaying the log gives a different state".to_owned())
     }
 
     fn handle(&mut self, input: Input) {
@@ -339,7 +339,10 @@
                     && it.incarnation == order.incarnation
                     && it.bytes == bytes
             });
-            assert!(fits, "order without its committed decision: {order:?}");
+            assert!(
+                fits,
+                "load order without a matching committed decision: {order:?}"
+            );
         }
         let mut workers = self.workers.iter();
         let worker = workers.position(|it| it.announcement.target == order.target);
@@ -391,7 +394,11 @@
         use cornelhitch_control::replicas::Answer;
         match reply {
             Reply::Replica(Answer::Decided(replica)) => {
-                assert!(self.decided.insert(replica.id), "id {} twice", replica.id);
+                assert!(
+                    self.decided.insert(replica.id),
+                    "replica id {} was decided twice",
+                    replica.id
+                );
                 let fleet = self.state.fleet();
                 let heard = |target: &str| fleet.get(target).is_some_and(|it| !it.silent);
                 let standing = self.state.replicas().of_model(&replica.model);
@@ -404,7 +411,7 @@
                     .replicas;
                 assert!(
                     counted <= limit as usize,
-                    "{counted} of {limit}: {replica:?}"
+                    "{counted} replicas of a model, at most {limit} allowed: {replica:?}"
                 );
             }
             Reply::Replica(Answer::Released(_)) => self.releases += 1,
@@ -524,7 +531,7 @@
             self.state = State::restore(&self.state.snapshot()).expect("a readable snapshot");
             assert!(
                 digest == self.state.digest(),
-                "a snapshot gives another state"
+                "restoring a snapshot gives a different state"
             );
         }
         for order_in_flight in &mut self.in_flight {
@@ -542,10 +549,10 @@
             let memory = fake.announcement.memory;
             let reserved = self.state.replicas().reserved(name);
             if reserved > memory {
-                return Err(format!("{name}: {reserved} of {memory} reserved"));
+                return Err(format!("{name}: {reserved} bytes reserved of {memory}"));
             }
             if fake.used() > memory {
-                return Err(format!("{name}: {} of {memory} used", fake.used()));
+                return Err(format!("{name}: {} bytes used of {memory}", fake.used()));
             }
             if let Some(wrong_unload) = &fake.wrong_unload {
                 return Err(format!("{name}: {wrong_unload}"));
--- a/crates/control/tests/hosting/main.rs
+++ b/crates/control/tests/hosting/main.rs
@@ -92,8 +92,8 @@
     assert_eq!(load.after, Some(1));
 }
 
-/// A second order during the first took a worker over its limit and ended it with LIMIT (run
-/// `quiet-1`, seed 34090963420).
+/// A second order sent during the first ended in the platform's LIMIT (run `quiet-1`, seed
+/// 34090963420).
 #[test]
 fn no_second_order_is_sent_while_one_is_in_progress() {
     let (mut bench, _) = bench();
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -174,7 +174,7 @@
             acts_on = bench.state.catalogue().version();
         }
         let announced = bench.outputs.contains(&Output::InForce { version: 2 });
-        assert!(announced, "{isolated} hosts out of touch");
+        assert!(announced, "{isolated} hosts out of contact");
     }
 }
 
--- a/crates/control/tests/rules.rs
+++ b/crates/control/tests/rules.rs
@@ -146,7 +146,7 @@
             let after = 31;
             let later = Command::Decide(Decide { after, ..decide() });
             let Reply::Replica(Answer::Decided(again)) = bench.apply(&later) else {
-                panic!("{evidence:?}: it stays quiet for ever");
+                panic!("{evidence:?}: the model stays blocked after the quiet period");
             };
             assert_eq!((again.id, again.state), (2, ReplicaState::Loading));
         }
--- a/crates/control/tests/settings.rs
+++ b/crates/control/tests/settings.rs
@@ -228,7 +228,7 @@
             let same = first == reply;
             return same
                 .then_some(())
-                .ok_or(format!("first {first:?}, then {reply:?}"));
+                .ok_or(format!("resend got {reply:?}, first answer was {first:?}"));
         }
         if reply
             == Reply::Settings(Answer::Accepted {
@@ -237,7 +237,7 @@
         {
             self.accepted += 1;
             if apply.base != version || !ok {
-                return Err(format!("accepted {apply:?} over {version}"));
+                return Err(format!("accepted {apply:?} at version {version}"));
             }
         }
         self.answers.insert((operator, request), (apply, reply));
@@ -247,7 +247,7 @@
     fn check(&mut self) -> Result<(), String> {
         let version = self.state.catalogue().version();
         if version < self.newest || version != self.accepted {
-            return Err(format!("version {version} after {}", self.newest));
+            return Err(format!("version {version}, previously {}", self.newest));
         }
         self.newest = version;
         let claimed = (1..=version)
@@ -256,12 +256,16 @@
         let dumped = self.leader.dump(&self.state, self.now);
         let dumped = dumped.map_or(0, |dump| dump.in_force);
         if mutation::current().is_none() && dumped != claimed.unwrap_or(0) {
-            return Err(format!("{dumped} dumped, {claimed:?} in force"));
+            return Err(format!(
+                "dump reports version {dumped} in force, expected {claimed:?}"
+            ));
         }
         let claimed = claimed.unwrap_or(0).max(self.announced);
         let acting = self.hosts.iter().filter(|host| self.now <= host.until);
         match acting.clone().find(|host| host.acts_on < claimed) {
-            Some(host) => Err(format!("{claimed} said to be in force, but {host:?}")),
+            Some(host) => Err(format!(
+                "version {claimed} reported as in force, but a host acts on an older one: {host:?}"
+            )),
             None => Ok(()),
         }
     }
@@ -301,7 +305,7 @@
     assert_eq!(fault, None);
     assert!(
         announced > 100,
-        "only {announced} settings were said to be in force"
+        "only {announced} settings were announced as in force"
     );
 }
 
