--- a/crates/control/tests/common/simulation.rs
+++ b/crates/control/tests/common/simulation.rs
@@ -43,7 +43,7 @@
     /// One second with ticks and heartbeats; some workers' heartbeats are lost or delayed, and
     /// paused workers send none.
     Second { lost: u8, late: u8, paused: u8 },
-    /// A delayed heartbeat arrives; if it is doubled, it stays in flight too.
+    /// A delayed heartbeat arrives; if it is duplicated, it also stays in flight.
     Late { which: usize, duplicated: bool },
     /// An entry host reports demand; with an old sequence number it is a delayed report.
     Demand { host: u64, model: usize, waiting: u32, running: u32, old: bool },
