--- a/crates/control/examples/scale.rs
+++ b/crates/control/examples/scale.rs
@@ -1,7 +1,7 @@
-//! Time and memory of the state and of the leader at several sizes, with slopes.
+//! Measures the time and memory of the state and the leader at several sizes, and their growth.
 //!
 //! `cargo run --release -p cornelhitch-control --example scale [LARGEST]`, where `LARGEST` is the
-//! largest number of workers, 7,900 unless it is given.
+//! largest number of workers, by default 7,900.
 
 #![allow(clippy::cast_precision_loss)]
 
@@ -20,16 +20,15 @@
 use cornelhitch_types::target::{Announcement, Heartbeat, Holding, Kind, Load, Stage};
 use cornelhitch_types::view::View;
 
-/// Models of the later size.
+/// The number of models at the later size.
 const MODELS: usize = 59;
 
-/// Adapters of the later size.
+/// The number of adapters at the later size.
 const ADAPTERS: usize = 1_700;
 
-/// Claims that are kept while the snapshot is measured.
+/// The number of claims kept while the snapshot is measured.
 const CLAIMS: usize = 10_000;
 
-/// One gibibyte.
 const GIB: u64 = 1 << 30;
 
 /// A planner that decides nothing, so that only the leader is measured.
@@ -45,27 +44,27 @@
     }
 }
 
-/// What one size costs.
+/// The costs measured at one size.
 struct Cost {
     hosts: usize,
     workers: usize,
-    /// Mean time of a heartbeat that changes the load only.
+    /// Mean time to handle a heartbeat that changes only the load.
     heartbeat: Duration,
-    /// Mean time of a tick, of which some publish and plan.
+    /// Mean time to handle a tick, some of which publish and plan.
     tick: Duration,
-    /// Mean time of a report of demand.
+    /// Mean time to handle a demand report.
     report: Duration,
-    /// Mean time of a renewal of a lease.
+    /// Mean time to handle a lease renewal.
     renewal: Duration,
-    /// Bytes published to each entry host, a second.
+    /// Bytes published to each entry host per second.
     published: usize,
-    /// Bytes of the whole view.
+    /// Size of the full view, in bytes.
     whole: usize,
-    /// Bytes of a snapshot.
+    /// Size of a snapshot, in bytes.
     snapshot: usize,
-    /// Time of a snapshot and its digest.
+    /// Time to encode a snapshot and its digest.
     digest: Duration,
-    /// Time of a restore.
+    /// Time to restore a snapshot.
     restore: Duration,
     /// Memory of the process, in bytes.
     memory: usize,
@@ -89,15 +88,15 @@
             time: self.now,
         };
         let reply = self.state.apply(&entry, command.clone());
-        let told = reply.clone();
-        self.give(Input::Applied {
+        let applied = reply.clone();
+        self.handle(Input::Applied {
             command,
-            reply: told,
+            reply: applied,
         });
         reply
     }
 
-    fn give(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         for output in self.leader.handle(input, &self.state, self.now) {
             match output {
                 Output::Propose(command) => {
@@ -116,7 +115,7 @@
     let largest = std::env::args().nth(1).and_then(|it| it.parse().ok());
     let largest: usize = largest.unwrap_or(7_900);
     let mut costs = Vec::new();
-    // Benches are kept, so that the memory of a later one is not taken out of an earlier one's.
+    // Earlier benches are kept, so that a later one cannot reuse their memory.
     let mut kept = Vec::new();
     println!(
         "{:>6} {:>8} {:>12} {:>10} {:>10} {:>10} {:>14} {:>10} {:>10} {:>10} {:>10} {:>10}",
@@ -143,7 +142,7 @@
     slopes(&costs);
 }
 
-/// A figure of a cost.
+/// Extracts a figure from the costs.
 type Figure = fn(&Cost) -> f64;
 
 /// Measures one size.
@@ -193,9 +192,9 @@
     cost
 }
 
-/// Settings, targets, one replica a worker, entry hosts and claims.
+/// Creates settings, targets, one replica for each worker, entry hosts and claims.
 fn fill(bench: &mut Bench, hosts: usize, workers: usize) {
-    bench.give(Input::Elected { term: 1 });
+    bench.handle(Input::Elected { term: 1 });
     let text = settings();
     bench.commit(Command::Apply(Apply {
         operator: "ann".into(),
@@ -204,7 +203,7 @@
         text: text.into(),
     }));
     for worker in 0..workers {
-        bench.give(Input::Announcement(announcement(worker)));
+        bench.handle(Input::Announcement(announcement(worker)));
         bench.commit(Command::Decide(Decide {
             model: model(worker).into(),
             version: None,
@@ -216,11 +215,11 @@
         }));
     }
     for worker in 0..workers {
-        bench.give(Input::Heartbeat(heartbeat(worker, 1)));
+        bench.handle(Input::Heartbeat(heartbeat(worker, 1)));
     }
     for host in 0..hosts {
-        bench.give(Input::Renewal(host_of(host)));
-        bench.give(Input::Report(report(host, 1)));
+        bench.handle(Input::Renewal(host_of(host)));
+        bench.handle(Input::Report(report(host, 1)));
     }
     for claim in 0..CLAIMS {
         bench.commit(Command::Claim(Claim {
@@ -242,38 +241,38 @@
         }));
     }
     bench.now += Duration::from_secs(2);
-    bench.give(Input::Tick);
+    bench.handle(Input::Tick);
 }
 
-/// One second: each worker beats, each host reports and renews, ten ticks.
+/// Runs one second: a heartbeat of each worker, a report and a renewal of each host, ten ticks.
 fn run(bench: &mut Bench, hosts: usize, workers: usize, second: u64, spent: &mut [Duration; 4]) {
-    let beats: Vec<Heartbeat> = (0..workers).map(|it| heartbeat(it, second + 1)).collect();
+    let heartbeats: Vec<Heartbeat> = (0..workers).map(|it| heartbeat(it, second + 1)).collect();
     let reports: Vec<Report> = (0..hosts).map(|it| report(it, second + 1)).collect();
     let renewals: Vec<entry::Host> = (0..hosts).map(host_of).collect();
     let started = Instant::now();
-    for beat in beats {
-        bench.give(Input::Heartbeat(beat));
+    for heartbeat in heartbeats {
+        bench.handle(Input::Heartbeat(heartbeat));
     }
     spent[0] += started.elapsed();
     let started = Instant::now();
     for report in reports {
-        bench.give(Input::Report(report));
+        bench.handle(Input::Report(report));
     }
     spent[2] += started.elapsed();
     let started = Instant::now();
     for renewal in renewals {
-        bench.give(Input::Renewal(renewal));
+        bench.handle(Input::Renewal(renewal));
     }
     spent[3] += started.elapsed();
     let started = Instant::now();
     for _ in 0..10 {
         bench.now += Duration::from_millis(100);
-        bench.give(Input::Tick);
+        bench.handle(Input::Tick);
     }
     spent[1] += started.elapsed();
 }
 
-/// Bytes of a view on the wire.
+/// Returns the encoded size of a view, in bytes.
 fn length(view: &View) -> usize {
     postcard::to_stdvec(view).map_or(0, |bytes| bytes.len())
 }
@@ -296,7 +295,7 @@
     );
 }
 
-/// Least squares over the number of workers.
+/// Prints least-squares fits over the number of workers.
 fn slopes(costs: &[Cost]) {
     let ns = |time: Duration| time.as_secs_f64() * 1e9;
     let rows: [(&str, Figure); 7] = [
@@ -321,9 +320,9 @@
         println!("{what}: {slope:.1} a worker, from {start:.0}");
     }
     if let Some(cost) = costs.last() {
-        let beats = ns(cost.heartbeat) * cost.workers as f64;
+        let heartbeats = ns(cost.heartbeat) * cost.workers as f64;
         let reports = ns(cost.report + cost.renewal) * cost.hosts as f64;
-        let share = (beats + reports + ns(cost.tick) * 10.0) / 1e9;
+        let share = (heartbeats + reports + ns(cost.tick) * 10.0) / 1e9;
         println!(
             "leader at the largest size: {:.1}% of a core",
             share * 100.0
@@ -331,7 +330,7 @@
     }
 }
 
-/// Slope and start of the line through points.
+/// Returns the slope and intercept of the least-squares line through the points.
 fn line(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
     let x = points.iter().map(|it| it.0).sum::<f64>() / count;
@@ -342,7 +341,7 @@
     (slope, y - slope * x)
 }
 
-/// Settings with every model and adapter.
+/// Builds settings with every model and adapter.
 fn settings() -> String {
     let each = ADAPTERS / MODELS;
     let mut text = String::from("placing: { replicas: 100000 }\nmodels:\n");
@@ -453,7 +452,7 @@
     }
 }
 
-/// Memory of this process, in bytes; 0 where the system does not tell.
+/// Returns the memory of this process, in bytes; 0 where the system does not report it.
 fn resident() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|it| it.parse().ok());
--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -1,9 +1,9 @@
-//! Claims on requests that may not be repeated.
+//! Claims on requests that must not be repeated.
 //!
-//! An entry host claims `(caller, key)` before the first byte leaves, and
-//! records the outcome afterwards. Within the retention time a key is granted
-//! once: whatever is dropped for its size leaves a tombstone, and when those
-//! are full too, new claims are refused as not run.
+//! An entry host claims `(caller, key)` before it sends the first byte, and records the outcome
+//! afterwards. Within the retention time a key is granted once: a record dropped to save space
+//! leaves a tombstone, and when the tombstones are full too, new claims are refused and their
+//! requests are not run.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -11,30 +11,30 @@
 use cornelhitch_types::id::{HostId, Incarnation, Time};
 use serde::{Deserialize, Serialize, Serializer};
 
-pub use crate::claim::{Answer, Claim, Finish, Holder, Key, NAME, Refusal};
+pub use crate::claim::{Answer, Claim, Finish, Holder, Key, MAX_KEY_BYTES, Refusal};
 use crate::mutation::{self, Mutation};
-pub use crate::outcome::{BODY, CONTENT, Outcome};
+pub use crate::outcome::{BODY, MAX_CONTENT_TYPE_BYTES, Outcome};
 use crate::tombstones::Tombstones;
 
-/// What the table may hold before the oldest outcomes shrink.
+/// The size limits of the claims table; beyond them the oldest outcomes lose data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of all kept bodies.
+    /// The total size of kept bodies, in bytes.
     pub bodies: usize,
-    /// Claims with their outcome.
+    /// The number of claims with a record.
     pub records: usize,
-    /// Claims of which only a digest is left.
+    /// The number of claims of which only a digest is left.
     pub tombstones: usize,
 }
 
-/// The limits of every member; they decide replies, so they may not differ within a cluster.
+/// The limits on every control host. They affect replies, so they must not differ within a cluster.
 pub const LIMITS: Limits = Limits {
     bodies: 8 << 20,
     records: 20_000,
     tombstones: 200_000,
 };
 
-/// A claim.
+/// A claim and its outcome; `None` while in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Record {
     digest: [u8; 32],
@@ -43,7 +43,7 @@
     outcome: Option<Outcome>,
 }
 
-/// When a claim ended.
+/// The end of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct End {
     time: Time,
@@ -55,19 +55,19 @@
 #[serde(from = "Image")]
 pub struct Claims {
     records: BTreeMap<Key, Record>,
-    /// Ended claims with a record, oldest first.
+    /// Ended claims that still have a record, oldest first.
     ended: VecDeque<End>,
-    /// How many of `ended` have lost their body, from the front.
+    /// The number of entries at the front of `ended` that have lost their body.
     bare: usize,
     tombstones: Tombstones,
     watermark: Time,
-    /// Follows from `records`.
+    /// Derived from `records`.
     bodies: usize,
-    /// Follows from `records`.
+    /// Derived from `records`.
     running: BTreeMap<Holder, BTreeSet<Key>>,
 }
 
-/// Claims as a snapshot holds them.
+/// Claims as decoded from a snapshot.
 #[derive(Debug, Deserialize)]
 struct Image {
     records: BTreeMap<Key, Record>,
@@ -77,9 +77,9 @@
     watermark: Time,
 }
 
-/// What a snapshot is written from, in the shape of [`Image`].
+/// Claims as encoded into a snapshot, with the layout of [`Image`].
 #[derive(Serialize)]
-struct Borrowed<'a> {
+struct ImageRef<'a> {
     records: &'a BTreeMap<Key, Record>,
     ended: &'a VecDeque<End>,
     bare: usize,
@@ -89,14 +89,14 @@
 
 impl Serialize for Claims {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let borrowed = Borrowed {
+        let image = ImageRef {
             records: &self.records,
             ended: &self.ended,
             bare: self.bare,
             tombstones: &self.tombstones,
             watermark: self.watermark,
         };
-        borrowed.serialize(serializer)
+        image.serialize(serializer)
     }
 }
 
@@ -111,8 +111,8 @@
         };
         for (key, record) in &image.records {
             match &record.outcome {
-                Some(outcome) => claims.bodies += outcome.size(),
-                None => claims.hold(record.holder, key),
+                Some(outcome) => claims.bodies += outcome.body_bytes(),
+                None => claims.add_running(record.holder, key),
             }
         }
         claims.records = image.records;
@@ -121,36 +121,36 @@
 }
 
 impl Claims {
-    /// How many claims have a record.
+    /// Returns the number of claims with a record.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no claim has a record.
+    /// Returns whether no claim has a record.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Claims of which only a digest is left.
+    /// Returns the number of claims of which only a digest is left.
     #[must_use]
     pub fn tombstones(&self) -> usize {
         self.tombstones.len()
     }
 
-    /// Requests first sent before this are answered as forgotten.
+    /// Returns the time before which first-sent requests are answered as forgotten.
     #[must_use]
     pub fn watermark(&self) -> Time {
         self.watermark
     }
 
-    /// The lives of entry hosts that hold claims in progress.
+    /// Returns the incarnations of entry hosts that hold claims in progress.
     pub fn holders(&self) -> impl Iterator<Item = Holder> {
         self.running.keys().copied()
     }
 
-    /// Grants a key that was not claimed, or says what became of it.
+    /// Grants a key that was not claimed before, or returns its outcome.
     pub(crate) fn claim(&mut self, claim: &Claim, limits: &Limits) -> Answer {
         if !claim.key.is_valid() {
             return Answer::Refused(Refusal::Malformed);
@@ -158,12 +158,12 @@
         if let Some(record) = self.records.get(&claim.key) {
             return record.answer(claim);
         }
-        let early = claim.issued.is_some_and(|issued| issued < self.watermark);
-        if early || self.tombstones.contains(&claim.key) {
+        let is_expired = claim.issued.is_some_and(|issued| issued < self.watermark);
+        if is_expired || self.tombstones.contains(&claim.key) {
             return Answer::Forgotten;
         }
-        let full = limits.records + limits.tombstones;
-        if self.records.len() + self.tombstones.len() >= full {
+        let capacity = limits.records + limits.tombstones;
+        if self.records.len() + self.tombstones.len() >= capacity {
             return Answer::Refused(Refusal::Full);
         }
         let record = Record {
@@ -173,8 +173,8 @@
             outcome: None,
         };
         self.records.insert(claim.key.clone(), record);
-        self.hold(claim.holder, &claim.key);
-        self.shrink(limits);
+        self.add_running(claim.holder, &claim.key);
+        self.enforce_limits(limits);
         Answer::Granted
     }
 
@@ -186,27 +186,27 @@
         if !record.is_held(finish.holder, finish.call) {
             return Answer::Refused(Refusal::Holder);
         }
-        let outcome = finish.outcome.bounded();
+        let outcome = finish.outcome.with_bounded_body();
         match &record.outcome {
             Some(Outcome::Unknown) => {
-                // It keeps its place among the ended ones, which may be past those that lost
+                // The claim keeps its position in `ended`, which may be among those that have lost
                 // their bodies, so only the short form is kept.
-                record.outcome = Some(outcome.short());
+                record.outcome = Some(outcome.without_body());
                 return Answer::Done;
             }
             Some(_) => return Answer::Refused(Refusal::Ended),
             None => {}
         }
-        self.bodies += outcome.size();
+        self.bodies += outcome.body_bytes();
         record.outcome = Some(outcome);
-        self.ended(finish.holder, finish.key, now);
-        self.shrink(limits);
+        self.end(finish.holder, finish.key, now);
+        self.enforce_limits(limits);
         Answer::Done
     }
 
     /// Frees a claim whose request was not sent.
     ///
-    /// The call is checked too: a late repeat of an earlier abandonment must
+    /// The call number is checked too: a delayed duplicate of an earlier call's abandonment must
     /// not free a later claim of the same holder.
     pub(crate) fn abandon(&mut self, key: &Key, holder: Holder, call: u64) -> Answer {
         let Some(record) = self.records.get(key) else {
@@ -219,11 +219,11 @@
             return Answer::Refused(Refusal::Ended);
         }
         self.records.remove(key);
-        self.drop_hold(holder, key);
+        self.remove_running(holder, key);
         Answer::Done
     }
 
-    /// Marks what the ended lives of a host held as unknown.
+    /// Marks the claims held by the ended incarnations of a host as unknown.
     pub(crate) fn host_ended(
         &mut self,
         host: HostId,
@@ -239,13 +239,13 @@
             host,
             incarnation: newest,
         };
-        let lives: Vec<Holder> = self
+        let ended_holders: Vec<Holder> = self
             .running
             .range(first..=last)
             .map(|(it, _)| *it)
             .collect();
-        for life in lives {
-            for key in self.running.remove(&life).unwrap_or_default() {
+        for holder in ended_holders {
+            for key in self.running.remove(&holder).unwrap_or_default() {
                 if mutation::is(Mutation::FreedClaims) {
                     self.records.remove(&key);
                     continue;
@@ -256,11 +256,11 @@
                 self.ended.push_back(End { time: now, key });
             }
         }
-        self.shrink(limits);
+        self.enforce_limits(limits);
         Answer::Done
     }
 
-    /// Forgets what ended before the retention time.
+    /// Drops records and tombstones that ended before the retention time.
     pub(crate) fn expire(&mut self, retention: Duration, now: Time) {
         let watermark = now.saturating_sub(retention);
         if watermark <= self.watermark {
@@ -268,23 +268,23 @@
         }
         self.watermark = watermark;
         while self.ended.front().is_some_and(|end| end.time < watermark) {
-            self.forget();
+            self.drop_oldest();
         }
         self.tombstones.expire(watermark);
     }
 
-    /// Holds the limits: bodies go first, then records leave tombstones.
-    fn shrink(&mut self, limits: &Limits) {
+    /// Enforces the limits: the oldest bodies are dropped first, then records become tombstones.
+    fn enforce_limits(&mut self, limits: &Limits) {
         while self.bodies > limits.bodies && self.bare < self.ended.len() {
             let record = self.records.get_mut(&self.ended[self.bare].key);
             self.bare += 1;
             if let Some(outcome) = record.and_then(|record| record.outcome.as_mut()) {
-                self.bodies -= outcome.size();
-                *outcome = outcome.short();
+                self.bodies -= outcome.body_bytes();
+                *outcome = outcome.without_body();
             }
         }
         while self.records.len() > limits.records {
-            let Some(end) = self.forget() else {
+            let Some(end) = self.drop_oldest() else {
                 return;
             };
             self.tombstones.insert(&end.key, end.time);
@@ -292,28 +292,28 @@
     }
 
     /// Drops the record that ended first.
-    fn forget(&mut self) -> Option<End> {
+    fn drop_oldest(&mut self) -> Option<End> {
         let end = self.ended.pop_front()?;
         self.bare = self.bare.saturating_sub(1);
         let record = self.records.remove(&end.key);
         let outcome = record.and_then(|record| record.outcome);
-        self.bodies -= outcome.map_or(0, |outcome| outcome.size());
+        self.bodies -= outcome.map_or(0, |outcome| outcome.body_bytes());
         Some(end)
     }
 
-    /// Notes that a claim is no longer in progress.
-    fn ended(&mut self, holder: Holder, key: Key, now: Time) {
-        self.drop_hold(holder, &key);
+    /// Records that a claim is no longer in progress.
+    fn end(&mut self, holder: Holder, key: Key, now: Time) {
+        self.remove_running(holder, &key);
         self.ended.push_back(End { time: now, key });
     }
 
-    /// Notes that a holder has a claim in progress.
-    fn hold(&mut self, holder: Holder, key: &Key) {
+    /// Records that a holder has a claim in progress.
+    fn add_running(&mut self, holder: Holder, key: &Key) {
         self.running.entry(holder).or_default().insert(key.clone());
     }
 
-    /// Notes that a holder no longer has a claim in progress.
-    fn drop_hold(&mut self, holder: Holder, key: &Key) {
+    /// Records that a holder no longer has a claim in progress.
+    fn remove_running(&mut self, holder: Holder, key: &Key) {
         if let Some(keys) = self.running.get_mut(&holder) {
             keys.remove(key);
             if keys.is_empty() {
@@ -324,12 +324,12 @@
 }
 
 impl Record {
-    /// Whether a holder claimed it under this number.
+    /// Returns whether a holder claimed it under this call number.
     fn is_held(&self, holder: Holder, call: u64) -> bool {
         self.holder == holder && self.call == call
     }
 
-    /// What a resend is told; the holder's own repeat is granted again.
+    /// Returns the answer to a resend; the holder's own repeat is granted again.
     fn answer(&self, claim: &Claim) -> Answer {
         if self.digest != claim.digest {
             return Answer::Mismatch;
--- a/crates/control/src/claims/tests.rs
+++ b/crates/control/src/claims/tests.rs
@@ -1,4 +1,4 @@
-//! Claims under random resends, host deaths, small limits and restarts.
+//! Claims under random resends, host failures, small limits and restarts.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
 
 use super::*;
 
-/// Schedules that are run.
+/// The number of schedules.
 const CASES: u32 = 1_000;
 
 /// How long outcomes are kept.
 const RETENTION: Duration = Duration::from_secs(100);
 
-/// Small enough that schedules reach them.
+/// Limits small enough for schedules to reach.
 const SMALL: Limits = Limits {
     bodies: 60,
     records: 4,
@@ -55,7 +55,7 @@
     ]
 }
 
-/// The only life of an entry host.
+/// Returns the only incarnation of an entry host.
 fn holder(host: HostId) -> Holder {
     Holder {
         host,
@@ -63,7 +63,7 @@
     }
 }
 
-/// What a key was last granted for.
+/// The last grant of a key.
 #[derive(Debug, Clone)]
 struct Grant {
     holder: Holder,
@@ -113,7 +113,9 @@
                     let grant = self.grants.remove(&key);
                     let held = grant.is_some_and(|it| it.holder == holder && it.ended.is_none());
                     let held = held && !late;
-                    return held.then_some(()).ok_or("another's claim was freed".into());
+                    return held
+                        .then_some(())
+                        .ok_or("freed a claim of another holder or call".into());
                 }
             }
             Step::HostEnded { host } => {
@@ -131,7 +133,7 @@
         self.bounds()
     }
 
-    /// Who asks, under a new number or the one that was granted.
+    /// Returns the holder and call number of a claim, either new or those of the last grant.
     fn caller(&mut self, key: u8, host: u64, repeated: bool) -> (Holder, u64) {
         let grant = self.grants.get(&key).filter(|_| repeated);
         let holder = holder(grant.map_or(host, |it| it.holder.host));
@@ -170,7 +172,7 @@
             }
             (Answer::Recorded(outcome), Some(old)) => {
                 let first = old.outcome.as_ref();
-                let kept = first.is_some_and(|it| outcome == it || *outcome == it.short());
+                let kept = first.is_some_and(|it| outcome == it || *outcome == it.without_body());
                 kept && old.digest == digest
             }
             (Answer::Mismatch, Some(old)) => old.digest != digest,
@@ -179,7 +181,7 @@
             _ => false,
         };
         if !right {
-            return Err(format!("{claim:?} got {answer:?}, before {old:?}"));
+            return Err(format!("{claim:?} got {answer:?}, last grant {old:?}"));
         }
         self.forgotten += usize::from(answer == Answer::Forgotten);
         if answer == Answer::Granted {
@@ -228,23 +230,25 @@
         let same = restored == self.claims;
         self.claims = restored;
         same.then_some(())
-            .ok_or("a restart gives other claims".into())
+            .ok_or("claims differ after a restart".into())
     }
 
     fn bounds(&self) -> Result<(), String> {
         let claims = &self.claims;
         let running: usize = claims.running.values().map(BTreeSet::len).sum();
         let sizes = claims.records.values().filter_map(|it| it.outcome.as_ref());
-        let bodies: usize = sizes.map(Outcome::size).sum();
+        let bodies: usize = sizes.map(Outcome::body_bytes).sum();
         let holds = bodies == claims.bodies
             && bodies <= SMALL.bodies
             && claims.len() <= SMALL.records.max(running)
             && claims.len() + claims.tombstones() <= SMALL.records + SMALL.tombstones;
-        holds.then_some(()).ok_or(format!("bounds: {claims:?}"))
+        holds
+            .then_some(())
+            .ok_or(format!("limits exceeded or sizes miscounted: {claims:?}"))
     }
 }
 
-/// The first fault within some schedules, and what was granted and forgotten.
+/// Returns the first fault found in the schedules, and how many claims were granted and forgotten.
 fn search() -> (Option<String>, usize, usize) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -1,4 +1,4 @@
-//! The soft state of the host that leads.
+//! The leader: the soft state of the control host that leads.
 
 use std::fmt;
 
@@ -6,18 +6,18 @@
 use cornelhitch_types::id::{Term, Time, Version};
 use cornelhitch_types::view::View;
 
+use crate::context::Context;
 use crate::dump::Dump;
 use crate::input::Input;
 use crate::output::Output;
-use crate::reign::Reign;
 use crate::state::State;
+use crate::term_state::TermState;
 use crate::timing::Timing;
-use crate::turn::Turn;
 
-/// What the leader of the replicated log does besides applying it.
+/// The leader of the replicated log, apart from consensus itself.
 ///
-/// It is sans-I/O: [`Leader::handle`] takes one [`Input`] and returns
-/// [`Output`]s. On a host that does not lead it does nothing.
+/// Sans-I/O: [`Leader::handle`] consumes one [`Input`] and returns [`Output`]s. On a host that does
+/// not lead it does nothing.
 ///
 /// ```
 /// use cornelhitch_control::prelude::*;
@@ -45,90 +45,94 @@
 pub struct Leader {
     timing: Timing,
     planner: Box<dyn Planner>,
-    reign: Option<Reign>,
+    term_state: Option<TermState>,
 }
 
 impl fmt::Debug for Leader {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut debug = f.debug_struct("Leader");
         debug.field("timing", &self.timing);
-        debug.field("reign", &self.reign).finish_non_exhaustive()
+        debug
+            .field("reign", &self.term_state)
+            .finish_non_exhaustive()
     }
 }
 
 impl Leader {
-    /// A host that does not lead yet.
+    /// Creates a host that does not lead yet, with the default timing.
     #[must_use]
     pub fn new(planner: Box<dyn Planner>) -> Self {
         Self::with_timing(planner, Timing::default())
     }
 
-    /// A host that does not lead yet, with other lengths of time.
+    /// Creates a host that does not lead yet.
     #[must_use]
     pub fn with_timing(planner: Box<dyn Planner>, timing: Timing) -> Self {
         Self {
             timing,
             planner,
-            reign: None,
+            term_state: None,
         }
     }
 
-    /// The term in which this host leads.
+    /// Returns the term in which this host leads; `None` when it does not lead.
     #[must_use]
     pub fn term(&self) -> Option<Term> {
-        self.reign.as_ref().map(|reign| reign.term)
+        self.term_state.as_ref().map(|term_state| term_state.term)
     }
 
-    /// Takes one event.
+    /// Handles one input and returns the actions to carry out.
     ///
-    /// `state` holds every committed entry that this host knows of, and `now`
-    /// is the clock that stamps the entries which this host proposes: time
-    /// since the Unix epoch that never goes back while the process runs.
+    /// `state` holds every committed entry that this host knows of. `now` is the clock that stamps
+    /// the entries which this host proposes: time since the Unix epoch, which must not go back
+    /// while the process runs.
     pub fn handle(&mut self, input: Input, state: &State, now: Time) -> Vec<Output> {
-        let mut turn = Turn {
+        let mut ctx = Context {
             state,
             now,
             timing: &self.timing,
             out: Vec::new(),
         };
         match input {
-            Input::Elected { term } => self.reign = Some(Reign::new(term, &turn)),
-            Input::Deposed => self.reign = None,
+            Input::Elected { term } => self.term_state = Some(TermState::new(term, &ctx)),
+            Input::Deposed => self.term_state = None,
             input => {
-                if let Some(reign) = &mut self.reign {
-                    reign.handle(input, self.planner.as_mut(), &mut turn);
+                if let Some(term_state) = &mut self.term_state {
+                    term_state.handle(input, self.planner.as_mut(), &mut ctx);
                 }
             }
         }
-        turn.out
+        ctx.out
     }
 
-    /// The newest place of the published view; 0 when this host does not lead.
+    /// Returns the sequence number of the newest published view; 0 when this host does not lead.
     #[must_use]
     pub fn sequence(&self) -> u64 {
-        self.reign.as_ref().map_or(0, |reign| reign.feed.sequence())
+        self.term_state
+            .as_ref()
+            .map_or(0, |term_state| term_state.feed.sequence())
     }
 
-    /// Whether no entry host acts on settings older than a version.
+    /// Returns whether no entry host can still act on settings older than `version`.
     #[must_use]
     pub fn in_force(&self, version: Version, now: Time) -> bool {
-        let reign = self.reign.as_ref();
-        reign.is_some_and(|reign| reign.leases.in_force(version, now))
+        let term_state = self.term_state.as_ref();
+        term_state.is_some_and(|term_state| term_state.leases.in_force(version, now))
     }
 
-    /// The whole view as it stands, for operators; empty when this host does not lead.
+    /// Returns the full view, for operators; empty when this host does not lead.
     #[must_use]
     pub fn view(&self, state: &State, now: Time) -> View {
-        let reign = self.reign.as_ref();
+        let term_state = self.term_state.as_ref();
         View {
             term: self.term().unwrap_or_default(),
             from: 0,
             to: 0,
-            changes: reign.map_or_else(Vec::new, |reign| reign.scene(state, now).whole()),
+            changes: term_state.map_or_else(Vec::new, |it| it.view_builder(state, now).full_view()),
         }
     }
 
-    /// The soft state, for operators; none when this host does not lead.
+    /// Returns the soft state, for operators; `None` when this host does not lead.
     ///
     /// ```
     /// # use cornelhitch_control::prelude::*;
@@ -143,11 +147,11 @@
     /// ```
     #[must_use]
     pub fn dump(&self, state: &State, now: Time) -> Option<Dump> {
-        let reign = self.reign.as_ref();
-        reign.map(|reign| Dump::new(reign, state, now))
+        let term_state = self.term_state.as_ref();
+        term_state.map(|term_state| Dump::new(term_state, state, now))
     }
 
-    /// Why a model is where it is, one line a step, for operators.
+    /// Explains the placement of a model to operators, one line for each step.
     #[must_use]
     pub fn explain(&self, model: &str, now: Time) -> Vec<String> {
         self.planner.explain(model, now)
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -1,76 +1,76 @@
-//! Entry hosts and their leases on the settings.
+//! Entry hosts and their leases on versions of the settings.
 
 use std::collections::BTreeMap;
 
 use cornelhitch_types::entry;
 use cornelhitch_types::id::{HostId, Time, Version};
 
+use crate::context::Context;
 use crate::mutation::{self, Mutation};
 use crate::output::Output;
-use crate::turn::Turn;
 
 /// An entry host and its leases.
 #[derive(Debug, Clone)]
 pub(crate) struct Lease {
-    /// What the host said last.
+    /// The newest renewal of the host.
     pub(crate) host: entry::Host,
-    /// When it said so.
-    pub(crate) heard: Time,
-    /// Settings that it may act on, and until when.
+    /// When the renewal arrived.
+    pub(crate) last_heard: Time,
+    /// Versions of the settings that it may act on, and until when.
     grants: BTreeMap<Version, Time>,
-    /// Whether all of them have run out and that was noted.
-    lapsed: bool,
+    /// Whether the expiry of all of them was already reported.
+    expired: bool,
 }
 
 impl Lease {
-    /// Whether the host may take requests.
+    /// Returns whether the host may take requests.
     pub(crate) fn is_valid(&self, now: Time) -> bool {
         self.grants.values().any(|until| now <= *until)
     }
 
-    /// Whether the host may act on settings older than a version.
+    /// Returns whether the host may act on settings older than a version.
     fn is_behind(&self, version: Version, now: Time) -> bool {
         let older = self.grants.range(..version);
         older.into_iter().any(|(_, until)| now <= *until)
     }
 }
 
-/// All entry hosts that this leader has heard of.
+/// All entry hosts that this leader has heard from.
 #[derive(Debug)]
 pub(crate) struct Leases {
-    /// When leases that an earlier leader gave have run out.
+    /// When the leases granted by earlier leaders have expired.
     inherited: Time,
     hosts: BTreeMap<HostId, Lease>,
     announced: Version,
 }
 
 impl Leases {
-    /// The leases at the start of a term.
-    pub(crate) fn new(turn: &Turn) -> Self {
+    /// Creates the leases at the start of a term.
+    pub(crate) fn new(ctx: &Context) -> Self {
         Self {
-            inherited: turn.now + turn.timing.guarded_lease(),
+            inherited: ctx.now + ctx.timing.guarded_lease(),
             hosts: BTreeMap::new(),
             announced: 0,
         }
     }
 
-    /// An entry host.
+    /// Returns an entry host.
     pub(crate) fn get(&self, host: HostId) -> Option<&Lease> {
         self.hosts.get(&host)
     }
 
-    /// All entry hosts.
+    /// Returns all entry hosts.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Lease> {
         self.hosts.values()
     }
 
-    /// Gives a host a lease on the settings in force; says whether the view changes.
+    /// Grants a host a lease on the settings in force; returns whether the view changes.
     ///
-    /// A host that acts on older settings has to fetch these first; its lease on
-    /// the older ones is not made longer. A lease counts from here on, since the
-    /// host may fetch the settings whenever it hears of them.
-    pub(crate) fn renew(&mut self, host: entry::Host, turn: &mut Turn) -> bool {
-        let version = turn.state.catalogue().version();
+    /// A host that acts on older settings has to fetch the newer ones first; its lease on the older
+    /// ones is not extended. The leader counts the lease on the newer ones from now on, since the
+    /// host may fetch them as soon as it hears of them.
+    pub(crate) fn renew(&mut self, host: entry::Host, ctx: &mut Context) -> bool {
+        let version = ctx.state.catalogue().version();
         let old = self.hosts.remove(&host.host);
         if let Some(newer) = old
             .as_ref()
@@ -81,22 +81,22 @@
         }
         let changed = old
             .as_ref()
-            .is_none_or(|old| old.host != host || !old.is_valid(turn.now));
+            .is_none_or(|old| old.host != host || !old.is_valid(ctx.now));
         let same = old.filter(|old| old.host.incarnation == host.incarnation);
         let mut grants = same.map(|old| old.grants).unwrap_or_default();
         grants.retain(|granted, _| *granted >= host.settings);
         if version > 0 {
-            grants.insert(version, turn.now + turn.timing.guarded_lease());
+            grants.insert(version, ctx.now + ctx.timing.guarded_lease());
         }
-        turn.out.push(Output::Lease {
+        ctx.out.push(Output::Lease {
             host: host.host,
             incarnation: host.incarnation,
-            length: turn.timing.lease,
+            length: ctx.timing.lease_length,
             version,
         });
         let lease = Lease {
-            heard: turn.now,
-            lapsed: version == 0,
+            last_heard: ctx.now,
+            expired: version == 0,
             grants,
             host,
         };
@@ -104,19 +104,19 @@
         changed
     }
 
-    /// Hosts whose lease has run out since the last call.
-    pub(crate) fn lapsed(&mut self, now: Time) -> Vec<HostId> {
-        let mut lapsed = Vec::new();
+    /// Returns the hosts whose leases have expired since the last call.
+    pub(crate) fn expired(&mut self, now: Time) -> Vec<HostId> {
+        let mut expired = Vec::new();
         for (host, lease) in &mut self.hosts {
-            if !lease.lapsed && !lease.is_valid(now) {
-                lease.lapsed = true;
-                lapsed.push(*host);
+            if !lease.expired && !lease.is_valid(now) {
+                lease.expired = true;
+                expired.push(*host);
             }
         }
-        lapsed
+        expired
     }
 
-    /// Whether no entry host acts on settings older than a version.
+    /// Returns whether no entry host can still act on settings older than a version.
     pub(crate) fn in_force(&self, version: Version, now: Time) -> bool {
         let early = mutation::is(Mutation::EarlyInForce);
         let current = |lease: &Lease| early || !lease.is_behind(version, now);
@@ -124,8 +124,8 @@
         !inherited && self.hosts.values().all(current)
     }
 
-    /// The oldest settings that some host may act on: [`Version::MAX`] when no host has a lease,
-    /// and none while leases of an earlier leader may run.
+    /// Returns the oldest settings that some host may act on: [`Version::MAX`] if no host has a
+    /// lease, `None` while leases of an earlier leader may still be valid.
     pub(crate) fn oldest(&self, now: Time) -> Option<Version> {
         let grants = self.hosts.values().flat_map(|lease| &lease.grants);
         let valid = grants.filter(|(_, until)| now <= **until);
@@ -133,19 +133,19 @@
         (now > self.inherited).then_some(oldest.unwrap_or(Version::MAX))
     }
 
-    /// Says once that the settings are in force.
-    pub(crate) fn announce(&mut self, turn: &mut Turn) {
-        let version = turn.state.catalogue().version();
-        if version > self.announced && self.in_force(version, turn.now) {
+    /// Reports once that the settings are in force.
+    pub(crate) fn announce(&mut self, ctx: &mut Context) {
+        let version = ctx.state.catalogue().version();
+        if version > self.announced && self.in_force(version, ctx.now) {
             self.announced = version;
-            turn.out.push(Output::InForce { version });
+            ctx.out.push(Output::InForce { version });
         }
     }
 
-    /// Drops hosts that have been silent for long, and returns them.
-    pub(crate) fn expire(&mut self, turn: &Turn) -> Vec<Lease> {
+    /// Removes hosts that have been silent for long, and returns them.
+    pub(crate) fn remove_silent(&mut self, ctx: &Context) -> Vec<Lease> {
         let silent =
-            |lease: &Lease| !lease.is_valid(turn.now) && lease.heard + turn.timing.host < turn.now;
+            |it: &Lease| !it.is_valid(ctx.now) && it.last_heard + ctx.timing.host_timeout < ctx.now;
         let ids: Vec<HostId> = self
             .hosts
             .iter()
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,10 +1,9 @@
-//! The replicated state machine and what its leader does.
+//! The replicated control state machine and the soft state of its leader.
 //!
-//! Two aggregates, both sans-I/O. [`state::State`] is what every control host
-//! agrees on: it takes committed [`command::Command`]s and is deterministic.
-//! [`leader::Leader`] is the soft state of the host that leads: it takes
-//! heartbeats, reports and the replies of applied commands, and returns
-//! commands to propose, orders to send and views to publish.
+//! Both parts are sans-I/O. [`state::State`] is the deterministic state that every control host
+//! replicates by applying committed [`command::Command`]s. [`leader::Leader`] is the soft state of
+//! the host that leads: it consumes heartbeats, demand reports and the replies of applied commands,
+//! and returns commands to propose, orders to send and views to publish.
 //!
 //! ```
 //! use cornelhitch_control::prelude::*;
@@ -26,37 +25,37 @@
 //! # Ok::<(), cornelhitch_control::error::Error>(())
 //! ```
 
-mod beats;
 pub mod catalogue;
 mod claim;
 pub mod claims;
 pub mod command;
+mod context;
+mod demand;
 pub mod document;
 pub mod dump;
 pub mod error;
 mod feed;
 pub mod fleet;
+mod heartbeats;
 mod hosting;
 pub mod input;
 pub mod leader;
 mod leases;
-mod levels;
 pub mod mutation;
 mod orders;
 mod outcome;
 pub mod output;
 mod pending;
 mod plan;
+mod planner_input;
 pub mod prelude;
-mod reign;
+mod replica_orders;
 pub mod replicas;
 mod rules;
-mod scene;
-mod sketch;
 pub mod state;
 pub mod strikes;
+mod term_state;
 pub mod timing;
 mod tombstones;
-mod tracks;
-mod turn;
+mod view_builder;
 mod workers;
--- a/crates/control/src/scene.rs
+++ b/crates/control/src/view_builder.rs
@@ -1,4 +1,4 @@
-//! The fleet as entry hosts see it, built from committed and soft state.
+//! Builds the view for entry hosts from replicated and soft state.
 
 use cornelhitch_settings::fleet::Loading;
 use cornelhitch_types::id::{ReplicaId, Time};
@@ -7,38 +7,37 @@
 
 use crate::hosting::Hosting;
 use crate::leases::{Lease, Leases};
+use crate::replica_orders::OrdersByReplica;
 use crate::replicas::Replica;
 use crate::state::State;
 use crate::strikes::Count;
-use crate::tracks::Tracks;
 use crate::workers::Workers;
 
-/// One gibibyte.
-const GIB: u64 = 1 << 30;
+const BYTES_PER_GIB: u64 = 1 << 30;
 
-/// What a view is built from.
-pub(crate) struct Scene<'a> {
+/// The inputs of a view.
+pub(crate) struct ViewBuilder<'a> {
     /// The replicated state.
     pub(crate) state: &'a State,
-    /// What is heard of targets.
+    /// What was heard from targets.
     pub(crate) workers: &'a Workers,
-    /// What is known of replicas' orders.
-    pub(crate) tracks: &'a Tracks,
-    /// The entry hosts.
+    /// The order state of replicas.
+    pub(crate) replica_orders: &'a OrdersByReplica,
+    /// The entry hosts and their leases.
     pub(crate) leases: &'a Leases,
-    /// What is known of workers that count their orders.
+    /// The state of workers that count their orders.
     pub(crate) hosting: &'a Hosting,
-    /// The time.
+    /// The time at which the view is built.
     pub(crate) now: Time,
 }
 
-impl Scene<'_> {
-    /// A target, if it is known.
+impl ViewBuilder<'_> {
+    /// Returns a target, if it is registered.
     pub(crate) fn target(&self, target: &str) -> Option<view::Target> {
         let known = self.state.fleet().get(target)?;
         let announcement = &known.announcement;
         let worker = self.workers.get(target);
-        let beat = worker.and_then(|worker| worker.beat.as_ref());
+        let last_heartbeat = worker.and_then(|worker| worker.last_heartbeat.as_ref());
         Some(view::Target {
             target: announcement.target.clone(),
             incarnation: announcement.incarnation,
@@ -50,67 +49,72 @@
             open: !known.silent
                 && !known.leaving
                 && worker.is_some_and(crate::workers::Worker::is_open),
-            load: beat.map(|beat| beat.load).unwrap_or_default(),
+            load: last_heartbeat
+                .map(|last_heartbeat| last_heartbeat.load)
+                .unwrap_or_default(),
             slots: announcement.slots,
         })
     }
 
-    /// A decided replica, if it stands.
+    /// Returns a decided replica, if it still holds a reservation.
     pub(crate) fn replica(&self, id: ReplicaId) -> Option<view::Replica> {
         let replica = self.state.replicas().get(id)?;
-        let track = self.tracks.get(&id);
-        let from = track.map_or(Stage::Remote, |track| track.from);
+        let orders = self.replica_orders.get(&id);
+        let from = orders.map_or(Stage::Remote, |orders| orders.from);
         Some(view::Replica {
             replica: id,
             model: replica.model.clone(),
             version: replica.version.clone(),
             target: replica.target.clone(),
             state: replica.state,
-            ready_in_ms: self.ready_in(replica, from),
-            adapters: track.map(|it| it.adapters.clone()).unwrap_or_default(),
+            ready_in_ms: self.remaining_load_ms(replica, from),
+            adapters: orders.map(|it| it.adapters.clone()).unwrap_or_default(),
         })
     }
 
-    /// How long until a replica is expected to be ready, in milliseconds.
-    fn ready_in(&self, replica: &Replica, from: Stage) -> u32 {
+    /// Returns the time until a replica is expected to be ready, in milliseconds.
+    fn remaining_load_ms(&self, replica: &Replica, from: Stage) -> u32 {
         if replica.state != view::State::Loading {
             return 0;
         }
-        let rate = rate(&self.state.catalogue().fleet().loading, from);
-        let length = replica.bytes.div_ceil(GIB).saturating_mul(rate);
+        let ms_per_gib = ms_per_gib(&self.state.catalogue().fleet().loading, from);
+        let length = replica
+            .bytes
+            .div_ceil(BYTES_PER_GIB)
+            .saturating_mul(ms_per_gib);
         let ready = replica.decided.saturating_add(Time::from_millis(length));
         let left = ready.saturating_sub(self.now).as_millis();
         u32::try_from(left).unwrap_or(u32::MAX)
     }
 
-    /// An entry host, if callers may be sent to it.
+    /// Returns the change that publishes an entry host, if its lease is valid.
     pub(crate) fn entry(&self, lease: &Lease) -> Option<Change> {
         lease
             .is_valid(self.now)
             .then(|| Change::Entry(lease.host.clone()))
     }
 
-    /// The settings, if there are any.
+    /// Returns the settings, if there are any.
     pub(crate) fn settings(&self) -> Option<Change> {
         let catalogue = self.state.catalogue();
         let version = catalogue.version();
         (version > 0).then(|| Change::Settings(version, catalogue.text().clone()))
     }
 
-    /// The table of routes, if there is one.
+    /// Returns the route table, if there is one.
     pub(crate) fn table(&self) -> Option<Change> {
         let table = self.state.document().table()?;
         Some(Change::Table(table.clone()))
     }
 
-    /// A struck fingerprint; one whose time is over counts 0.
+    /// Returns the change that publishes a strike count; expired strikes count 0.
     pub(crate) fn strike(&self, count: Count) -> Change {
         let over = count.forgotten <= self.now;
         Change::Strike(count.fingerprint, if over { 0 } else { count.lost })
     }
 
-    /// Everything.
-    pub(crate) fn whole(&self) -> Vec<Change> {
+    /// Returns the full view.
+    pub(crate) fn full_view(&self) -> Vec<Change> {
         let state = self.state;
         let targets = state.fleet().iter();
         let targets = targets.filter_map(|it| self.target(&it.announcement.target));
@@ -129,8 +133,8 @@
     }
 }
 
-/// Milliseconds of a load, a gibibyte.
-fn rate(loading: &Loading, from: Stage) -> u64 {
+/// Returns the load time from a storage tier, in milliseconds for each gibibyte.
+fn ms_per_gib(loading: &Loading, from: Stage) -> u64 {
     match from {
         Stage::Remote => loading.remote_ms_per_gib,
         Stage::Disk => loading.disk_ms_per_gib,
