--- a/crates/entry/examples/policy/main.rs
+++ b/crates/entry/examples/policy/main.rs
@@ -9,7 +9,9 @@
 
 use bench::{Bench, Setup};
 use cornelhitch_entry::config::{Config, Guard};
-use cornelhitch_entry::route::{Load, Locality, Part, Prefix, Random, TwoChoices};
+use cornelhitch_entry::route::{
+    CostTerm, LoadCost, LocalityCost, PrefixCost, RandomRouter, TwoChoiceRouter,
+};
 use figures::Figures;
 
 /// A part that can be left out.
@@ -34,17 +36,17 @@
 fn config(core: usize, regions: usize, left: Left) -> Config {
     let region = core % regions;
     let seed = core as u64 + 100;
-    let half = 0.1;
-    let mut parts: Vec<Box<dyn Part>> = Vec::new();
+    let half_life = 0.1;
+    let mut parts: Vec<Box<dyn CostTerm>> = Vec::new();
     if left != Left::Load {
-        parts.push(Box::new(Load { half }));
+        parts.push(Box::new(LoadCost { half_life }));
     }
     if left != Left::Prefix {
-        parts.push(Box::new(Prefix { block_ms: 4.0 }));
+        parts.push(Box::new(PrefixCost { block_ms: 4.0 }));
     }
     if left != Left::Locality {
         let ms_per_price = 1_000_000.0;
-        parts.push(Box::new(Locality { ms_per_price }));
+        parts.push(Box::new(LocalityCost { ms_per_price }));
     }
     let mut config = Config::new(core as u64)
         .place(format!("r{region}"), format!("z{region}"))
@@ -61,10 +63,12 @@
         config = config.without(guard);
     }
     if left == Left::All {
-        return config.router(Box::new(Random::new(seed)));
+        return config.router(Box::new(RandomRouter::new(seed)));
     }
     let choices = if left == Left::Drawing { usize::MAX } else { 2 };
-    config.router(Box::new(TwoChoices::new(seed, parts).draw(choices)))
+    config.router(Box::new(
+        TwoChoiceRouter::new(seed, parts).sample_size(choices),
+    ))
 }
 
 /// Nine entry hosts and six engines of 16 in one region: 240 answers a second at most.
--- a/crates/entry/src/action.rs
+++ b/crates/entry/src/action.rs
@@ -1,4 +1,4 @@
-//! What a core asks its owner to do.
+//! The actions that a core asks its owner to carry out.
 
 use std::net::SocketAddr;
 
@@ -10,162 +10,163 @@
 use crate::claim;
 use crate::event::{Attempt, CallId, Digest};
 
-/// Where an attempt goes.
+/// The target that an attempt is sent to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Destination {
-    /// The target.
+    /// The target's name.
     pub target: TargetId,
-    /// The life of the target.
+    /// The incarnation of the target.
     pub incarnation: Incarnation,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// The replica, for a model.
+    /// The replica, or `None` for a service.
     pub replica: Option<ReplicaId>,
 }
 
-/// What a core asks its owner to do.
+/// An action that a core asks its owner to carry out.
 ///
-/// Exactly one of `Refuse`, `StreamError`, `Replay` and `Finish` ends a request
-/// towards its caller, unless the caller left first.
+/// Exactly one of `Refuse`, `StreamError`, `Replay` and `Finish` ends a request towards its caller,
+/// unless the caller disconnected first.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// Ask control for the right to run a request with a key.
+    /// Ask control to commit a claim to run a request with an idempotency key.
     Claim {
-        /// The request.
+        /// The request that the claim is for.
         id: CallId,
-        /// Who asks.
+        /// The caller that sent the request.
         caller: CallerId,
-        /// The caller's key.
+        /// The caller's idempotency key.
         key: Name,
         /// Digest of the request.
         digest: Digest,
     },
-    /// Ask control to commit the outcome of a request with a key, until `Recorded` comes.
+    /// Ask control to commit the outcome of a request with a key, and repeat it until `Recorded`
+    /// arrives.
     Record {
-        /// The request.
+        /// The request with the outcome.
         id: CallId,
-        /// Who asked.
+        /// The caller that sent the request.
         caller: CallerId,
-        /// The caller's key.
+        /// The caller's idempotency key.
         key: Name,
-        /// What became of it; the owner adds the answer to `Answered`.
+        /// The outcome; the owner adds the response to `Answered`.
         outcome: claim::Outcome,
     },
     /// Connect to a target; write nothing before `Proceed`.
     Send {
-        /// The request.
+        /// The request to send.
         id: CallId,
-        /// The attempt.
+        /// The attempt's number.
         attempt: Attempt,
-        /// Where to.
+        /// The target to connect to.
         to: Destination,
-        /// Tokens that the caller has, where an answer is to be continued.
+        /// Number of tokens that the caller already has, if a partial response is to be resumed.
         resume: Option<u64>,
     },
-    /// The first byte may be written.
+    /// The first byte of the request may be written.
     Proceed {
-        /// The request.
+        /// The request to write.
         id: CallId,
-        /// The attempt.
+        /// The attempt's number.
         attempt: Attempt,
     },
-    /// The answer of this attempt may be passed to the caller.
+    /// The response of this attempt may be forwarded to the caller.
     Deliver {
-        /// The request.
+        /// The request that is being answered.
         id: CallId,
-        /// The attempt.
+        /// The attempt's number.
         attempt: Attempt,
     },
-    /// The answer is whole: end it towards the caller.
+    /// The response is complete: end it towards the caller.
     Finish {
-        /// The request.
+        /// The request that was answered.
         id: CallId,
-        /// The attempt.
+        /// The attempt's number.
         attempt: Attempt,
     },
-    /// Stop an attempt: cancel it at the engine and close its connection.
+    /// Cancel an attempt at the engine and close its connection.
     Cancel {
-        /// The request.
+        /// The request of the attempt.
         id: CallId,
-        /// The attempt.
+        /// The attempt's number.
         attempt: Attempt,
-        /// The target.
+        /// The target that the attempt was sent to.
         target: TargetId,
     },
-    /// Answer with a refusal, now.
+    /// Answer the request with a refusal.
     Refuse {
-        /// The request.
+        /// The request to refuse.
         id: CallId,
-        /// The refusal.
+        /// The refusal to send.
         refusal: Refusal,
     },
-    /// End an answer that had begun with an error that the caller can tell from its end.
+    /// End a response that has begun with an error that the caller can tell from a regular end.
     StreamError {
-        /// The request.
+        /// The request whose response is ended.
         id: CallId,
-        /// What to say.
+        /// The refusal to report in the error.
         refusal: Refusal,
     },
-    /// Answer with the recorded answer of the same request.
+    /// Answer with the response recorded for the same request.
     Replay {
-        /// The request.
+        /// The request to answer.
         id: CallId,
-        /// The recorded answer, in the owner's own form.
+        /// The recorded response, in the owner's own encoding.
         recorded: Bytes,
     },
-    /// Tell control that a target failed with this request in progress.
+    /// Tell control that a target failed with this request in flight.
     Strike {
         /// The request's fingerprint.
         fingerprint: u64,
-        /// The target.
+        /// The target that failed.
         target: TargetId,
-        /// The life of the target.
+        /// The incarnation of the target.
         incarnation: Incarnation,
     },
-    /// Tell control that a target cannot be reached from here.
+    /// Tell control that a target cannot be reached from this host.
     Suspect {
-        /// The target.
+        /// The unreachable target.
         target: TargetId,
-        /// The life of the target.
+        /// The incarnation of the target.
         incarnation: Incarnation,
     },
     /// Try to connect to an ejected target and report `Probed`.
     Probe {
-        /// The target.
+        /// The ejected target.
         target: TargetId,
-        /// Where to.
+        /// The address to connect to.
         address: SocketAddr,
     },
-    /// Ask control to let suspect requests to this target come from this host only.
+    /// Ask control to reserve a target for suspect requests from this host.
     Reserve {
-        /// The target.
+        /// The target to reserve.
         target: TargetId,
-        /// The life of the target.
+        /// The incarnation of the target.
         incarnation: Incarnation,
     },
-    /// Give the reservation back.
+    /// Release a reservation.
     Unreserve {
-        /// The target.
+        /// The reserved target.
         target: TargetId,
-        /// The life of the target.
+        /// The incarnation of the target.
         incarnation: Incarnation,
     },
-    /// Send a demand report now: a model without a replica is waited for.
+    /// Send a demand report now: a request waits for a model or adapter that is not ready anywhere.
     Report,
-    /// Ask control for the whole view: changes were lost.
+    /// Ask control for the complete view: changes were lost.
     RequestView {
-        /// The last sequence number that is known.
+        /// The last known sequence number.
         from: u64,
     },
-    /// The settings that control published were not taken.
+    /// The settings that control published cannot be used.
     BadSettings {
-        /// Their version.
+        /// The version of the settings.
         version: Version,
-        /// What is wrong with them.
+        /// The error found in them.
         error: String,
     },
     /// Close the listener: callers have had time to learn other addresses.
     CloseListener,
-    /// Everything has ended: the process may exit.
+    /// All requests have ended: the process may exit.
     Drained,
 }
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -1,4 +1,4 @@
-//! What happens to a request from its arrival until it waits.
+//! Admission: a request from its arrival until it is queued.
 
 use std::time::Duration;
 
@@ -13,28 +13,28 @@
 use crate::estimate::{self, Supply};
 use crate::event::{CallId, Request, What};
 use crate::fault::Fault;
-use crate::finish::End;
-use crate::queue::{Key, Rank};
-use crate::request::{Call, Claim, Reach, Stage};
+use crate::finish::Rejection;
+use crate::queue::{QueueKey, Rank};
+use crate::request::{Call, Claim, Progress, Stage};
 
-/// The longest time that a request is answered before its deadline, if it was not sent.
-const MARGIN: Duration = Duration::from_millis(50);
+/// Upper limit on how long before its deadline an unsent request is refused.
+const REFUSAL_MARGIN: Duration = Duration::from_millis(50);
 
-/// The part of a request's time that the margin takes at most.
-const MARGIN_PART: u32 = 20;
+/// The refusal margin is at most the request's total time divided by this.
+const REFUSAL_MARGIN_DIVISOR: u32 = 20;
 
-/// The longest wait that is ever promised or asked for.
-const LONGEST: Duration = Duration::from_hours(720);
+/// Upper limit on any deadline.
+const MAX_WAIT: Duration = Duration::from_hours(720);
 
-/// When to come back for a model that only operators load.
-const UNMANAGED: Duration = Duration::from_secs(10);
+/// `Retry-After` for a model that only operators load.
+const UNMANAGED_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// Room that an expected answer needs beyond its mean time.
-const ROOM: f64 = 2.0;
+/// Factor on the mean response time when checking whether a request can meet its deadline.
+const RESPONSE_TIME_FACTOR: f64 = 2.0;
 
 impl Core {
-    /// Takes a request, or refuses it at once.
-    pub(crate) fn arrived(&mut self, request: Request) {
+    /// Admits a request, or refuses it at once.
+    pub(crate) fn on_arrived(&mut self, request: Request) {
         if self.calls.contains_key(&request.id) {
             return;
         }
@@ -46,39 +46,40 @@
             arrivals.count += 1;
             arrivals.last = self.now;
         }
-        if let Some(end) = self.barred(&request) {
-            self.turn_away(id, end);
+        if let Some(rejection) = self.admission_rejection(&request) {
+            self.refuse_unadmitted(id, rejection);
             return;
         }
-        let call = self.call(request);
-        if let Some(end) = self.hopeless(&call) {
-            self.turn_away(id, end);
+        let call = self.new_call(request);
+        if let Some(rejection) = self.deadline_rejection(&call) {
+            self.refuse_unadmitted(id, rejection);
             return;
         }
-        self.queue.enter(&call.request.caller);
+        self.queue.add_caller_request(&call.request.caller);
         self.timers.insert((call.timer, id));
         let claims = call.claim == Claim::Asked;
         self.calls.insert(id, call);
         if claims {
-            self.claim(id);
+            self.request_claim(id);
         } else {
-            self.wait(id);
+            self.enqueue(id);
         }
     }
 
-    /// Why a request may not come in, whatever its place in the queue would be.
-    fn barred(&self, request: &Request) -> Option<End> {
-        let refuse = |reason, detail: &str| Some(End::not_run(reason, detail));
-        if !self.drain.serves() {
+    /// Returns why a request may not be admitted, regardless of its position in the queue.
+    fn admission_rejection(&self, request: &Request) -> Option<Rejection> {
+        let refuse = |reason, detail: &str| Some(Rejection::not_run(reason, detail));
+        if !self.drain.accepts_requests() {
             return refuse(Reason::Draining, "this host is shutting down")
-                .map(|end| self.name(end));
+                .map(|rejection| self.with_other_hosts(rejection));
         }
         let held = self.lease.holds(self.catalogue.version, self.now);
         if !held && self.config.serving.isolated == Isolated::Refuse {
             let detail = "this host has no lease on the settings";
-            return refuse(Reason::Isolated, detail).map(|end| self.name(end));
+            return refuse(Reason::Isolated, detail)
+                .map(|rejection| self.with_other_hosts(rejection));
         }
-        if !self.lists(request) {
+        if !self.is_known(request) {
             let detail = format!("there is no {}", request.what);
             return refuse(Reason::Unknown, &detail);
         }
@@ -87,67 +88,74 @@
         {
             return refuse(Reason::Malformed, &format!("there is no class {class}"));
         }
-        if let Some(end) = self.unservable(&request.what) {
-            return Some(end);
+        if let Some(rejection) = self.unservable_rejection(&request.what) {
+            return Some(rejection);
         }
         if self.quarantine.strikes(request.fingerprint) >= self.strike_limit() {
-            return Some(self.quarantined(request.fingerprint));
+            return Some(self.quarantine_rejection(request.fingerprint));
         }
         let limit = self.catalogue.fleet.refusing.caller;
-        if self.queue.of_caller(&request.caller) >= limit {
-            let detail = format!("a caller may have {limit} requests here");
-            return refuse(Reason::Limited, &detail).map(|end| end.after(Duration::from_secs(1)));
+        if self.queue.caller_requests(&request.caller) >= limit {
+            let detail =
+                format!("the caller has reached its limit of {limit} requests on this host");
+            return refuse(Reason::Limited, &detail)
+                .map(|rejection| rejection.after(Duration::from_secs(1)));
         }
         let bound = self.catalogue.fleet.refusing.queue as usize;
         if request.key.is_some() && self.claiming >= bound {
-            let detail = "too many requests wait for their claims";
-            let end = refuse(Reason::Overloaded, detail);
-            return end.map(|end| end.after(Duration::from_secs(1)));
+            let detail = "too many requests are waiting for their idempotency claims";
+            let rejection = refuse(Reason::Overloaded, detail);
+            return rejection.map(|rejection| rejection.after(Duration::from_secs(1)));
         }
         None
     }
 
-    /// Whether what a request asks for exists, when it arrives and for as long as it waits.
+    /// Whether the requested model or service exists. Checked on arrival and again whenever the
+    /// settings change while the request waits.
     ///
-    /// A service that a route leads to is known by the route, whatever the settings list.
-    pub(crate) fn lists(&self, request: &Request) -> bool {
+    /// A service reached through a route is known by its route, even if the settings do not list
+    /// it.
+    pub(crate) fn is_known(&self, request: &Request) -> bool {
         let routed = request.terms.is_some();
         let service = matches!(request.what, What::Service { .. });
-        routed && service || self.catalogue.has(&request.what)
+        routed && service || self.catalogue.contains(&request.what)
     }
 
-    /// Why nothing will come that could answer, however long the request waits.
-    fn unservable(&self, what: &What) -> Option<End> {
+    /// Returns why no replica will ever be able to serve a request, however long it waits.
+    fn unservable_rejection(&self, what: &What) -> Option<Rejection> {
         let What::Model(reference) = what else {
             return None;
         };
         let model = self.catalogue.models.get(&reference.model)?;
         let named = reference.version.as_ref();
         let other = named.is_some() && named != model.version.as_ref();
-        let held = self.picture.of_model(&reference.model).any(|replica| {
-            let version = replica.view.version.as_ref();
-            named.is_none() || version == named
-        });
+        let held = self
+            .fleet_view
+            .replicas_of_model(&reference.model)
+            .any(|replica| {
+                let version = replica.view.version.as_ref();
+                named.is_none() || version == named
+            });
         if held {
             return None;
         }
         if other {
-            let detail = format!("{what}: this version is not in force and nothing holds it");
-            return Some(End::not_run(Reason::Unknown, &detail));
+            let detail = format!("{what}: this version is not in force and no worker holds it");
+            return Some(Rejection::not_run(Reason::Unknown, &detail));
         }
         if !model.managed {
             let detail = format!("{what}: its group is unmanaged and no worker holds it");
-            let end = End::not_run(Reason::Unavailable, &detail);
-            return Some(end.after(UNMANAGED));
+            let rejection = Rejection::not_run(Reason::Unavailable, &detail);
+            return Some(rejection.after(UNMANAGED_RETRY_AFTER));
         }
         None
     }
 
-    /// The refusal of a fingerprint that took down as many targets as it may.
-    pub(crate) fn quarantined(&self, fingerprint: u64) -> End {
+    /// Returns the refusal for a fingerprint that has reached the strike limit.
+    pub(crate) fn quarantine_rejection(&self, fingerprint: u64) -> Rejection {
         let kept = Duration::from_secs(self.catalogue.fleet.refusing.quarantine_s);
-        let left = self.quarantine.left(fingerprint, kept, self.now);
-        End {
+        let left = self.quarantine.time_left(fingerprint, kept, self.now);
+        Rejection {
             reason: Reason::Quarantined,
             run: Run::Failed,
             retry: Some(left),
@@ -155,34 +163,34 @@
         }
     }
 
-    /// Adds the addresses of other hosts to a refusal.
-    fn name(&self, end: End) -> End {
-        let others = self.picture.hosts.values();
+    /// Adds the addresses of up to four other entry hosts to a refusal.
+    fn with_other_hosts(&self, rejection: Rejection) -> Rejection {
+        let others = self.fleet_view.hosts.values();
         let others = others.filter(|host| host.host != self.config.host && !host.draining);
         let others: Vec<String> = others
             .take(4)
             .map(|host| host.address.to_string())
             .collect();
         let detail = if others.is_empty() {
-            end.detail.to_string()
+            rejection.detail.to_string()
         } else {
-            format!("{}; others: {}", end.detail, others.join(", "))
+            format!("{}; others: {}", rejection.detail, others.join(", "))
         };
-        End {
+        Rejection {
             detail: detail.into(),
-            ..end.after(Duration::from_secs(1))
+            ..rejection.after(Duration::from_secs(1))
         }
     }
 
-    /// Makes the state of a request.
-    fn call(&self, request: Request) -> Call {
+    /// Creates the state of an admitted request.
+    fn new_call(&self, request: Request) -> Call {
         let name = request.class.as_ref();
-        let name = name.or_else(|| self.catalogue.class_of(&request.what));
+        let name = name.or_else(|| self.catalogue.default_class(&request.what));
         let class = name.and_then(|name| self.catalogue.class(name));
         let wait = request.deadline;
         let wait = wait.unwrap_or_else(|| self.catalogue.deadline(&request.what, class));
         let terms = request.terms.as_ref();
-        let limit = terms.map_or(LONGEST, |terms| terms.limit);
+        let limit = terms.map_or(MAX_WAIT, |terms| terms.limit);
         let wait = wait.min(limit);
         let deadline = self.now + wait;
         let weight = class.map_or(1, |class| class.weight);
@@ -190,10 +198,14 @@
         let keyed = request.key.is_some();
         let allowed = terms.is_some() || self.catalogue.repeatable(&request.what);
         let repeatable = !keyed && request.repeatable && allowed;
-        let margin = MARGIN.min(wait / MARGIN_PART);
-        let late = if self.planted(Fault::LateTimer) { 3 } else { 0 };
+        let margin = REFUSAL_MARGIN.min(wait / REFUSAL_MARGIN_DIVISOR);
+        let late = if self.has_fault(Fault::LateTimer) {
+            3
+        } else {
+            0
+        };
         Call {
-            key: Key::from(&request.what),
+            key: QueueKey::from(&request.what),
             weight,
             arrived: self.now,
             deadline,
@@ -202,43 +214,50 @@
             repeatable,
             claim: if keyed { Claim::Asked } else { Claim::None },
             stage: Stage::Claiming,
-            reach: Reach::Unsent,
+            progress: Progress::Unsent,
             offset: 0,
             attempts: 0,
-            arrivals: 0,
+            sends: 0,
             runs: 0,
             failed: Vec::new(),
-            pause: Time::ZERO,
+            retry_at: Time::ZERO,
             answered: false,
             stalled: false,
             request,
         }
     }
 
-    /// Whether a request cannot be met even if all goes well.
-    fn hopeless(&self, call: &Call) -> Option<End> {
+    /// Returns the refusal for a new request that could not meet its deadline even under the
+    /// lower-bound estimate.
+    fn deadline_rejection(&self, call: &Call) -> Option<Rejection> {
         if !self.config.uses(Guard::Early) {
             return None;
         }
         let ahead = self.queue.ahead(&call.key, call.rank);
-        self.late(call, ahead, self.supply(&call.key))
+        self.late_rejection(call, ahead, self.supply(&call.key))
     }
 
-    /// The refusal of a request that cannot be met with `ahead` others before it.
-    fn late(&self, call: &Call, ahead: usize, supply: Supply) -> Option<End> {
-        let pace = self.paces.get(&call.key);
-        let start = estimate::start(supply, pace, ahead, self.now);
-        let need = pace.need(call.request.streaming).mul_f64(ROOM);
-        if start + need <= call.deadline {
+    /// Returns the refusal for a request that cannot meet its deadline with `ahead` requests before
+    /// it.
+    fn late_rejection(&self, call: &Call, ahead: usize, supply: Supply) -> Option<Rejection> {
+        let latency = self.latencies.get(&call.key);
+        let start = estimate::earliest_start(supply, latency, ahead, self.now);
+        let response_time = latency
+            .response_time_for(call.request.streaming)
+            .mul_f64(RESPONSE_TIME_FACTOR);
+        if start + response_time <= call.deadline {
             return None;
         }
         let wait = start.saturating_sub(self.now);
-        let detail = format!("it could not start before {} ms", wait.as_millis());
-        Some(End::not_run(Reason::Late, &detail).after(wait))
+        let detail = format!(
+            "the request could not start for another {} ms, too late for its deadline",
+            wait.as_millis()
+        );
+        Some(Rejection::not_run(Reason::Late, &detail).after(wait))
     }
 
-    /// Refuses the requests of one kind that can no longer be met.
-    pub(crate) fn shed_late(&mut self, key: &Key) {
+    /// Refuses the unsent requests of one lane that can no longer meet their deadline.
+    pub(crate) fn shed_late(&mut self, key: &QueueKey) {
         let supply = self.supply(key);
         let mut ahead = 0;
         let mut late = Vec::new();
@@ -246,19 +265,19 @@
             let Some(call) = self.calls.get(&id) else {
                 continue;
             };
-            let fresh = call.reach == Reach::Unsent;
-            match self.late(call, ahead, supply) {
-                Some(end) if fresh => late.push((id, end)),
+            let unsent = call.progress == Progress::Unsent;
+            match self.late_rejection(call, ahead, supply) {
+                Some(rejection) if unsent => late.push((id, rejection)),
                 _ => ahead += 1,
             }
         }
-        for (id, end) in late {
-            self.refuse(id, end);
+        for (id, rejection) in late {
+            self.refuse(id, rejection);
         }
     }
 
-    /// Asks control for a claim.
-    fn claim(&mut self, id: CallId) {
+    /// Asks control to commit a claim for the request's key.
+    fn request_claim(&mut self, id: CallId) {
         self.claiming += 1;
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -274,10 +293,10 @@
         });
     }
 
-    /// Takes control's answer to a claim.
-    pub(crate) fn claimed(&mut self, id: CallId, reply: Reply) {
-        if self.orphans.granted(id).is_some() {
-            self.late_grant(id, &reply);
+    /// Handles control's reply to a claim.
+    pub(crate) fn on_claimed(&mut self, id: CallId, reply: Reply) {
+        if self.orphaned_claims.get(id).is_some() {
+            self.release_late_grant(id, &reply);
             return;
         }
         let Some(call) = self.calls.get_mut(&id) else {
@@ -287,18 +306,18 @@
             return;
         }
         match reply.next() {
-            claim::Next::Wait => {
+            claim::NextStep::Wait => {
                 call.claim = Claim::Granted;
                 self.claiming -= 1;
-                self.wait(id);
+                self.enqueue(id);
             }
-            claim::Next::Replay => {
+            claim::NextStep::Replay => {
                 call.claim = Claim::None;
                 if let Reply::Recorded(recorded) = reply {
                     self.replay(id, recorded);
                 }
             }
-            claim::Next::Refuse {
+            claim::NextStep::Refuse {
                 reason,
                 run,
                 retry,
@@ -309,23 +328,23 @@
                     call.claim = Claim::None;
                 }
                 let detail = detail.into();
-                let end = End {
+                let rejection = Rejection {
                     reason,
                     run,
                     retry,
                     detail,
                 };
-                self.refuse(id, end);
+                self.refuse(id, rejection);
             }
         }
     }
 
-    /// Gives back a claim that was granted after its request had ended unsent.
-    fn late_grant(&mut self, id: CallId, reply: &Reply) {
+    /// Releases a claim that was granted after its request had ended unsent.
+    fn release_late_grant(&mut self, id: CallId, reply: &Reply) {
         if *reply != Reply::Granted {
             return;
         }
-        if let Some(orphan) = self.orphans.granted(id) {
+        if let Some(orphan) = self.orphaned_claims.get(id) {
             let (caller, key) = (orphan.caller.clone(), orphan.key.clone());
             let outcome = claim::Outcome::NotRun;
             self.actions.push(Action::Record {
@@ -337,8 +356,8 @@
         }
     }
 
-    /// Puts a request into the queue, and sheds the furthest if it is too long.
-    pub(crate) fn wait(&mut self, id: CallId) {
+    /// Queues a request. If the queue exceeds its limit, sheds the request that is last in turn.
+    pub(crate) fn enqueue(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -352,29 +371,32 @@
         }
         self.dirty.insert(key);
         let bound = self.catalogue.fleet.refusing.queue as usize;
-        let full = self.queue.len() > bound && !self.planted(Fault::Unbounded);
+        let full = self.queue.len() > bound && !self.has_fault(Fault::Unbounded);
         if full && let Some(last) = self.queue.last() {
-            self.shed(last, bound);
+            self.shed_overload(last, bound);
         }
     }
 
-    /// Refuses a request for which there is no room.
-    fn shed(&mut self, id: CallId, bound: usize) {
+    /// Refuses a request because the queue is full.
+    fn shed_overload(&mut self, id: CallId, bound: usize) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let run = match call.reach {
-            Reach::Unsent => Run::NotRun,
+        let run = match call.progress {
+            Progress::Unsent => Run::NotRun,
             _ => Run::Unknown,
         };
         let supply = self.supply(&call.key);
-        let pace = self.paces.get(&call.key);
-        let start = estimate::start(supply, pace, self.queue.waiting(&call.key), self.now);
-        let detail = format!("{bound} requests wait here that are nearer to being met");
-        let end = End {
+        let latency = self.latencies.get(&call.key);
+        let start =
+            estimate::earliest_start(supply, latency, self.queue.waiting(&call.key), self.now);
+        let detail = format!(
+            "the queue limit of {bound} requests is reached and this request is last in turn"
+        );
+        let rejection = Rejection {
             run,
-            ..End::not_run(Reason::Overloaded, &detail)
+            ..Rejection::not_run(Reason::Overloaded, &detail)
         };
-        self.refuse(id, end.after(start.saturating_sub(self.now)));
+        self.refuse(id, rejection.after(start.saturating_sub(self.now)));
     }
 }
--- a/crates/entry/src/affinity.rs
+++ b/crates/entry/src/affinity.rs
@@ -1,9 +1,9 @@
-//! Which target holds which prompt prefixes, from cache events that come late and with gaps.
+//! Tracks which target holds which prompt prefixes in its cache, from cache events that may be late
+//! or lost.
 //!
-//! An event is a hint: a wrong one costs a prefill and nothing else. A gap in a
-//! target's sequence makes what is known of it half as believable, since some
-//! of it may be gone; a late event never overwrites a newer one of the same
-//! prefix.
+//! An event is only a hint: acting on a wrong one costs a prefill and nothing else. A gap in a
+//! target's sequence numbers halves the trust in what is known of it, since the lost events may
+//! have been evictions. A late event never overwrites a newer one for the same prefix.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,63 +12,63 @@
 use cornelhitch_types::target::CacheEvent;
 use serde::Serialize;
 
-/// Prefixes kept per target; the oldest go first.
-const LIMIT: usize = 4_096;
+/// Maximum number of prefixes kept per target; the oldest are dropped first.
+const MAX_PREFIXES: usize = 4_096;
 
-/// The trust in a prompt that was only sent there.
-const EXPECTED: f64 = 0.7;
+/// Trust in a prefix that is only expected because its prompt was sent to the target.
+const EXPECTED_TRUST: f64 = 0.7;
 
-/// The trust in the shared part of a prompt at the target that all hosts prefer for it: more than in
-/// what this host sent elsewhere, so that all hosts end up at the same target.
-const PREFERRED: f64 = 0.8;
+/// Trust in the shared part of a prompt at the target that all hosts prefer for it. It is higher
+/// than [`EXPECTED_TRUST`], so that all hosts converge on the same target.
+const PREFERRED_TRUST: f64 = 0.8;
 
-/// What is left of the trust in old events after a gap.
-const AFTER_GAP: f64 = 0.5;
+/// Factor on the trust in earlier events after a gap.
+const GAP_TRUST_FACTOR: f64 = 0.5;
 
-/// Tokens of one block, where the sizes of prefixes are known.
+/// Number of tokens in one block, where the sizes of prefixes are known.
 const BLOCK_TOKENS: f64 = 177.0;
 
-/// What is known of one prefix.
+/// What is known of one prefix on one target.
 #[derive(Debug, Clone, Copy, Serialize)]
 struct Entry {
-    /// The event that told it.
+    /// Sequence number of the event that reported it.
     sequence: u64,
-    /// Whether the prefix is held.
+    /// Whether the target holds the prefix.
     held: bool,
-    /// How far it is believed, up to 1.
+    /// How reliable this is, from 0 to 1.
     trust: f64,
 }
 
-/// What one target holds.
+/// The known prefixes of one target.
 #[derive(Debug, Default, Serialize)]
 struct Cache {
-    /// The newest sequence number.
+    /// The newest sequence number seen.
     newest: u64,
-    /// By model and prefix.
+    /// Prefixes by model and digest.
     entries: HashMap<(ModelId, u64), Entry>,
-    /// In the order of the events, to drop the oldest.
+    /// Prefixes in the order of their events, to drop the oldest.
     order: BTreeSet<(u64, ModelId, u64)>,
 }
 
-/// What all targets hold.
+/// The known prefixes of all targets.
 #[derive(Debug, Default, Serialize)]
-pub struct Caches {
-    /// By target.
+pub struct PrefixCaches {
     targets: BTreeMap<TargetId, Cache>,
 }
 
-impl Caches {
-    /// Takes events of a target, in any order.
-    pub fn take(&mut self, target: &TargetId, events: Vec<CacheEvent>) {
+impl PrefixCaches {
+    /// Applies cache events of a target, in any order.
+    pub fn apply(&mut self, target: &TargetId, events: Vec<CacheEvent>) {
         let cache = self.targets.entry(target.clone()).or_default();
         for event in events {
-            cache.take(event);
+            cache.apply(event);
         }
     }
 
-    /// Notes a prompt that was sent to a target: it will hold most of it soon, and its event comes
-    /// only later. Of the prefixes every other length twice as long is noted, and the longest.
-    pub fn sent(&mut self, target: &TargetId, model: &ModelId, prefixes: &[u64]) {
+    /// Records a prompt that was sent to a target: the target will soon hold most of it, but its
+    /// cache event only comes later. Only prefixes whose length is a power of two are recorded, and
+    /// the longest one.
+    pub fn expect_prompt(&mut self, target: &TargetId, model: &ModelId, prefixes: &[u64]) {
         let noted = prefixes.iter().enumerate().filter(|(index, _)| {
             let length = index + 1;
             length.is_power_of_two() || length == prefixes.len()
@@ -79,21 +79,21 @@
         }
     }
 
-    /// Forgets a target, when it is gone or has a new life.
+    /// Forgets a target when it is gone or has restarted.
     pub fn forget(&mut self, target: &str) {
         self.targets.remove(target);
     }
 
-    /// How many blocks of a prompt a target is believed to hold, as a mean; `sizes` are the tokens
-    /// up to the end of each prefix, where they are known.
+    /// Returns the expected number of blocks of a prompt that a target holds. `sizes` is the number
+    /// of tokens up to the end of each prefix, if known.
     ///
     /// ```
-    /// use cornelhitch_entry::affinity::Caches;
+    /// use cornelhitch_entry::affinity::PrefixCaches;
     /// use cornelhitch_types::target::CacheEvent;
     ///
-    /// let mut caches = Caches::default();
+    /// let mut caches = PrefixCaches::default();
     /// let event = CacheEvent { sequence: 1, model: "report".into(), prefix: 9, held: true };
-    /// caches.take(&"worker-1".into(), vec![event]);
+    /// caches.apply(&"worker-1".into(), vec![event]);
     /// assert!(caches.blocks("worker-1", &"report".into(), &[9, 10], &[]) > 0.9);
     /// ```
     #[must_use]
@@ -114,7 +114,7 @@
     }
 }
 
-/// The blocks up to the end of a prefix.
+/// Returns the number of blocks up to the end of a prefix.
 fn length(index: usize, sizes: &[u32]) -> f64 {
     match sizes.get(index) {
         Some(tokens) => f64::from(*tokens) / BLOCK_TOKENS,
@@ -122,12 +122,14 @@
     }
 }
 
-/// Which target all hosts prefer for the prompts that share all but their last part, and how many
-/// blocks of them it is believed to hold.
+/// Returns the target that all hosts prefer for prompts that share all but their last part, and the
+/// expected number of blocks of the shared part that it holds. `None` if there is no shared part or
+/// no target.
 ///
-/// Hosts tell each other nothing of the prompts that they send, so that each would fill the caches
-/// of all replicas with the same parts. The choice is by rendezvous hashing (Thaler and Ravishankar
-/// 1998): hosts that know the same targets agree, and few prompts move when a target comes or goes.
+/// Hosts do not tell one another which prompts they send, so without a common preference each would
+/// fill the caches of all replicas with the same prefixes. The choice uses rendezvous hashing
+/// (Thaler and Ravishankar 1998): hosts that know the same targets agree, and few prompts move when
+/// a target comes or goes.
 ///
 /// ```
 /// use cornelhitch_entry::affinity::preferred;
@@ -150,14 +152,14 @@
         hasher.finish()
     };
     let target = targets.into_iter().max_by_key(weight)?;
-    Some((target, length(shared, sizes) * PREFERRED))
+    Some((target, length(shared, sizes) * PREFERRED_TRUST))
 }
 
 impl Cache {
-    /// Takes one event.
-    fn take(&mut self, event: CacheEvent) {
+    /// Applies one event.
+    fn apply(&mut self, event: CacheEvent) {
         if event.sequence > self.newest + 1 && self.newest > 0 {
-            self.doubt();
+            self.reduce_trust();
         }
         self.newest = self.newest.max(event.sequence);
         let at = (event.model, event.prefix);
@@ -178,7 +180,7 @@
         self.trim();
     }
 
-    /// Notes a prefix that is expected to be held soon.
+    /// Records a prefix that the target is expected to hold soon.
     fn expect(&mut self, model: ModelId, prefix: u64) {
         let at = (model, prefix);
         if self.entries.get(&at).is_some_and(|known| known.held) {
@@ -191,23 +193,23 @@
         let entry = Entry {
             sequence: self.newest,
             held: true,
-            trust: EXPECTED,
+            trust: EXPECTED_TRUST,
         };
         self.order.insert((self.newest, at.0.clone(), at.1));
         self.entries.insert(at, entry);
         self.trim();
     }
 
-    /// Believes less of what is known: events were lost.
-    fn doubt(&mut self) {
+    /// Reduces the trust in all prefixes, because events were lost.
+    fn reduce_trust(&mut self) {
         for entry in self.entries.values_mut() {
-            entry.trust *= AFTER_GAP;
+            entry.trust *= GAP_TRUST_FACTOR;
         }
     }
 
-    /// Drops the oldest beyond the limit.
+    /// Drops the oldest prefixes beyond the limit.
     fn trim(&mut self) {
-        while self.entries.len() > LIMIT {
+        while self.entries.len() > MAX_PREFIXES {
             let Some((_, model, prefix)) = self.order.pop_first() else {
                 return;
             };
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt from its first byte to its end.
+//! The life cycle of one attempt, from its first byte to its end.
 
 use std::time::Duration;
 
@@ -6,105 +6,116 @@
 use cornelhitch_types::refusal::{Reason, Run};
 
 use crate::action::Action;
+use crate::cancelled::Suspect;
 use crate::claim::Outcome;
 use crate::config::Guard;
 use crate::core::Core;
 use crate::event::{Attempt, CallId, Failure, What};
 use crate::fault::Fault;
-use crate::finish::End;
-use crate::queue::{FIRST, Key};
-use crate::request::{Call, Reach, Run as Flight, Stage};
+use crate::finish::Rejection;
+use crate::queue::{QueueKey, RESUME_WEIGHT};
+use crate::request::{Call, Progress, RunningAttempt, Stage};
+use crate::retry_policy::{self, NextStep};
 use crate::route::Candidate;
-use crate::rule::{self, Next};
-use crate::stopped::Suspect;
 
-/// The longest time without a part of a streamed answer that has begun.
+/// Longest gap between parts of a streamed response before it counts as stalled.
 ///
-/// Owners report `Progress` well within it, also where tokens come slowly or the caller takes them
-/// slowly; it is more than a hundred times the 37 ms between tokens that users expect.
-pub const STALL: Duration = Duration::from_secs(5);
+/// Owners report `Progress` well within this time, also when tokens or the caller are slow. It is
+/// more than a hundred times the 37 ms between tokens that users expect.
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How far past its deadline an answer may go on that is not streamed and had begun before.
-pub const REST: Duration = Duration::from_secs(5);
+/// How far a response that is not streamed may overrun its deadline if it began before it.
+pub const MAX_OVERRUN: Duration = Duration::from_secs(5);
 
-/// The part of the objective that a target may take to begin its answer before another is asked.
-const PATIENCE: f64 = 0.75;
+/// Share of the route's latency objective that a target may take to begin its response before the
+/// request is retried on another one.
+const FIRST_BYTE_OBJECTIVE_SHARE: f64 = 0.75;
 
-/// How many times the usual time to the begin of an answer counts as slow.
-const SLOW: f64 = 2.5;
+/// A response is slow if it takes this many times the mean time to first byte.
+const SLOW_RESPONSE_FACTOR: f64 = 2.5;
 
-/// Attempts of one request at most.
-const ATTEMPTS: Attempt = 8;
+/// Maximum number of attempts for one request.
+const MAX_ATTEMPTS: Attempt = 8;
 
-/// The first pause after a target refused, doubled each time.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Backoff after the first attempt that a target refused; doubles with each attempt.
+const RETRY_BACKOFF: Duration = Duration::from_millis(20);
 
 impl Core {
-    /// The owner is about to write the first byte.
-    pub(crate) fn sent(&mut self, id: CallId, attempt: Attempt) {
+    /// Handles `Sent`: the owner has connected and asks to write the first byte.
+    pub(crate) fn on_sent(&mut self, id: CallId, attempt: Attempt) {
         let Some(run) = self.calls.get(&id).and_then(|call| call.run(attempt)) else {
             return;
         };
-        if !self.may_write(run) {
-            self.stop(id);
-            self.again(id, Duration::ZERO);
+        if !self.still_accepts(run) {
+            self.cancel_attempt(id);
+            self.requeue(id, Duration::ZERO);
             return;
         }
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.reach = call.reach.max(Reach::Sent);
-        call.arrivals += 1;
+        call.progress = call.progress.max(Progress::Sent);
+        call.sends += 1;
         call.runs += 1;
         let service = call.key.service();
         let tally = self.tallies.of(&service);
-        if call.arrivals == 1 {
+        if call.sends == 1 {
             tally.requests += 1;
-            self.budget.first(&service, now);
+            self.budget.record_first_send(&service, now);
         } else {
             tally.repeats += 1;
-            self.budget.make(&service, now);
+            self.budget.spend_reserved(&service, now);
         }
-        let (begun, deadline) = (call.reach == Reach::Begun, call.deadline);
+        let (begun, deadline) = (call.progress == Progress::Begun, call.deadline);
         if let Some(run) = call.run_mut(attempt) {
-            run.reach = run.reach.max(Reach::Sent);
+            run.progress = run.progress.max(Progress::Sent);
             run.since = now;
         }
         if !begun {
-            let patience = self.patience(id).map(|patience| now + patience);
-            self.set_timer(id, patience.map_or(deadline, |at| at.min(deadline)));
+            let timeout = self.first_byte_timeout(id).map(|timeout| now + timeout);
+            self.set_timer(id, timeout.map_or(deadline, |at| at.min(deadline)));
         }
         self.actions.push(Action::Proceed { id, attempt });
     }
 
-    /// How long a target may take to begin its answer before another one is asked instead; none
-    /// where the request may run only there.
-    fn patience(&self, id: CallId) -> Option<Duration> {
+    /// Returns how long a target may take to begin its response before the request is retried on
+    /// another target, or `None` if it must not run on another one.
+    fn first_byte_timeout(&self, id: CallId) -> Option<Duration> {
         let call = self.calls.get(&id)?;
         let terms = call.request.terms.as_ref()?;
-        if !call.repeatable || call.is_spent() {
+        if !call.repeatable || call.attempts_exhausted() {
             return None;
         }
-        let usual = self.paces.get(&call.key).need(true).mul_f64(SLOW);
-        Some(terms.objective.mul_f64(PATIENCE).max(usual))
+        let usual = self
+            .latencies
+            .get(&call.key)
+            .response_time_for(true)
+            .mul_f64(SLOW_RESPONSE_FACTOR);
+        Some(
+            terms
+                .objective
+                .mul_f64(FIRST_BYTE_OBJECTIVE_SHARE)
+                .max(usual),
+        )
     }
 
-    /// Takes a request from a target that does not begin to answer, if another one can run it.
-    pub(crate) fn lose_patience(&mut self, id: CallId) -> bool {
+    /// Cancels an attempt that has not begun to respond, if another target can run the request.
+    /// Returns `false` if this does not apply to the request.
+    pub(crate) fn retry_slow_target(&mut self, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
-        let sent = call.reach == Reach::Sent && self.now < call.deadline;
-        let Some(run) = call.running().filter(|_| sent).cloned() else {
+        let sent = call.progress == Progress::Sent && self.now < call.deadline;
+        let Some(run) = call.current_attempt().filter(|_| sent).cloned() else {
             return false;
         };
         let (deadline, service) = (call.deadline, call.key.service());
-        let Some(patience) = self.patience(id) else {
+        let Some(timeout) = self.first_byte_timeout(id) else {
             return false;
         };
-        if !(self.affords(&service) && self.has_other_place(id, &run.place.target)) {
-            self.set_timer(id, (self.now + patience).min(deadline));
+        if !(self.budget_allows(&service) && self.has_other_target(id, &run.place.target)) {
+            self.set_timer(id, (self.now + timeout).min(deadline));
             return true;
         }
         self.actions.push(Action::Cancel {
@@ -112,36 +123,36 @@
             attempt: run.attempt,
             target: run.place.target.clone(),
         });
-        self.failed(id, run.attempt, Failure::Stalled);
+        self.on_failed(id, run.attempt, Failure::Stalled);
         true
     }
 
-    /// Whether a target other than one has room for a request.
-    fn has_other_place(&self, id: CallId, target: &TargetId) -> bool {
+    /// Whether a target other than the given one has capacity for a request.
+    fn has_other_target(&self, id: CallId, target: &TargetId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
         let options = self.options(&call.key);
         options.iter().any(|option| {
             let other = option.candidate.place.target != *target;
-            other && option.free() && self.fits(call, option)
+            other && option.has_capacity() && self.fits(call, option)
         })
     }
 
-    /// Whether the place still takes new work, now that the connection stands.
-    fn may_write(&self, run: &Flight) -> bool {
-        if self.planted(Fault::SendsToClosed) || run.reach > Reach::Unsent {
+    /// Whether the place still accepts new work, now that the connection is established.
+    fn still_accepts(&self, run: &RunningAttempt) -> bool {
+        if self.has_fault(Fault::SendsToClosed) || run.progress > Progress::Unsent {
             return true;
         }
-        let open = self.picture.open(&run.place.target, run.incarnation);
+        let open = self.fleet_view.is_open(&run.place.target, run.incarnation);
         open && run
             .place
             .replica
-            .is_none_or(|replica| self.picture.ready(replica))
+            .is_none_or(|replica| self.fleet_view.is_ready(replica))
     }
 
-    /// The answer began.
-    pub(crate) fn begun(&mut self, id: CallId, attempt: Attempt) {
+    /// Handles `Begun`: the response started.
+    pub(crate) fn on_begun(&mut self, id: CallId, attempt: Attempt) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -150,95 +161,96 @@
         let Some(run) = call.run_mut(attempt) else {
             return;
         };
-        if run.reach != Reach::Sent {
+        if run.progress != Progress::Sent {
             return;
         }
-        run.reach = Reach::Begun;
-        let took = now.saturating_sub(run.since);
-        let first = call.reach < Reach::Begun;
-        call.reach = Reach::Begun;
+        run.progress = Progress::Begun;
+        let elapsed = now.saturating_sub(run.since);
+        let first = call.progress < Progress::Begun;
+        call.progress = Progress::Begun;
         let key = call.key.clone();
         if answered {
             return;
         }
         if first {
-            self.paces.first(&key, took);
+            self.latencies.record_first_byte(&key, elapsed);
         }
-        self.touch(id);
+        self.reset_response_timer(id);
         self.actions.push(Action::Deliver { id, attempt });
     }
 
-    /// A part of a streamed answer was passed on.
-    pub(crate) fn progress(&mut self, id: CallId, attempt: Attempt, offset: u64) {
+    /// Handles `Progress`: a part of a streamed response was forwarded.
+    pub(crate) fn on_progress(&mut self, id: CallId, attempt: Attempt, offset: u64) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         let current = call
             .run(attempt)
-            .is_some_and(|run| run.reach == Reach::Begun);
+            .is_some_and(|run| run.progress == Progress::Begun);
         if !current || call.answered || offset <= call.offset {
             return;
         }
         call.offset = offset;
-        self.touch(id);
+        self.reset_response_timer(id);
     }
 
-    /// Sets the timer of an answer that has begun.
-    pub(crate) fn touch(&mut self, id: CallId) {
+    /// Restarts the timer that limits a response that has begun.
+    pub(crate) fn reset_response_timer(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let at = if let Some(terms) = &call.request.terms {
             call.arrived + terms.limit
         } else if call.request.streaming {
-            self.now + STALL
+            self.now + STALL_TIMEOUT
         } else {
-            call.deadline + REST
+            call.deadline + MAX_OVERRUN
         };
         self.set_timer(id, at);
     }
 
-    /// The terminator came.
-    pub(crate) fn ended(&mut self, id: CallId, attempt: Attempt) {
-        let attempt = self.taken(id, attempt);
+    /// Handles `Ended`: the terminator of the response arrived.
+    pub(crate) fn on_ended(&mut self, id: CallId, attempt: Attempt) {
+        let attempt = self.effective_attempt(id, attempt);
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let Some(run) = call.run(attempt) else {
             return;
         };
-        if run.reach != Reach::Begun {
+        if run.progress != Progress::Begun {
             return;
         }
-        let (key, took) = (call.key.clone(), self.now.saturating_sub(run.since));
+        let (key, elapsed) = (call.key.clone(), self.now.saturating_sub(run.since));
         let (answered, caller) = (call.answered, call.request.caller.clone());
         if call.offset == 0 || call.attempts == 1 {
-            self.paces.whole(&key, took);
+            self.latencies.record_response(&key, elapsed);
         }
-        self.land(id);
+        self.release_attempt(id);
         if !answered {
             self.actions.push(Action::Finish { id, attempt });
-            self.queue.leave(&caller);
+            self.queue.remove_caller_request(&caller);
             if let Some(call) = self.calls.get_mut(&id) {
                 call.answered = true;
             }
         }
-        self.record(id, Outcome::Answered);
+        self.record_outcome(id, Outcome::Answered);
     }
 
-    /// The number of the attempt that an event is taken for.
-    fn taken(&self, id: CallId, attempt: Attempt) -> Attempt {
-        if !self.planted(Fault::TakesOldAttempt) {
+    /// Returns the attempt that an event applies to: its own, unless a fault is injected.
+    fn effective_attempt(&self, id: CallId, attempt: Attempt) -> Attempt {
+        if !self.has_fault(Fault::TakesOldAttempt) {
             return attempt;
         }
-        let run = self.calls.get(&id).and_then(Call::running);
+        let run = self.calls.get(&id).and_then(Call::current_attempt);
         run.map_or(attempt, |run| run.attempt)
     }
 
-    /// The attempt failed.
-    pub(crate) fn failed(&mut self, id: CallId, attempt: Attempt, failure: Failure) {
-        if let Some(suspect) = self.stopped.take((id, attempt)) {
-            if rule::effect(failure).strike {
+    /// Handles `Failed`: decides by the failure and the state of the request whether to retry,
+    /// resume or refuse.
+    pub(crate) fn on_failed(&mut self, id: CallId, attempt: Attempt, failure: Failure) {
+        if let Some(suspect) = self.cancelled.take((id, attempt)) {
+            if retry_policy::effect(failure).strike {
                 self.strike(suspect);
             }
             return;
@@ -252,57 +264,62 @@
         if !call.failed.contains(&run.place.target) {
             call.failed.push(run.place.target.clone());
         }
-        // Targets behind routes promise that what they decline never ran.
+        // Targets behind routes guarantee that a request that they decline was not run.
         let promised = call.request.terms.is_some();
         let declined = matches!(failure, Failure::Refused | Failure::Absent);
-        if promised && declined && run.reach == Reach::Sent {
-            call.refused();
+        if promised && declined && run.progress == Progress::Sent {
+            call.undo_run();
         }
-        let (repeatable, reach) = (call.repeatable, call.reach);
+        let (repeatable, progress) = (call.repeatable, call.progress);
         let service = matches!(call.request.what, What::Service { .. });
         let (answered, fingerprint) = (call.answered, call.request.fingerprint);
-        self.blame(&run, fingerprint, failure);
+        self.record_failure(&run, fingerprint, failure);
         if failure == Failure::Absent {
-            self.absent(&run);
+            self.remove_missing_place(&run);
         }
-        self.land(id);
+        self.release_attempt(id);
         if answered {
-            self.conclude(id);
+            self.settle_claim(id);
             return;
         }
         if self.quarantine.strikes(fingerprint) >= self.strike_limit() {
-            let end = self.quarantined(fingerprint);
-            self.refuse(id, end);
+            let rejection = self.quarantine_rejection(fingerprint);
+            self.refuse(id, rejection);
             return;
         }
-        let (sent, begun) = (reach > Reach::Unsent, reach == Reach::Begun);
-        let next = rule::next(repeatable || self.planted(Fault::SendsTwice), sent, begun);
-        let exhausted = self.calls.get(&id).is_some_and(Call::is_spent);
+        let (sent, begun) = (progress > Progress::Unsent, progress == Progress::Begun);
+        let next = retry_policy::next(repeatable || self.has_fault(Fault::SendsTwice), sent, begun);
+        let exhausted = self.calls.get(&id).is_some_and(Call::attempts_exhausted);
         match next {
-            Next::Retry | Next::Resume if exhausted => self.give_up(id, "every target failed"),
-            Next::Elsewhere | Next::Retry => self.again(id, pause(failure, attempt)),
-            Next::Resume if service => self.give_up(id, "the answer broke off"),
-            Next::Resume => self.resume(id, &run, failure),
-            Next::Unknown => self.give_up(id, "the target failed after it was sent"),
+            NextStep::Retry | NextStep::Resume if exhausted => self.fail_call(
+                id,
+                "the request failed on as many targets as its route allows",
+            ),
+            NextStep::Elsewhere | NextStep::Retry => self.requeue(id, backoff(failure, attempt)),
+            NextStep::Resume if service => self.fail_call(id, "the response was truncated"),
+            NextStep::Resume => self.resume(id, &run, failure),
+            NextStep::Unknown => self.fail_call(id, "the target failed after the request was sent"),
         }
     }
 
-    /// Takes a place out that does not hold what the view says, until the view says it anew.
-    fn absent(&mut self, run: &Flight) {
+    /// Removes a place that does not hold what the fleet view says, until control publishes it
+    /// again.
+    fn remove_missing_place(&mut self, run: &RunningAttempt) {
         match run.place.replica {
-            Some(replica) => self.picture.replica_gone(replica),
+            Some(replica) => self.fleet_view.remove_replica(replica),
             None => {
                 self.ejections.eject(&run.place.target, self.now);
             }
         }
     }
 
-    /// Counts a failure against the target and, if it may be the cause, the request.
-    fn blame(&mut self, run: &Flight, fingerprint: u64, failure: Failure) {
-        let effect = rule::effect(failure);
+    /// Records a failure against the target and, if the request may have caused it, against the
+    /// request.
+    fn record_failure(&mut self, run: &RunningAttempt, fingerprint: u64, failure: Failure) {
+        let effect = retry_policy::effect(failure);
         let target = run.place.target.clone();
         let incarnation = run.incarnation;
-        let current = self.picture.open(&target, incarnation);
+        let current = self.fleet_view.is_open(&target, incarnation);
         let eject = effect.eject && self.config.uses(Guard::Ejection) && current;
         if eject && self.ejections.eject(&target, self.now) {
             let target = target.clone();
@@ -311,126 +328,129 @@
                 incarnation,
             });
         }
-        if effect.strike && run.reach > Reach::Unsent {
+        if effect.strike && run.progress > Progress::Unsent {
             self.strike(Suspect {
                 fingerprint,
                 strikes: run.strikes,
-                life: (target, incarnation),
+                instance: (target, incarnation),
             });
         }
     }
 
-    /// Counts a target that died with a request in progress.
+    /// Counts a strike against a fingerprint that was in flight on a target that died.
     fn strike(&mut self, suspect: Suspect) {
         let Suspect {
             fingerprint,
             strikes,
-            life,
+            instance,
         } = suspect;
-        if !self.planted(Fault::ForgetsStrikes) {
+        if !self.has_fault(Fault::ForgetsStrikes) {
             self.quarantine
-                .strike(fingerprint, life.clone(), strikes, self.now);
+                .strike(fingerprint, instance.clone(), strikes, self.now);
         }
-        let (target, incarnation) = life;
+        let (target, incarnation) = instance;
         self.actions.push(Action::Strike {
             fingerprint,
             target,
             incarnation,
         });
-        self.expel(fingerprint);
+        self.refuse_quarantined(fingerprint);
     }
 
-    /// Refuses what waits with a fingerprint that took down as many targets as it may.
-    pub(crate) fn expel(&mut self, fingerprint: u64) {
+    /// Refuses the unsent requests of a fingerprint that has reached the strike limit.
+    pub(crate) fn refuse_quarantined(&mut self, fingerprint: u64) {
         if self.quarantine.strikes(fingerprint) < self.strike_limit() {
             return;
         }
         let same = self.calls.values().filter(|call| {
-            let unsent = call.running().is_none_or(|run| run.reach == Reach::Unsent);
+            let unsent = call
+                .current_attempt()
+                .is_none_or(|run| run.progress == Progress::Unsent);
             call.request.fingerprint == fingerprint && unsent && !call.answered
         });
         let mut same: Vec<CallId> = same.map(|call| call.request.id).collect();
         same.sort_unstable();
         for id in same {
-            let end = self.quarantined(fingerprint);
-            self.refuse(id, end);
+            let rejection = self.quarantine_rejection(fingerprint);
+            self.refuse(id, rejection);
         }
     }
 
-    /// Puts a request back into the queue for another attempt.
-    fn again(&mut self, id: CallId, pause: Duration) {
+    /// Puts a request back into the queue for another attempt after a pause.
+    fn requeue(&mut self, id: CallId, pause: Duration) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        if call.attempts >= ATTEMPTS {
-            self.give_up(id, "every attempt failed");
+        if call.attempts >= MAX_ATTEMPTS {
+            self.fail_call(id, "the maximum number of attempts failed");
             return;
         }
         call.stage = Stage::Waiting;
-        if call.reach == Reach::Begun {
-            call.rank.weight = FIRST;
+        if call.progress == Progress::Begun {
+            call.rank.weight = RESUME_WEIGHT;
         }
         if !pause.is_zero() {
-            call.pause = now + pause;
-            self.pauses.insert((call.pause, id));
+            call.retry_at = now + pause;
+            self.backoffs.insert((call.retry_at, id));
         }
-        self.wait(id);
+        self.enqueue(id);
     }
 
     /// Ends a request whose target failed.
-    pub(crate) fn give_up(&mut self, id: CallId, detail: &str) {
+    pub(crate) fn fail_call(&mut self, id: CallId, detail: &str) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let unsent = call.reach == Reach::Unsent;
+        let unsent = call.progress == Progress::Unsent;
         let (reason, run) = if unsent {
             (Reason::Unavailable, Run::NotRun)
         } else {
             (Reason::TargetFailed, Run::Unknown)
         };
-        let end = End {
+        let rejection = Rejection {
             run,
-            ..End::not_run(reason, detail)
+            ..Rejection::not_run(reason, detail)
         };
-        let helps = unsent || call.repeatable;
-        let end = if helps {
-            end.after(Duration::ZERO)
+        let retryable = unsent || call.repeatable;
+        let rejection = if retryable {
+            rejection.after(Duration::ZERO)
         } else {
-            end
+            rejection
         };
-        self.refuse(id, end);
+        self.refuse(id, rejection);
     }
 
-    /// Continues an answer, at the same engine if it still stands.
-    fn resume(&mut self, id: CallId, run: &Flight, failure: Failure) {
-        let stands = failure != Failure::Connect && failure != Failure::Refused;
-        let same = self.same_place(id, run);
+    /// Resumes a partial response, on the same replica if it is still available.
+    fn resume(&mut self, id: CallId, run: &RunningAttempt, failure: Failure) {
+        let reachable = failure != Failure::Connect && failure != Failure::Refused;
+        let same = self.resume_candidate(id, run);
         let service = self.calls.get(&id).map(|call| call.key.service());
-        let afford = service.is_some_and(|service| self.affords(&service));
+        let within_budget = service.is_some_and(|service| self.budget_allows(&service));
         match same {
-            Some(candidate) if stands && afford => {
+            Some(candidate) if reachable && within_budget => {
                 if let Some(call) = self.calls.get_mut(&id) {
                     call.stage = Stage::Waiting;
                 }
                 self.send(id, &candidate);
             }
-            _ => self.again(id, pause(failure, run.attempt)),
+            _ => self.requeue(id, backoff(failure, run.attempt)),
         }
     }
 
-    /// The place of an attempt, if it may still be sent to and was not tried over and over.
-    fn same_place(&self, id: CallId, run: &Flight) -> Option<Candidate> {
+    /// Returns the place of a failed attempt as a candidate, if it still accepts requests and the
+    /// request has attempts left.
+    fn resume_candidate(&self, id: CallId, run: &RunningAttempt) -> Option<Candidate> {
         let call = self.calls.get(&id)?;
-        if call.attempts >= ATTEMPTS || !matches!(call.key, Key::Model(..)) {
+        if call.attempts >= MAX_ATTEMPTS || !matches!(call.key, QueueKey::Model(..)) {
             return None;
         }
-        let open = self.picture.open(&run.place.target, run.incarnation);
+        let open = self.fleet_view.is_open(&run.place.target, run.incarnation);
         let ready = run
             .place
             .replica
-            .is_some_and(|replica| self.picture.ready(replica));
-        let target = &self.picture.targets.get(&run.place.target)?.view;
+            .is_some_and(|replica| self.fleet_view.is_ready(replica));
+        let target = &self.fleet_view.targets.get(&run.place.target)?.view;
         (open && ready).then(|| Candidate {
             place: run.place.clone(),
             incarnation: run.incarnation,
@@ -448,10 +468,11 @@
     }
 }
 
-/// The pause before another attempt: none where the target is left out anyway.
-fn pause(failure: Failure, attempt: Attempt) -> Duration {
-    if rule::effect(failure).eject {
+/// Returns the backoff before another attempt; zero if the failure ejects the target, which is then
+/// not retried anyway.
+fn backoff(failure: Failure, attempt: Attempt) -> Duration {
+    if retry_policy::effect(failure).eject {
         return Duration::ZERO;
     }
-    PAUSE * 2_u32.saturating_pow(attempt.saturating_sub(1).min(6))
+    RETRY_BACKOFF * 2_u32.saturating_pow(attempt.saturating_sub(1).min(6))
 }
--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -1,9 +1,10 @@
-//! A budget of retries, so that they cannot double the load of a sick fleet.
+//! A retry budget, so that retries cannot double the load of an overloaded fleet.
 //!
-//! A host that counts for itself alone has one token bucket. Hosts that share a budget count each
-//! service in a window that slides: of the requests that a host itself sent for the first time a
-//! part, and its [`Part`] of the slack. Nothing is saved up beyond the window, so the sum over all
-//! hosts stays within the budget of all, whatever starts, ends or moves.
+//! A host that counts only for itself has a token bucket. Hosts that share a budget count each
+//! service over a sliding window: a host may retry a fraction of the requests that it sent for the
+//! first time, plus its [`HostShare`] of a slack. Nothing is saved up beyond the window, so that
+//! the sum over all hosts stays within the total budget, whatever hosts start, stop or take over
+//! callers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,36 +13,36 @@
 use cornelhitch_types::id::{Name, Time};
 use serde::Serialize;
 
-use crate::part::Part;
-use crate::recent::Recent;
+use crate::host_share::HostShare;
+use crate::sliding_counter::SlidingCounter;
 
 /// Retries that each first send earns.
-const EARNED: f64 = 0.2;
+const RETRIES_PER_REQUEST: f64 = 0.2;
 
-/// Retries that a second earns, so that a quiet host has some.
-const EARNED_PER_SECOND: f64 = 1.0;
+/// Retries that each second earns, so that a host with little traffic can retry at all.
+const RETRIES_PER_SECOND: f64 = 1.0;
 
-/// Retries that can be saved up: one full batch of a large engine, twice.
-const LIMIT: f64 = 64.0;
+/// Maximum number of saved retries: twice a full batch of a large engine.
+const BUCKET_SIZE: f64 = 64.0;
 
-/// The part of what first sends allow that is used. In one window a host may make retries for what it
-/// sent in the window before, and another host for what it sends later in it, after callers have moved
-/// from one to the other: so together they count the requests of two windows.
-const USED: f64 = 0.5;
+/// Factor on the retries that first sends allow. A host may retry in one window what it first sent
+/// in the window before, and another host what it first sends later in the same window, after
+/// callers have moved from one to the other. Together they count the requests of two windows.
+const MOVED_CALLERS_FACTOR: f64 = 0.5;
 
 /// The retries that a host may make.
 ///
-/// A retry is reserved when its target is chosen, and made when its first byte may leave.
+/// A retry is reserved when its target is chosen, and spent when its first byte may be written.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub enum Budget {
-    /// The host counts for itself alone.
+    /// The host counts only for itself.
     Alone(Bucket),
-    /// The hosts share a budget for each service.
+    /// The hosts share a budget per service.
     Shared(Shared),
 }
 
 impl Budget {
-    /// The budget that the settings ask for.
+    /// Creates the budget that the settings ask for: shared if a retry window is set.
     ///
     /// ```
     /// use cornelhitch_entry::budget::Budget;
@@ -50,10 +51,10 @@
     ///
     /// let serving = Serving { retry_ratio: 0.2, retry_window_ms: 10e3, ..Serving::default() };
     /// let (mut budget, service) = (Budget::new(&serving, Duration::ZERO), "auction".into());
-    /// (0..10).for_each(|_| budget.first(&service, Duration::ZERO));
-    /// assert!(budget.has(&service, Duration::ZERO));
+    /// (0..10).for_each(|_| budget.record_first_send(&service, Duration::ZERO));
+    /// assert!(budget.allows(&service, Duration::ZERO));
     /// budget.reserve(&service, Duration::ZERO);
-    /// assert!(!budget.has(&service, Duration::ZERO));
+    /// assert!(!budget.allows(&service, Duration::ZERO));
     /// ```
     #[must_use]
     pub fn new(serving: &Serving, now: Time) -> Self {
@@ -65,37 +66,37 @@
         }
     }
 
-    /// A request of a service was sent for the first time.
-    pub fn first(&mut self, service: &Name, now: Time) {
+    /// Records that a request of a service was sent for the first time.
+    pub fn record_first_send(&mut self, service: &Name, now: Time) {
         match self {
             Self::Alone(bucket) => bucket.earn(),
-            Self::Shared(shared) => shared.account(service).firsts.add(now),
+            Self::Shared(shared) => shared.account(service).firsts.record(now),
         }
     }
 
     /// Whether a retry may be reserved.
-    pub fn has(&mut self, service: &Name, now: Time) -> bool {
+    pub fn allows(&mut self, service: &Name, now: Time) -> bool {
         match self {
-            Self::Alone(bucket) => bucket.has(now),
-            Self::Shared(shared) => shared.has(service, now),
+            Self::Alone(bucket) => bucket.allows(now),
+            Self::Shared(shared) => shared.allows(service, now),
         }
     }
 
-    /// How long a request waits for its retry with so many others before it, while its service goes on
-    /// as it did in the last window.
+    /// Returns how long a request waits for its retry with `ahead` others before it, assuming that
+    /// its service continues as in the last window.
     ///
-    /// This is for the load under which targets turn most requests away: the budget is spent, and
-    /// what waits for it would wait past its deadline.
-    pub fn wait(&mut self, service: &Name, ahead: usize, now: Time) -> Duration {
+    /// This matters when targets decline most requests: the budget is spent, and requests that
+    /// waited for it would miss their deadlines.
+    pub fn expected_wait(&mut self, service: &Name, ahead: usize, now: Time) -> Duration {
         let rate = match self {
-            Self::Alone(_) => EARNED_PER_SECOND,
+            Self::Alone(_) => RETRIES_PER_SECOND,
             Self::Shared(shared) => shared.rate(service, now),
         };
         let turn = f64::from(u32::try_from(ahead).unwrap_or(u32::MAX)) + 1.0;
         Duration::try_from_secs_f64(turn / rate).unwrap_or(Duration::MAX)
     }
 
-    /// Takes a retry, which is made or released later.
+    /// Reserves a retry, which is later spent or released.
     pub fn reserve(&mut self, service: &Name, now: Time) {
         match self {
             Self::Alone(bucket) => bucket.take(now),
@@ -103,16 +104,16 @@
         }
     }
 
-    /// A reserved retry is made now.
-    pub fn make(&mut self, service: &Name, now: Time) {
+    /// Spends a reserved retry.
+    pub fn spend_reserved(&mut self, service: &Name, now: Time) {
         if let Self::Shared(shared) = self {
             let account = shared.account(service);
             account.reserved = account.reserved.saturating_sub(1);
-            account.repeats.add(now);
+            account.repeats.record(now);
         }
     }
 
-    /// A reserved retry is not made.
+    /// Releases a reserved retry that was not sent.
     pub fn release(&mut self, service: &Name) {
         match self {
             Self::Alone(bucket) => bucket.give_back(),
@@ -123,17 +124,17 @@
         }
     }
 
-    /// The leader lists so many entry hosts, this one among them or not.
-    pub fn list(&mut self, hosts: u32, listed: bool, now: Time) {
+    /// Sets the number of entry hosts that the leader lists, and whether this one is among them.
+    pub fn set_hosts(&mut self, hosts: u32, listed: bool, now: Time) {
         if let Self::Shared(shared) = self {
-            shared.part.list(hosts, listed, now);
+            shared.host_share.set_hosts(hosts, listed, now);
         }
     }
 
-    /// This host's lease was renewed.
-    pub fn renew(&mut self, until: Time, now: Time) {
+    /// Records that this host's lease was renewed.
+    pub fn renew_lease(&mut self, until: Time, now: Time) {
         if let Self::Shared(shared) = self {
-            shared.part.renew(until, now);
+            shared.host_share.renew_lease(until, now);
         }
     }
 }
@@ -143,85 +144,86 @@
 pub struct Bucket {
     /// Retries that may be made now.
     tokens: f64,
-    /// When the tokens were counted.
+    /// When the tokens were last updated.
     at: Time,
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     fn new(now: Time) -> Self {
         Self {
-            tokens: LIMIT,
+            tokens: BUCKET_SIZE,
             at: now,
         }
     }
 
-    /// Earns for a first send.
+    /// Adds what a first send earns.
     fn earn(&mut self) {
-        self.tokens = (self.tokens + EARNED).min(LIMIT);
+        self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(BUCKET_SIZE);
     }
 
-    /// Whether it holds a retry.
-    fn has(&mut self, now: Time) -> bool {
+    /// Whether the bucket holds a retry.
+    fn allows(&mut self, now: Time) -> bool {
         let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.tokens = (self.tokens + passed * EARNED_PER_SECOND).min(LIMIT);
+        self.tokens = (self.tokens + passed * RETRIES_PER_SECOND).min(BUCKET_SIZE);
         self.at = now.max(self.at);
         self.tokens >= 1.0
     }
 
-    /// Takes a retry, if it holds one.
+    /// Takes a retry if the bucket holds one.
     fn take(&mut self, now: Time) {
-        if self.has(now) {
+        if self.allows(now) {
             self.tokens -= 1.0;
         }
     }
 
-    /// Puts a retry back.
+    /// Returns a retry to the bucket.
     fn give_back(&mut self) {
-        self.tokens = (self.tokens + 1.0).min(LIMIT);
+        self.tokens = (self.tokens + 1.0).min(BUCKET_SIZE);
     }
 }
 
-/// A budget that all entry hosts share.
+/// A retry budget that all entry hosts share.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Shared {
-    /// Retries that each first send of a service allows.
+    /// Retries allowed per first send of a service.
     ratio: f64,
-    /// Retries that all hosts together may make besides, for each service.
+    /// Additional retries that all hosts together may make for each service in a window.
     slack: f64,
-    /// The window over which both count.
+    /// The window over which both limits count.
     window: Duration,
-    /// This host's part of the slack.
-    part: Part,
+    /// This host's share of the slack.
+    #[serde(rename = "part")]
+    host_share: HostShare,
     /// What this host sent, by service.
     accounts: BTreeMap<Name, Account>,
 }
 
-/// What a host sent of one service.
+/// What a host sent for one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 struct Account {
-    /// Requests that were sent for the first time.
-    firsts: Recent,
-    /// Retries that were made.
-    repeats: Recent,
-    /// Retries that are reserved.
+    /// Requests sent for the first time.
+    firsts: SlidingCounter,
+    /// Retries sent.
+    repeats: SlidingCounter,
+    /// Number of retries reserved.
     reserved: u32,
 }
 
 impl Shared {
-    /// The share of a host that has just started.
+    /// Creates the budget of a host that has just started.
     fn new(serving: &Serving, window: Duration) -> Self {
         Self {
             ratio: serving.retry_ratio,
             slack: f64::from(serving.retry_slack),
             window,
-            part: Part::new(window),
+            host_share: HostShare::new(window),
             accounts: BTreeMap::new(),
         }
     }
 
-    /// Whether one more retry at a service is within this host's share.
-    fn has(&mut self, service: &Name, now: Time) -> bool {
+    /// Whether one more retry for a service is within this host's share.
+    fn allows(&mut self, service: &Name, now: Time) -> bool {
         let allowed = self.allowed(service, now);
         let account = self.account(service);
         let made = account
@@ -231,26 +233,26 @@
         f64::from(made) + 1.0 <= allowed
     }
 
-    /// Retries at a service that a second allows.
+    /// Returns the number of retries per second allowed for a service.
     fn rate(&mut self, service: &Name, now: Time) -> f64 {
         self.allowed(service, now) / self.window.as_secs_f64()
     }
 
-    /// Retries at a service that a window allows.
+    /// Returns the number of retries per window allowed for a service.
     fn allowed(&mut self, service: &Name, now: Time) -> f64 {
-        let slack = self.slack * self.part.size(now);
-        let ratio = self.ratio * USED;
+        let slack = self.slack * self.host_share.fraction(now);
+        let ratio = self.ratio * MOVED_CALLERS_FACTOR;
         f64::from(self.account(service).firsts.at_least(now)) * ratio + slack
     }
 
-    /// What was sent of a service.
+    /// Returns the account of a service, which starts empty.
     fn account(&mut self, service: &Name) -> &mut Account {
         let window = self.window;
         self.accounts
             .entry(service.clone())
             .or_insert_with(|| Account {
-                firsts: Recent::new(window),
-                repeats: Recent::new(window),
+                firsts: SlidingCounter::new(window),
+                repeats: SlidingCounter::new(window),
                 reserved: 0,
             })
     }
--- a/crates/entry/src/catalogue.rs
+++ b/crates/entry/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The settings in force, looked up by name.
+//! Lookup tables built from the settings and the route table in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,56 +10,57 @@
 
 use crate::event::What;
 
-/// Bytes of a gibibyte.
+/// Bytes in a gibibyte.
 const GIB: f64 = 1_073_741_824.0;
 
-/// What the settings say of one model.
+/// The settings of one model.
 #[derive(Debug, Clone)]
 pub struct Model {
-    /// The version in force.
+    /// The version in force, if any.
     pub version: Option<Name>,
-    /// Class of its requests that name none.
+    /// Class of requests that name none.
     pub class: Option<ClassId>,
-    /// Whether cornelhitch loads it; else it is only routed to where it is.
+    /// Whether cornelhitch loads the model; if not, requests are only routed to where it already
+    /// is.
     pub managed: bool,
-    /// Its adapters.
+    /// The adapters that requests may name.
     pub adapters: BTreeSet<Name>,
-    /// Its rules, with the exceptions counted in.
+    /// The model's rules, including its exceptions.
     pub rules: Rules,
-    /// The shortest time in which a replica could be loaded.
+    /// Minimum time to load a replica.
     pub load: Duration,
 }
 
-/// What the settings say of one plain service.
+/// The settings of one service that runs no models.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Methods whose calls may be repeated.
+    /// HTTP methods whose calls may be repeated.
     pub repeatable: BTreeSet<Name>,
-    /// Class of its requests that name none.
+    /// Class of requests that name none.
     pub class: Option<ClassId>,
 }
 
-/// The settings in force.
+/// The settings and the route table in force.
 #[derive(Debug, Clone, Default)]
 pub struct Catalogue {
-    /// Their version; 0 before there are any.
+    /// Version of the settings; 0 before there are any.
     pub version: Version,
-    /// The settings.
+    /// The parsed settings.
     pub fleet: Fleet,
-    /// Models by name.
+    /// Models by id.
     pub models: BTreeMap<ModelId, Model>,
-    /// Plain services by name.
+    /// Services by name.
     pub services: BTreeMap<Name, Service>,
-    /// The table of routes.
+    /// The route table, if one has arrived.
     pub table: Option<Arc<Table>>,
 }
 
 impl Catalogue {
-    /// Reads settings and makes the tables.
+    /// Parses settings and builds the lookup tables.
     ///
     /// # Errors
     ///
-    /// The text does not hold settings.
+    /// Returns an error if the text is not a valid settings document.
     pub fn read(version: Version, text: &str) -> Result<Self, cornelhitch_settings::error::Error> {
         let fleet: Fleet = text.parse()?;
         let models = fleet.models.iter().map(|model| {
@@ -91,9 +92,9 @@
         })
     }
 
-    /// Takes a table of routes over, unless a newer one is known: its models join those of the
-    /// settings, and its services are known by their routes.
-    pub fn adopt(&mut self, table: Arc<Table>) {
+    /// Applies a route table, unless a newer one is known. Its models are added to those of the
+    /// settings; its services are looked up through their routes.
+    pub fn adopt_table(&mut self, table: Arc<Table>) {
         if self
             .table
             .as_ref()
@@ -102,12 +103,12 @@
             return;
         }
         if let Some(known) = self.table.take() {
-            for id in hosted(&known).map(|(id, _)| id) {
+            for id in routed_models(&known).map(|(id, _)| id) {
                 self.models.remove(&id);
             }
         }
         let rules = Rules::from(&self.fleet);
-        for (id, model) in hosted(&table) {
+        for (id, model) in routed_models(&table) {
             let known = Model {
                 version: None,
                 class: None,
@@ -121,9 +122,9 @@
         self.table = Some(table);
     }
 
-    /// Whether what is asked for exists.
+    /// Whether the requested model, with its adapter, or service exists.
     #[must_use]
-    pub fn has(&self, what: &What) -> bool {
+    pub fn contains(&self, what: &What) -> bool {
         match what {
             What::Model(reference) => self.models.get(&reference.model).is_some_and(|model| {
                 let adapter = reference.adapter.as_ref();
@@ -145,22 +146,23 @@
         }
     }
 
-    /// The name of the class of a request that names none.
+    /// Returns the class of requests for this model or service that name none.
     #[must_use]
-    pub fn class_of(&self, what: &What) -> Option<&ClassId> {
+    pub fn default_class(&self, what: &What) -> Option<&ClassId> {
         match what {
             What::Model(reference) => self.models.get(&reference.model)?.class.as_ref(),
             What::Service { name, .. } => self.services.get(name)?.class.as_ref(),
         }
     }
 
-    /// The class of that name.
+    /// Returns the class with this name.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<&Class> {
         self.fleet.class(name)
     }
 
-    /// How long a request waits that names no deadline.
+    /// Returns how long a request waits that gives no deadline: as its class says, else its model,
+    /// else the general setting.
     #[must_use]
     pub fn deadline(&self, what: &What, class: Option<&Class>) -> Duration {
         let of_class = class.and_then(|class| class.deadline_ms);
@@ -173,7 +175,8 @@
         of_class.map_or(otherwise, Duration::from_millis)
     }
 
-    /// Requests that one replica, or a service's target, answers at once.
+    /// Returns how many requests one replica of a model, or one target of a service (`None`),
+    /// serves concurrently.
     #[must_use]
     pub fn concurrency(&self, model: Option<&str>) -> u32 {
         let model = model.and_then(|name| self.models.get(name));
@@ -183,9 +186,10 @@
             .max(1)
     }
 
-    /// The way between two regions in milliseconds, and the price of bytes on it.
+    /// Returns the round-trip time between two regions in milliseconds, and the network price of
+    /// the bytes.
     #[must_use]
-    pub fn way(&self, from: &RegionId, to: &RegionId, bytes: u64) -> (f64, f64) {
+    pub fn distance_and_price(&self, from: &RegionId, to: &RegionId, bytes: u64) -> (f64, f64) {
         if from == to {
             return (0.0, 0.0);
         }
@@ -200,15 +204,15 @@
     }
 }
 
-/// The models of a table's engines with their ids.
-fn hosted(table: &Table) -> impl Iterator<Item = (ModelId, &route::Model)> {
+/// Iterates over the models of a route table's engines, with their ids.
+fn routed_models(table: &Table) -> impl Iterator<Item = (ModelId, &route::Model)> {
     table.engines().flat_map(|(service, engine)| {
         let models = engine.models.iter();
         models.map(|model| (model.id(&service.name), model))
     })
 }
 
-/// Bytes as gibibytes.
+/// Converts bytes to gibibytes.
 #[allow(clippy::cast_precision_loss)]
 fn gib(bytes: u64) -> f64 {
     bytes as f64 / GIB
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -1,7 +1,7 @@
-//! The entry side of "at most once".
+//! Idempotency claims on the entry side: a request with a key runs at most once.
 //!
-//! A claim is asked for when the request arrives, so that a resend is answered
-//! without waiting in a queue. It is given back when the request was not sent.
+//! The claim is requested when the request arrives, so that a resend is answered without waiting in
+//! the queue. It is released if the request was not sent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,157 +14,157 @@
 
 use crate::event::CallId;
 
-/// How long a claim whose reply never came is watched for a late grant.
-pub const WATCH: Duration = Duration::from_mins(10);
+/// How long to watch for a late grant of a claim whose reply never came.
+pub const LATE_GRANT_WATCH: Duration = Duration::from_mins(10);
 
-/// What control answers to a claim.
+/// Control's reply to a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, EnumDiscriminants)]
 #[strum_discriminants(
-    name(Kind),
+    name(ReplyKind),
     derive(EnumIter, Display),
     doc = "A reply without what it carries."
 )]
 pub enum Reply {
-    /// The claim is committed: this request may be sent, once.
+    /// The claim is committed: this request may be sent once.
     Granted,
-    /// The same request is in progress elsewhere.
+    /// The same request is in flight elsewhere.
     InProgress,
-    /// The same request was answered, with this.
+    /// The same request was answered, with this response.
     Recorded(Bytes),
-    /// The same request was sent and nobody knows what became of it.
+    /// The same request was sent and its outcome is unknown.
     Unknown,
-    /// The key was used with another body.
+    /// The key was used with a different body.
     Mismatch,
     /// The key is so old that its outcome is no longer kept.
     Forgotten,
-    /// Control cannot be reached; the claim may be committed or not.
+    /// Control cannot be reached; the claim may or may not be committed.
     Unavailable,
 }
 
-/// What became of a request that had a claim.
+/// The outcome of a request with a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display)]
 pub enum Outcome {
-    /// No byte of it was sent: the claim ends, and the key is free.
+    /// No byte of it was sent: the claim ends and the key may be used again.
     NotRun,
-    /// It was answered in full; the answer is kept for resends.
+    /// It was answered in full; the response is kept for resends.
     Answered,
-    /// It was sent, and its end is not known.
+    /// It was sent, and how it ended is unknown.
     Unknown,
 }
 
-/// What an answer to a claim leads to.
+/// What follows a reply to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
-    /// The request goes on to the queue.
+pub enum NextStep {
+    /// The request is queued.
     Wait,
-    /// The recorded answer goes to the caller.
+    /// The recorded response is sent to the caller.
     Replay,
-    /// The caller is refused.
+    /// The request is refused.
     Refuse {
-        /// Why.
+        /// The reason given to the caller.
         reason: Reason,
-        /// Whether the request ran, now or before.
+        /// Whether the request ran, now or earlier.
         run: Run,
-        /// When to come back.
+        /// When the caller may retry; `None` if a retry cannot help.
         retry: Option<Duration>,
-        /// Whether a claim may be left that must be given back.
+        /// Whether the claim may have been committed and must be released.
         release: bool,
-        /// A sentence for people.
+        /// A message for people.
         detail: &'static str,
     },
 }
 
-/// One reply and what it leads to.
+/// A kind of reply and what follows it.
 #[derive(Debug, Clone, Copy)]
-pub struct Row {
-    /// The reply.
-    pub reply: Kind,
-    /// What follows.
-    pub next: Next,
+pub struct ReplyStep {
+    /// The kind of reply.
+    pub reply: ReplyKind,
+    /// What follows the reply.
+    pub next: NextStep,
 }
 
-/// A refusal after which coming back does not help, or only after `retry`.
+/// Creates the row for a refusal; `retry` is `None` if a retry cannot help.
 const fn refuse(
-    reply: Kind,
+    reply: ReplyKind,
     reason: Reason,
     run: Run,
     retry: Option<Duration>,
     detail: &'static str,
-) -> Row {
-    let release = matches!(reply, Kind::Unavailable);
-    let next = Next::Refuse {
+) -> ReplyStep {
+    let release = matches!(reply, ReplyKind::Unavailable);
+    let next = NextStep::Refuse {
         reason,
         run,
         retry,
         release,
         detail,
     };
-    Row { reply, next }
+    ReplyStep { reply, next }
 }
 
-/// Time after which a resend may find that its request has ended.
-const SOON: Option<Duration> = Some(Duration::from_secs(1));
+/// `Retry-After` for a resend whose original request may have ended by then.
+const RESEND_RETRY_AFTER: Option<Duration> = Some(Duration::from_secs(1));
 
-/// Every reply and what it leads to.
+/// What follows each kind of reply.
 #[rustfmt::skip]
-pub const TABLE: [Row; 7] = [
-    Row { reply: Kind::Granted, next: Next::Wait },
-    Row { reply: Kind::Recorded, next: Next::Replay },
-    refuse(Kind::InProgress, Reason::InProgress, Run::Unknown, SOON, "the same request is in progress"),
-    refuse(Kind::Unknown, Reason::TargetFailed, Run::Unknown, None, "the same request was sent and its outcome is not known"),
-    refuse(Kind::Mismatch, Reason::Mismatch, Run::NotRun, None, "the key was used with another body"),
-    refuse(Kind::Forgotten, Reason::Forgotten, Run::Unknown, None, "the outcome of this key is no longer kept"),
-    refuse(Kind::Unavailable, Reason::Unavailable, Run::NotRun, SOON, "control cannot commit the claim now"),
+pub const REPLY_STEPS: [ReplyStep; 7] = [
+    ReplyStep { reply: ReplyKind::Granted, next: NextStep::Wait },
+    ReplyStep { reply: ReplyKind::Recorded, next: NextStep::Replay },
+    refuse(ReplyKind::InProgress, Reason::InProgress, Run::Unknown, RESEND_RETRY_AFTER, "the same request is in progress"),
+    refuse(ReplyKind::Unknown, Reason::TargetFailed, Run::Unknown, None, "the same request was sent and its outcome is unknown"),
+    refuse(ReplyKind::Mismatch, Reason::Mismatch, Run::NotRun, None, "the key was used with another body"),
+    refuse(ReplyKind::Forgotten, Reason::Forgotten, Run::Unknown, None, "the outcome of this key is no longer kept"),
+    refuse(ReplyKind::Unavailable, Reason::Unavailable, Run::NotRun, RESEND_RETRY_AFTER, "control cannot commit the claim now"),
 ];
 
 impl Reply {
-    /// What this reply leads to.
+    /// Returns what follows this reply.
     ///
     /// ```
-    /// use cornelhitch_entry::claim::{Next, Reply};
+    /// use cornelhitch_entry::claim::{NextStep, Reply};
     ///
-    /// assert_eq!(Reply::Granted.next(), Next::Wait);
+    /// assert_eq!(Reply::Granted.next(), NextStep::Wait);
     /// ```
     #[must_use]
-    pub fn next(&self) -> Next {
-        let kind = Kind::from(self);
-        let row = TABLE.iter().find(|row| row.reply == kind);
-        row.map_or(Next::Wait, |row| row.next)
+    pub fn next(&self) -> NextStep {
+        let kind = ReplyKind::from(self);
+        let row = REPLY_STEPS.iter().find(|row| row.reply == kind);
+        row.map_or(NextStep::Wait, |row| row.next)
     }
 }
 
-/// A claim that was asked for by a request that has ended unsent.
+/// A claim that was requested for a request that ended unsent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Orphan {
-    /// Who asked.
+pub struct OrphanedClaim {
+    /// The caller that sent the request.
     pub caller: CallerId,
-    /// The key.
+    /// The idempotency key.
     pub key: Name,
-    /// Until when a late grant is watched for.
+    /// When to stop watching for a late grant.
     pub until: Time,
 }
 
-/// The claims that must be given back should they turn out to be granted.
+/// Claims that must be released if control turns out to have granted them.
 #[derive(Debug, Default, Serialize)]
-pub struct Orphans {
-    /// By request.
-    calls: BTreeMap<CallId, Orphan>,
+pub struct OrphanedClaims {
+    /// Claims by request.
+    calls: BTreeMap<CallId, OrphanedClaim>,
 }
 
-impl Orphans {
+impl OrphanedClaims {
     /// Watches for a late grant.
     pub fn watch(&mut self, id: CallId, caller: CallerId, key: Name, now: Time) {
-        let until = now + WATCH;
-        self.calls.insert(id, Orphan { caller, key, until });
+        let until = now + LATE_GRANT_WATCH;
+        self.calls.insert(id, OrphanedClaim { caller, key, until });
     }
 
-    /// The orphan that a late grant is for; it stays, since replies come doubled.
+    /// Returns the claim that a late grant is for. It is kept, since replies may be duplicated.
     #[must_use]
-    pub fn granted(&self, id: CallId) -> Option<&Orphan> {
+    pub fn get(&self, id: CallId) -> Option<&OrphanedClaim> {
         self.calls.get(&id)
     }
 
-    /// Drops those whose time is over; ids grow, so the oldest come first.
+    /// Drops expired claims. Ids increase, so the oldest claims come first.
     pub fn expire(&mut self, now: Time) {
         while let Some(first) = self.calls.first_entry() {
             if first.get().until > now {
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -1,4 +1,4 @@
-//! What a core is made from.
+//! The configuration of a core.
 
 use std::collections::BTreeSet;
 
@@ -7,20 +7,20 @@
 
 use crate::route::{self, Router};
 
-/// A part of the policy that can be left out.
+/// A protection mechanism that can be disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Guard {
-    /// The early refusal of requests that cannot be met.
+    /// Early refusal of requests that cannot meet their deadline.
     Early,
-    /// The sharing of a target's concurrency among entry hosts.
+    /// Sharing a target's concurrency among entry hosts.
     Sharing,
-    /// The ejection of targets that cannot be reached.
+    /// Ejection of targets that cannot be reached.
     Ejection,
-    /// The budget of retries.
+    /// The retry budget.
     Budget,
 }
 
-/// The settings of a core, built up step by step.
+/// The configuration of a core, with builder methods.
 ///
 /// ```
 /// use cornelhitch_entry::config::Config;
@@ -31,29 +31,29 @@
 pub struct Config {
     /// This host's number.
     pub host: HostId,
-    /// This life of the process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
     /// The host's region.
     pub region: RegionId,
     /// The host's availability zone.
     pub zone: ZoneId,
-    /// Where the core's random choices start.
+    /// Seed of the core's random choices.
     pub seed: u64,
-    /// How replicas are chosen.
+    /// Chooses the replica for each request.
     pub router: Box<dyn Router>,
-    /// Suspect requests that run on one target at once.
+    /// Maximum number of suspect requests in flight on one target.
     pub suspects: u32,
-    /// What the process's settings say of serving.
+    /// The process settings for serving requests.
     pub serving: Serving,
-    /// Guards that are left out, to measure what they are worth.
-    pub left_out: BTreeSet<Guard>,
-    /// A fault that tests plant.
+    /// Guards that are disabled, to measure their effect.
+    pub disabled: BTreeSet<Guard>,
+    /// The fault that a test injects.
     #[cfg(test)]
     pub(crate) fault: Option<crate::fault::Fault>,
 }
 
 impl Config {
-    /// A host in no named place, with every part in use.
+    /// Creates the configuration of a host with empty region and zone and all guards enabled.
     #[must_use]
     pub fn new(host: HostId) -> Self {
         Self {
@@ -62,16 +62,16 @@
             region: "".into(),
             zone: "".into(),
             seed: host,
-            router: Box::new(route::TwoChoices::whole(host)),
+            router: Box::new(route::TwoChoiceRouter::with_all_costs(host)),
             suspects: 1,
             serving: Serving::default(),
-            left_out: BTreeSet::new(),
+            disabled: BTreeSet::new(),
             #[cfg(test)]
             fault: None,
         }
     }
 
-    /// Sets this life of the process.
+    /// Sets the incarnation of this process.
     #[must_use]
     pub fn incarnation(mut self, incarnation: Incarnation) -> Self {
         self.incarnation = incarnation;
@@ -86,45 +86,45 @@
         self
     }
 
-    /// Sets where random choices start, with the usual router.
+    /// Sets the seed, and replaces the router by the default one with this seed.
     #[must_use]
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
-        self.router = Box::new(route::TwoChoices::whole(seed));
+        self.router = Box::new(route::TwoChoiceRouter::with_all_costs(seed));
         self
     }
 
-    /// Sets how replicas are chosen.
+    /// Sets the router that chooses replicas.
     #[must_use]
     pub fn router(mut self, router: Box<dyn Router>) -> Self {
         self.router = router;
         self
     }
 
-    /// Sets how many suspect requests run on one target at once.
+    /// Sets the maximum number of suspect requests in flight on one target.
     #[must_use]
     pub fn suspects(mut self, suspects: u32) -> Self {
         self.suspects = suspects;
         self
     }
 
-    /// Sets what the process's settings say of serving.
+    /// Sets the process settings for serving requests.
     #[must_use]
     pub fn serving(mut self, serving: Serving) -> Self {
         self.serving = serving;
         self
     }
 
-    /// Leaves a guard out.
+    /// Disables a guard.
     #[must_use]
     pub fn without(mut self, guard: Guard) -> Self {
-        self.left_out.insert(guard);
+        self.disabled.insert(guard);
         self
     }
 
-    /// Whether a guard is in use.
+    /// Whether a guard is enabled.
     #[must_use]
     pub fn uses(&self, guard: Guard) -> bool {
-        !self.left_out.contains(&guard)
+        !self.disabled.contains(&guard)
     }
 }
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -1,4 +1,4 @@
-//! The aggregate of one entry host.
+//! The state machine of one entry host.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -12,97 +12,98 @@
 use rand::rngs::SmallRng;
 
 use crate::action::Action;
-use crate::affinity::Caches;
+use crate::affinity::PrefixCaches;
 use crate::budget::Budget;
+use crate::cancelled::CancelledAttempts;
 use crate::catalogue::Catalogue;
-use crate::claim::Orphans;
+use crate::claim::OrphanedClaims;
 use crate::config::{Config, Guard};
 use crate::drain::Drain;
 use crate::dump::Dump;
 use crate::ejection::Ejections;
 use crate::entries::{self, Entries, Whence};
-use crate::estimate::Paces;
+use crate::estimate::Latencies;
 use crate::event::{CallId, Event};
 use crate::fault::Fault;
-use crate::finish::End;
+use crate::finish::Rejection;
+use crate::fleet_view::FleetView;
 use crate::health::Health;
 use crate::lease::Lease;
-use crate::picture::Picture;
 use crate::quarantine::Quarantine;
-use crate::queue::{Key, Queue};
-use crate::request::{Call, Reach, Stage};
+use crate::queue::{Queue, QueueKey};
+use crate::request::{Call, Progress, Stage};
 use crate::route::Place;
 use crate::share::Shares;
-use crate::stopped::Stopped;
 use crate::tally::Tallies;
 
-/// How often requests that can no longer be met are looked for.
-const SWEEP: Time = Time::from_millis(100);
+/// Interval at which the queue is searched for requests that can no longer meet their deadline.
+const SWEEP_INTERVAL: Time = Time::from_millis(100);
 
-/// How long a model is reported after its last request: some reports, of which a few may be lost.
-const RECENT: Time = Time::from_secs(2);
+/// How long a model stays in demand reports after its last request. This spans several reports, so
+/// that it gets through even if some of them are lost.
+const DEMAND_REPORT_WINDOW: Time = Time::from_secs(2);
 
-/// The slack that is reported where nothing waits.
-const NO_HURRY: Time = Time::from_hours(1);
+/// The slack reported for a model with no waiting requests.
+const IDLE_SLACK: Time = Time::from_hours(1);
 
-/// Requests for one model that came to this host.
+/// Requests for one model that arrived at this host.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Arrivals {
-    /// How many, since the process started.
+    /// Number of arrivals since the process started.
     pub count: u64,
-    /// When the last one came.
+    /// Time of the last arrival.
     pub last: Time,
 }
 
-/// The state of one entry host.
+/// State machine of one entry host.
 ///
-/// It holds no clock: the owner passes the time, calls again with
-/// [`Event::Tick`] at [`Core::next_wake`], and carries out the actions in order.
+/// It has no clock: the owner passes the time with each event, sends [`Event::Tick`] at
+/// [`Core::next_wake`], and carries out the returned actions in order.
 pub struct Core {
     pub(crate) config: Config,
     pub(crate) now: Time,
     pub(crate) catalogue: Catalogue,
-    pub(crate) picture: Picture,
+    pub(crate) fleet_view: FleetView,
     pub(crate) lease: Lease,
     pub(crate) drain: Drain,
     pub(crate) queue: Queue,
     pub(crate) calls: HashMap<CallId, Call>,
-    /// Requests that wait for their claim.
+    /// Number of requests that wait for control to answer their claim.
     pub(crate) claiming: usize,
     pub(crate) timers: BTreeSet<(Time, CallId)>,
-    /// Requests that are sent again only after a pause.
-    pub(crate) pauses: BTreeSet<(Time, CallId)>,
-    pub(crate) paces: Paces,
+    /// Requests in retry backoff, by the time at which they may be sent again.
+    pub(crate) backoffs: BTreeSet<(Time, CallId)>,
+    pub(crate) latencies: Latencies,
     pub(crate) shares: Shares,
     pub(crate) ejections: Ejections,
     pub(crate) health: Health,
-    pub(crate) caches: Caches,
+    pub(crate) caches: PrefixCaches,
     pub(crate) quarantine: Quarantine,
-    pub(crate) stopped: Stopped,
+    pub(crate) cancelled: CancelledAttempts,
     pub(crate) budget: Budget,
     pub(crate) tallies: Tallies,
-    pub(crate) orphans: Orphans,
-    /// Requests in progress by place.
-    pub(crate) flights: BTreeMap<Place, u32>,
-    /// Requests in progress by fingerprint and target.
-    pub(crate) prints: HashMap<u64, BTreeMap<TargetId, u32>>,
+    pub(crate) orphaned_claims: OrphanedClaims,
+    /// In-flight requests by place.
+    pub(crate) in_flight: BTreeMap<Place, u32>,
+    /// In-flight requests by fingerprint and target.
+    pub(crate) in_flight_fingerprints: HashMap<u64, BTreeMap<TargetId, u32>>,
     pub(crate) arrivals: BTreeMap<ModelId, Arrivals>,
-    /// Kinds of requests that may have got a place to go to.
-    pub(crate) dirty: BTreeSet<Key>,
-    /// When requests that are held back by the retry budget are tried.
-    pub(crate) starved: Option<Time>,
-    /// Requests for which the budget has no retry soon, and how long they would wait.
-    pub(crate) unaffordable: Vec<(CallId, Duration)>,
-    /// When the queue is next looked through.
-    pub(crate) sweep: Time,
+    /// Lanes to dispatch from: a place may have become available for their requests.
+    pub(crate) dirty: BTreeSet<QueueKey>,
+    /// When requests that are held back by the retry budget are tried again.
+    pub(crate) budget_retry_at: Option<Time>,
+    /// Requests that the retry budget cannot serve soon, with their expected wait.
+    pub(crate) over_budget: Vec<(CallId, Duration)>,
+    /// When the queue is next searched for expired requests.
+    pub(crate) next_sweep: Time,
     pub(crate) random: SmallRng,
     pub(crate) actions: Vec<Action>,
-    /// Reports made.
-    reports: u64,
+    /// Number of demand reports made, used as their sequence number.
+    report_count: u64,
 }
 
 impl Core {
-    /// A core that knows nothing of the fleet and takes no requests yet.
+    /// Creates a core with an empty view of the fleet, which accepts no requests yet.
     #[must_use]
     pub fn new(config: Config, now: Time) -> Self {
         let random = SmallRng::seed_from_u64(config.seed);
@@ -111,231 +112,235 @@
             config,
             now,
             catalogue: Catalogue::default(),
-            picture: Picture::default(),
+            fleet_view: FleetView::default(),
             lease: Lease::default(),
             drain: Drain::default(),
             queue: Queue::default(),
             calls: HashMap::new(),
             claiming: 0,
             timers: BTreeSet::new(),
-            pauses: BTreeSet::new(),
-            paces: Paces::default(),
+            backoffs: BTreeSet::new(),
+            latencies: Latencies::default(),
             shares: Shares::default(),
             ejections: Ejections::default(),
             health: Health::default(),
-            caches: Caches::default(),
+            caches: PrefixCaches::default(),
             quarantine: Quarantine::default(),
-            stopped: Stopped::default(),
+            cancelled: CancelledAttempts::default(),
             budget,
             tallies: Tallies::default(),
-            orphans: Orphans::default(),
-            flights: BTreeMap::new(),
-            prints: HashMap::new(),
+            orphaned_claims: OrphanedClaims::default(),
+            in_flight: BTreeMap::new(),
+            in_flight_fingerprints: HashMap::new(),
             arrivals: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            starved: None,
-            unaffordable: Vec::new(),
-            sweep: now,
+            budget_retry_at: None,
+            over_budget: Vec::new(),
+            next_sweep: now,
             random,
             actions: Vec::new(),
-            reports: 0,
+            report_count: 0,
         }
     }
 
-    /// Takes an event and returns what is to be done, in order.
+    /// Processes an event and returns the actions to carry out, in order.
     ///
-    /// Events of requests and attempts that have ended change nothing.
+    /// Events for requests or attempts that have already ended are ignored.
     pub fn handle(&mut self, event: Event, now: Time) -> Vec<Action> {
         self.now = self.now.max(now);
         match event {
-            Event::Arrived(request) => self.arrived(request),
-            Event::View(view) => self.view(view),
+            Event::Arrived(request) => self.on_arrived(request),
+            Event::View(view) => self.on_view(view),
             Event::Lease { until, version } => {
                 self.lease.renew(until, version, self.now);
-                self.budget.renew(until, self.now);
+                self.budget.renew_lease(until, self.now);
             }
-            Event::Claimed { id, reply } => self.claimed(id, reply),
-            Event::Recorded { id } => self.recorded(id),
-            Event::Sent { id, attempt } => self.sent(id, attempt),
-            Event::Begun { id, attempt } => self.begun(id, attempt),
+            Event::Claimed { id, reply } => self.on_claimed(id, reply),
+            Event::Recorded { id } => self.on_recorded(id),
+            Event::Sent { id, attempt } => self.on_sent(id, attempt),
+            Event::Begun { id, attempt } => self.on_begun(id, attempt),
             Event::Answered {
                 target,
                 incarnation,
                 error,
-            } => self.answered(&target, incarnation, error),
+            } => self.on_answered(&target, incarnation, error),
             Event::Progress {
                 id,
                 attempt,
                 offset,
-            } => self.progress(id, attempt, offset),
-            Event::Ended { id, attempt } => self.ended(id, attempt),
+            } => self.on_progress(id, attempt, offset),
+            Event::Ended { id, attempt } => self.on_ended(id, attempt),
             Event::Failed {
                 id,
                 attempt,
                 failure,
-            } => self.failed(id, attempt, failure),
-            Event::CallerLeft { id } => self.caller_left(id),
+            } => self.on_failed(id, attempt, failure),
+            Event::CallerLeft { id } => self.on_caller_left(id),
             Event::Reserved {
                 target,
                 incarnation,
                 granted,
-            } => self.reserved(target, incarnation, granted),
-            Event::Probed { target, connected } => self.probed(&target, connected),
+            } => self.on_reserved(target, incarnation, granted),
+            Event::Probed { target, connected } => self.on_probed(&target, connected),
             Event::Loaded {
                 target,
                 incarnation,
                 load,
-            } => self.loaded(&target, incarnation, load),
+            } => self.on_loaded(&target, incarnation, load),
             Event::Drain => {
                 let leave = Time::from_millis(self.config.serving.leave_ms);
                 self.drain.start(self.now + leave);
             }
             Event::Tick => {}
         }
-        self.settle();
+        self.process_due();
         std::mem::take(&mut self.actions)
     }
 
-    /// When the core next wants [`Event::Tick`], if nothing else comes before.
+    /// Returns when the core needs the next [`Event::Tick`], or `None` if only other events can
+    /// change its state.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         let timer = self.timers.first().map(|(time, _)| *time);
-        let pause = self.pauses.first().map(|(time, _)| *time);
-        let sweep = (!self.queue.is_empty()).then_some(self.sweep);
+        let pause = self.backoffs.first().map(|(time, _)| *time);
+        let next_sweep = (!self.queue.is_empty()).then_some(self.next_sweep);
         let wakes = [
             timer,
             pause,
-            sweep,
-            self.starved,
-            self.ejections.next(),
-            self.quarantine.next(),
-            self.drain.next(),
+            next_sweep,
+            self.budget_retry_at,
+            self.ejections.next_probe(),
+            self.quarantine.next_expiry(),
+            self.drain.next_step(),
         ];
         wakes.into_iter().flatten().min()
     }
 
-    /// The demand for models, as a level; each call counts as one more report.
+    /// Returns the current demand by model and version. Each call increments the report's sequence
+    /// number.
     pub fn report(&mut self) -> demand::Report {
-        self.reports += 1;
+        self.report_count += 1;
         let mut rows: BTreeMap<(ModelId, Option<Name>), demand::Demand> = BTreeMap::new();
         let recent = self
             .arrivals
             .iter()
-            .filter(|(_, arrivals)| arrivals.last + RECENT > self.now);
+            .filter(|(_, arrivals)| arrivals.last + DEMAND_REPORT_WINDOW > self.now);
         for (model, _) in recent {
-            rows.insert((model.clone(), None), self.row(model, None));
+            rows.insert((model.clone(), None), self.demand_row(model, None));
         }
         for call in self.calls.values() {
-            let Key::Model(model, version) = &call.key else {
+            let QueueKey::Model(model, version) = &call.key else {
                 continue;
             };
             let row = rows
                 .entry((model.clone(), version.clone()))
-                .or_insert_with(|| self.row(model, version.clone()));
-            count(row, call, self.now);
+                .or_insert_with(|| self.demand_row(model, version.clone()));
+            count_call(row, call, self.now);
         }
         demand::Report {
             host: self.config.host,
             incarnation: self.config.incarnation,
-            sequence: self.reports,
+            sequence: self.report_count,
             region: self.config.region.clone(),
             rows: rows.into_values().collect(),
         }
     }
 
-    /// The answer to a caller that asks where to connect.
+    /// Returns the entry hosts that a caller at this location should connect to.
     pub fn entries(&mut self, whence: &Whence) -> Entries {
         let load = self.load();
-        let draining = self.drain.leaves();
-        if let Some(own) = self.picture.hosts.get_mut(&self.config.host) {
+        let draining = self.drain.is_leaving();
+        if let Some(own) = self.fleet_view.hosts.get_mut(&self.config.host) {
             own.load = load;
             own.draining |= draining;
         }
-        let hosts: Vec<_> = self.picture.hosts.values().collect();
+        let hosts: Vec<_> = self.fleet_view.hosts.values().collect();
         let max_age = Time::from_millis(self.config.serving.max_age_ms);
         entries::answer(&hosts, whence, max_age, &mut self.random)
     }
 
-    /// The answer to a caller that connects to any of the hosts named: those nearest to it.
+    /// Returns the nearest entry hosts, for a caller that may connect to any of the addresses
+    /// given.
     #[must_use]
     pub fn nearest(&self, whence: &Whence) -> Entries {
         let own = self.config.host;
-        let leaves = self.drain.leaves();
-        let open = self.picture.hosts.values();
+        let leaves = self.drain.is_leaving();
+        let open = self.fleet_view.hosts.values();
         let open = open.filter(|host| !(host.draining || (host.host == own && leaves)));
         let max_age = Time::from_millis(self.config.serving.max_age_ms);
         entries::nearest(&open.collect::<Vec<_>>(), whence, max_age)
     }
 
-    /// Whether this host takes requests: it knows routes and targets and does not end.
+    /// Whether this host accepts requests: it has a route table and a view of the fleet, and is not
+    /// shutting down.
     #[must_use]
     pub fn takes_requests(&self) -> bool {
-        !self.drain.leaves() && self.catalogue.table.is_some() && self.picture.sequence > 0
+        !self.drain.is_leaving() && self.catalogue.table.is_some() && self.fleet_view.sequence > 0
     }
 
-    /// The term of the view, and the place up to which it is known.
+    /// Returns the term of the fleet view and the sequence number up to which it has been applied.
     #[must_use]
     pub fn seen(&self) -> (u64, u64) {
-        (self.picture.term, self.picture.sequence)
+        (self.fleet_view.term, self.fleet_view.sequence)
     }
 
-    /// The table of routes in force here.
+    /// Returns the route table in force on this host, or `None` before the first one arrives.
     #[must_use]
     pub fn table(&self) -> Option<&Arc<Table>> {
         self.catalogue.table.as_ref()
     }
 
-    /// Strikes at which a request is refused.
+    /// Number of strikes at which a fingerprint is quarantined.
     pub(crate) fn strike_limit(&self) -> u32 {
         self.config.serving.strikes
     }
 
-    /// Whether control published this life of a target, or a later one.
+    /// Whether control has published this incarnation of a target, or a later one.
     #[must_use]
     pub fn knows(&self, target: &str, incarnation: u64) -> bool {
-        let known = self.picture.targets.get(target);
+        let known = self.fleet_view.targets.get(target);
         known.is_some_and(|known| known.view.incarnation >= incarnation)
     }
 
-    /// The life of a target that control published.
+    /// Returns the incarnation of a target that control last published.
     #[must_use]
     pub fn life(&self, target: &str) -> Option<Incarnation> {
-        let known = self.picture.targets.get(target);
+        let known = self.fleet_view.targets.get(target);
         known.map(|known| known.view.incarnation)
     }
 
-    /// Requests that wait or are in progress.
+    /// Returns the number of requests that wait or are in flight.
     #[must_use]
     pub fn load(&self) -> u32 {
         u32::try_from(self.calls.len()).unwrap_or(u32::MAX)
     }
 
-    /// Whether this host is left out of the answers to callers.
+    /// Whether this host is shutting down and therefore no longer announced to callers.
     #[must_use]
     pub fn draining(&self) -> bool {
-        self.drain.leaves()
+        self.drain.is_leaving()
     }
 
-    /// The version of the settings that this host acts on.
+    /// Returns the version of the settings in force on this host, 0 before there are any.
     #[must_use]
     pub fn settings(&self) -> cornelhitch_types::id::Version {
         self.catalogue.version
     }
 
-    /// Requests and repeats by service.
+    /// Returns the request and retry counters by service.
     #[must_use]
     pub fn tallies(&self) -> &Tallies {
         &self.tallies
     }
 
-    /// The state, for operators.
+    /// Returns a snapshot of the state for operators.
     #[must_use]
     pub fn dump(&self) -> Dump {
         Dump::from(self)
     }
 
-    /// A row without requests.
-    fn row(&self, model: &ModelId, version: Option<Name>) -> demand::Demand {
+    /// Returns a demand row with no waiting or running requests.
+    fn demand_row(&self, model: &ModelId, version: Option<Name>) -> demand::Demand {
         let arrivals = self.arrivals.get(model).copied().unwrap_or_default();
         demand::Demand {
             model: model.clone(),
@@ -343,59 +348,63 @@
             version,
             waiting: 0,
             running: 0,
-            slack: NO_HURRY,
+            slack: IDLE_SLACK,
             weight: 0,
             adapters: Vec::new(),
         }
     }
 
-    /// Does what has become due or possible.
-    fn settle(&mut self) {
-        self.expire();
-        self.probe();
-        let retry = self.starved.is_some_and(|at| at <= self.now)
-            || self.quarantine.next().is_some_and(|at| at <= self.now);
+    /// Fires due timers, dispatches waiting requests and advances the drain. Runs after each event.
+    fn process_due(&mut self) {
+        self.fire_timers();
+        self.send_due_probes();
+        let retry = self.budget_retry_at.is_some_and(|at| at <= self.now)
+            || self
+                .quarantine
+                .next_expiry()
+                .is_some_and(|at| at <= self.now);
         if retry {
-            self.starved = None;
-            self.quarantine.lapse(self.now);
+            self.budget_retry_at = None;
+            self.quarantine.expire_reservations(self.now);
             self.dirty.extend(self.queue.keys());
         }
-        if self.sweep <= self.now {
-            self.sweep = self.now + SWEEP;
-            self.tidy();
+        if self.next_sweep <= self.now {
+            self.next_sweep = self.now + SWEEP_INTERVAL;
+            self.sweep_expired();
         }
         while let Some(key) = self.dirty.pop_first() {
             self.dispatch(&key);
         }
-        self.release();
-        self.step_drain();
+        self.release_idle_reservations();
+        self.advance_drain();
     }
 
-    /// Fires the timers and the pauses that are over.
-    fn expire(&mut self) {
+    /// Fires the request timers that are due and marks lanes whose requests have finished their
+    /// backoff.
+    fn fire_timers(&mut self) {
         while let Some((time, id)) = self.timers.first().copied() {
             if time > self.now {
                 break;
             }
             self.timers.remove(&(time, id));
-            self.expired(id);
+            self.on_timer(id);
         }
-        while let Some((time, id)) = self.pauses.first().copied() {
+        while let Some((time, id)) = self.backoffs.first().copied() {
             if time > self.now {
                 break;
             }
-            self.pauses.remove(&(time, id));
+            self.backoffs.remove(&(time, id));
             let key = self.calls.get(&id).map(|call| call.key.clone());
             self.dirty.extend(key);
         }
     }
 
-    /// Drops what is kept only for a time, and refuses what can no longer be met.
-    fn tidy(&mut self) {
+    /// Drops expired records and refuses waiting requests that can no longer meet their deadline.
+    fn sweep_expired(&mut self) {
         let kept = Time::from_secs(self.catalogue.fleet.refusing.quarantine_s);
         self.quarantine.expire(kept, self.now);
-        self.orphans.expire(self.now);
-        self.stopped.expire(self.now);
+        self.orphaned_claims.expire(self.now);
+        self.cancelled.expire(self.now);
         if self.config.uses(Guard::Early) {
             for key in self.queue.keys() {
                 self.shed_late(&key);
@@ -403,14 +412,15 @@
         }
     }
 
-    /// Goes on with the end of the process.
-    fn step_drain(&mut self) {
+    /// Advances the shutdown: closes the listener, then reports `Drained` once no requests are
+    /// left.
+    fn advance_drain(&mut self) {
         if let Drain::Leaving { until } = self.drain
             && until <= self.now
         {
             self.drain = Drain::Closed;
             self.actions.push(Action::CloseListener);
-            self.send_away();
+            self.refuse_waiting();
         }
         if self.drain == Drain::Closed && self.calls.is_empty() {
             self.drain = Drain::Done;
@@ -418,36 +428,37 @@
         }
     }
 
-    /// Refuses routed requests that wait here, so that their callers go to another host at once.
-    fn send_away(&mut self) {
+    /// Refuses routed requests that wait here and were never sent, so that their callers can retry
+    /// on another host at once.
+    fn refuse_waiting(&mut self) {
         let waiting = self.calls.values().filter(|call| {
             let routed = call.request.terms.is_some();
-            routed && call.waits() && call.reach == Reach::Unsent
+            routed && call.is_waiting() && call.progress == Progress::Unsent
         });
         let mut waiting: Vec<CallId> = waiting.map(|call| call.request.id).collect();
         waiting.sort_unstable();
         for id in waiting {
-            let end = End::not_run(Reason::Draining, "this host is shutting down");
-            self.refuse(id, end);
+            let rejection = Rejection::not_run(Reason::Draining, "this host is shutting down");
+            self.refuse(id, rejection);
         }
     }
 
-    /// Whether a test planted this fault.
+    /// Whether a test injected this fault.
     #[cfg(test)]
-    pub(crate) fn planted(&self, fault: Fault) -> bool {
+    pub(crate) fn has_fault(&self, fault: Fault) -> bool {
         self.config.fault == Some(fault)
     }
 
-    /// No faults outside tests.
+    /// Always `false`: faults are only injected in tests.
     #[cfg(not(test))]
     #[allow(clippy::unused_self)]
-    pub(crate) fn planted(&self, _: Fault) -> bool {
+    pub(crate) fn has_fault(&self, _: Fault) -> bool {
         false
     }
 }
 
-/// Counts one request into its model's row.
-fn count(row: &mut demand::Demand, call: &Call, now: Time) {
+/// Adds one request to its model's demand row.
+fn count_call(row: &mut demand::Demand, call: &Call, now: Time) {
     match call.stage {
         Stage::Waiting => {
             row.waiting += 1;
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! From the queue to a place.
+//! Dispatch: assigns queued requests to places.
 
 use cornelhitch_types::id::{ModelId, Name, RegionId, Time};
 use cornelhitch_types::refusal::Reason;
@@ -11,43 +11,43 @@
 use crate::estimate::Supply;
 use crate::event::{CallId, What};
 use crate::fault::Fault;
-use crate::finish::End;
-use crate::picture::Target;
-use crate::quarantine::Life;
-use crate::queue::Key;
-use crate::request::{Call, Reach, Run, Stage};
+use crate::finish::Rejection;
+use crate::fleet_view::Target;
+use crate::quarantine::TargetInstance;
+use crate::queue::QueueKey;
+use crate::request::{Call, Progress, RunningAttempt, Stage};
 use crate::route::{Candidate, Place};
 use crate::share::Sharers;
 
-/// Requests that are looked at for a place at once; those before them wait for an adapter or a
-/// target of their own.
-const SCAN: usize = 64;
+/// Number of requests at the head of a lane that are considered at once. They are searched further
+/// only while there is capacity left, which means that those before wait for an adapter or a target
+/// of their own.
+const SCAN_LIMIT: usize = 64;
 
-/// When requests that are held back by the retry budget are tried again.
-const BUDGET_PAUSE: Time = Time::from_millis(250);
+/// Interval at which requests that are held back by the retry budget are tried again.
+const BUDGET_RETRY_INTERVAL: Time = Time::from_millis(250);
 
-/// The wait for a retry up to which a request is held back: the shortest time after which callers are
-/// told to come back.
-const SOON: Time = Time::from_secs(1);
+/// Longest expected wait for the retry budget for which a request is held back instead of refused:
+/// the shortest `Retry-After` that callers are given.
+const MAX_BUDGET_WAIT: Time = Time::from_secs(1);
 
-/// A candidate, and what a request may need of it.
+/// A place that a request may be sent to, with this host's limit there.
 pub(crate) struct Choice {
-    /// Where it is.
     pub candidate: Candidate,
-    /// Requests that this host may have there.
+    /// Number of requests that this host may have in flight there.
     pub limit: u32,
-    /// Adapters that are ready there.
+    /// Adapters that are loaded there.
     pub adapters: Vec<Name>,
 }
 
 impl Choice {
-    /// Whether this host may send one more there.
-    pub(crate) fn free(&self) -> bool {
+    /// Whether this host may send one more request there.
+    pub(crate) fn has_capacity(&self) -> bool {
         self.candidate.own < self.limit
     }
 
-    /// The target in its life.
-    fn life(&self) -> Life {
+    /// Returns the target with its incarnation.
+    fn instance(&self) -> TargetInstance {
         (
             self.candidate.place.target.clone(),
             self.candidate.incarnation,
@@ -56,21 +56,22 @@
 }
 
 impl Core {
-    /// Sends what can be sent of one kind of request.
-    pub(crate) fn dispatch(&mut self, key: &Key) {
+    /// Sends the waiting requests of a lane that have a place to go to, and refuses those that the
+    /// retry budget cannot serve soon.
+    pub(crate) fn dispatch(&mut self, key: &QueueKey) {
         self.send_waiting(key);
-        self.refuse_unaffordable();
+        self.refuse_over_budget();
     }
 
-    /// Sends what waits and has a place to go to.
-    fn send_waiting(&mut self, key: &Key) {
+    /// Sends waiting requests in turn while there are places with capacity.
+    fn send_waiting(&mut self, key: &QueueKey) {
         if self.queue.waiting(key) == 0 {
             return;
         }
         let mut options = self.options(key);
-        let waiting: Vec<CallId> = self.queue.lane(key).take(SCAN).collect();
+        let waiting: Vec<CallId> = self.queue.lane(key).take(SCAN_LIMIT).collect();
         for id in waiting {
-            if !options.iter().any(Choice::free) {
+            if !options.iter().any(Choice::has_capacity) {
                 return;
             }
             if let Some(index) = self.choose(id, &mut options) {
@@ -79,16 +80,17 @@
                 self.send(id, &candidate);
             }
         }
-        if self.queue.waiting(key) > 0 && options.iter().any(Choice::free) {
-            self.look_further(key, &mut options);
+        if self.queue.waiting(key) > 0 && options.iter().any(Choice::has_capacity) {
+            self.send_waiting_beyond_scan(key, &mut options);
         }
     }
 
-    /// Goes through the whole queue, past requests that wait for something of their own.
-    fn look_further(&mut self, key: &Key, options: &mut [Choice]) {
-        let rest: Vec<CallId> = self.queue.lane(key).skip(SCAN).collect();
+    /// Continues with the rest of the lane, past requests that wait for an adapter or a target of
+    /// their own.
+    fn send_waiting_beyond_scan(&mut self, key: &QueueKey, options: &mut [Choice]) {
+        let rest: Vec<CallId> = self.queue.lane(key).skip(SCAN_LIMIT).collect();
         for id in rest {
-            if !options.iter().any(Choice::free) {
+            if !options.iter().any(Choice::has_capacity) {
                 return;
             }
             if let Some(index) = self.choose(id, options) {
@@ -99,64 +101,66 @@
         }
     }
 
-    /// The places that could run one kind of request, full ones too.
-    pub(crate) fn options(&self, key: &Key) -> Vec<Choice> {
+    /// Returns the places that can serve a lane, including those without free capacity.
+    pub(crate) fn options(&self, key: &QueueKey) -> Vec<Choice> {
         match key {
-            Key::Model(model, version) => {
-                let wanted = self.wanted(model, version.as_ref());
-                let all = self.picture.of_model(model).filter(|replica| {
+            QueueKey::Model(model, version) => {
+                let wanted = self.wanted_version(model, version.as_ref());
+                let all = self.fleet_view.replicas_of_model(model).filter(|replica| {
                     let state = replica.view.state;
-                    let usable = state == State::Ready || self.planted(Fault::SendsToClosed);
+                    let usable = state == State::Ready || self.has_fault(Fault::SendsToClosed);
                     usable && (wanted.is_none() || replica.view.version == wanted)
                 });
                 all.filter_map(|replica| {
-                    let target = self.picture.targets.get(&replica.view.target)?;
+                    let target = self.fleet_view.targets.get(&replica.view.target)?;
                     let mut option =
-                        self.option(target, Some(model), Some(replica.view.replica))?;
+                        self.choice_for(target, Some(model), Some(replica.view.replica))?;
                     option.adapters.clone_from(&replica.view.adapters);
                     Some(option)
                 })
                 .collect()
             }
-            Key::Service(name) => {
-                let all = self.picture.of_service(name);
-                all.filter_map(|target| self.option(target, None, None))
+            QueueKey::Service(name) => {
+                let all = self.fleet_view.targets_of_service(name);
+                all.filter_map(|target| self.choice_for(target, None, None))
                     .collect()
             }
         }
     }
 
-    /// The version that a request runs in.
-    fn wanted(&self, model: &ModelId, named: Option<&Name>) -> Option<Name> {
+    /// Returns the model version that a request runs on: the one it names, else the one in force.
+    fn wanted_version(&self, model: &ModelId, named: Option<&Name>) -> Option<Name> {
         let known = self.catalogue.models.get(model);
         let in_force = known.and_then(|known| known.version.clone());
         named.cloned().or(in_force)
     }
 
-    /// A place, if its target takes new work.
-    fn option(
+    /// Returns the choice for a target, or `None` if the target is closed or ejected.
+    fn choice_for(
         &self,
         target: &Target,
         model: Option<&ModelId>,
         replica: Option<u64>,
     ) -> Option<Choice> {
         let view = &target.view;
-        let closed = !view.open && !self.planted(Fault::SendsToClosed);
-        if closed || self.ejections.has(&view.target) {
+        let closed = !view.open && !self.has_fault(Fault::SendsToClosed);
+        if closed || self.ejections.is_ejected(&view.target) {
             return None;
         }
         let place = Place {
             target: view.target.clone(),
             replica,
         };
-        // A target that tells its slots shares them among all that it holds.
+        // A target that reports its slots shares them among all replicas that it holds.
         let own = match view.slots {
-            Some(_) => self.own(&view.target),
-            None => self.flights.get(&place).copied().unwrap_or(0),
+            Some(_) => self.own_in_flight(&view.target),
+            None => self.in_flight.get(&place).copied().unwrap_or(0),
         };
         let concurrency = self.catalogue.concurrency(model.map(|model| &**model));
         let capacity = view.slots.unwrap_or(concurrency);
-        let (distance_ms, _) = self.catalogue.way(&self.config.region, &view.region, 0);
+        let (distance_ms, _) =
+            self.catalogue
+                .distance_and_price(&self.config.region, &view.region, 0);
         let zone_ms = if view.zone == self.config.zone {
             0.0
         } else {
@@ -188,7 +192,8 @@
         })
     }
 
-    /// Requests that this host may have at a place.
+    /// Returns how many requests this host may have in flight at a place that does not report
+    /// slots.
     fn limit(&self, candidate: &Candidate, capacity: u32) -> u32 {
         if !self.config.uses(Guard::Sharing) {
             return capacity;
@@ -197,25 +202,25 @@
         self.shares.limit(&candidate.place, capacity, sharers)
     }
 
-    /// Who shares a target in a region.
+    /// Returns which entry hosts share the targets of a region with this one.
     pub(crate) fn sharers(&self, region: &RegionId) -> Sharers {
         let config = &self.config;
-        self.picture.sharers(config.host, &config.region, region)
+        self.fleet_view.sharers(config.host, &config.region, region)
     }
 
-    /// What is known of the places for one kind of request.
-    pub(crate) fn supply(&self, key: &Key) -> Supply {
+    /// Returns the current and expected capacity for a lane.
+    pub(crate) fn supply(&self, key: &QueueKey) -> Supply {
         let options = self.options(key);
         let slots = options.iter().map(|option| option.limit).sum();
-        let Key::Model(model, version) = key else {
+        let QueueKey::Model(model, version) = key else {
             return Supply {
                 slots,
                 ready_at: None,
-                load: Time::ZERO,
+                load_time: Time::ZERO,
             };
         };
-        let wanted = self.wanted(model, version.as_ref());
-        let loading = self.picture.of_model(model).filter(|replica| {
+        let wanted = self.wanted_version(model, version.as_ref());
+        let loading = self.fleet_view.replicas_of_model(model).filter(|replica| {
             replica.view.state == State::Loading
                 && (wanted.is_none() || replica.view.version == wanted)
         });
@@ -223,26 +228,27 @@
         Supply {
             slots,
             ready_at: loading.map(|replica| replica.ready_at).min(),
-            load: known
+            load_time: known
                 .map_or(Time::ZERO, |known| known.load)
-                .max(self.picture.load_of(model)),
+                .max(self.fleet_view.load_outlook(model)),
         }
     }
 
-    /// Whether there is a place for one kind of request; plain services are not loaded.
-    pub(crate) fn is_ready(&self, key: &Key) -> bool {
-        let Key::Model(model, version) = key else {
+    /// Whether any replica is ready for a lane; always `true` for services, which are not loaded on
+    /// demand.
+    pub(crate) fn is_ready(&self, key: &QueueKey) -> bool {
+        let QueueKey::Model(model, version) = key else {
             return true;
         };
-        let wanted = self.wanted(model, version.as_ref());
-        self.picture.of_model(model).any(|replica| {
+        let wanted = self.wanted_version(model, version.as_ref());
+        self.fleet_view.replicas_of_model(model).any(|replica| {
             let view = &replica.view;
             let fits = wanted.is_none() || view.version == wanted;
-            fits && view.state == State::Ready && !self.ejections.has(&view.target)
+            fits && view.state == State::Ready && !self.ejections.is_ejected(&view.target)
         })
     }
 
-    /// Whether a request names an adapter that no ready replica has.
+    /// Whether a request names an adapter that no replica of its model has.
     pub(crate) fn lacks_adapter(&self, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
@@ -253,97 +259,103 @@
         let Some(adapter) = &reference.adapter else {
             return false;
         };
-        let mut replicas = self.picture.of_model(&reference.model);
+        let mut replicas = self.fleet_view.replicas_of_model(&reference.model);
         replicas.all(|replica| !replica.view.adapters.contains(adapter))
     }
 
-    /// Chooses a place for a request, as an index of `options`.
+    /// Chooses a place for a request, as an index into `options`.
     fn choose(&mut self, id: CallId, options: &mut [Choice]) -> Option<usize> {
         let call = self.calls.get(&id)?;
-        if call.pause > self.now {
+        if call.retry_at > self.now {
             return None;
         }
         let service = call.key.service();
-        if call.arrivals > 0 && !self.affords(&service) {
-            self.starve(id, &service);
+        if call.sends > 0 && !self.budget_allows(&service) {
+            self.hold_back(id, &service);
             return None;
         }
         let call = self.calls.get(&id)?;
-        let mut fit: Vec<usize> = (0..options.len())
-            .filter(|index| options[*index].free() && self.fits(call, &options[*index]))
+        let mut fitting: Vec<usize> = (0..options.len())
+            .filter(|index| options[*index].has_capacity() && self.fits(call, &options[*index]))
             .collect();
-        // A suspect takes any target that is reserved: hosts that hold out for one another's
-        // reservations would wait for ever.
+        // A suspect may use any reserved target. Were each host to wait for a reservation of its
+        // own choosing, hosts could wait for one another's reservations forever.
         let suspect = self.quarantine.strikes(call.request.fingerprint) > 0;
         if suspect && self.config.serving.quarantine {
-            fit = self.isolated(id, fit, options);
+            fitting = self.reserved_choices(id, fitting, options);
         }
         let call = self.calls.get(&id)?;
         let target = |index: &usize| &options[*index].candidate.place.target;
-        let fresh = |index: &usize| !call.failed.contains(target(index));
-        if fit.iter().any(fresh) {
-            fit.retain(fresh);
+        let untried = |index: &usize| !call.failed.contains(target(index));
+        if fitting.iter().any(untried) {
+            fitting.retain(untried);
         }
-        let well = |index: &usize| !self.health.is_failing(target(index), self.now);
-        if fit.iter().any(well) {
-            fit.retain(well);
+        let healthy = |index: &usize| !self.health.is_failing(target(index), self.now);
+        if fitting.iter().any(healthy) {
+            fitting.retain(healthy);
         }
-        let whole = self.paces.get(&call.key).whole().unwrap_or_default();
-        let mut candidates: Vec<Candidate> = fit
+        let response_time = self
+            .latencies
+            .get(&call.key)
+            .response_time()
+            .unwrap_or_default();
+        let mut candidates: Vec<Candidate> = fitting
             .iter()
-            .map(|index| self.priced(call, &options[*index].candidate))
+            .map(|index| self.with_request_costs(call, &options[*index].candidate))
             .collect();
-        prefer(call, &mut candidates);
-        let whole_ms = whole.as_secs_f64() * 1_000.0;
-        let chosen = self.config.router.choose(whole_ms, &candidates)?;
-        fit.get(chosen).copied()
+        credit_preferred(call, &mut candidates);
+        let response_ms = response_time.as_secs_f64() * 1_000.0;
+        let chosen = self.config.router.choose(response_ms, &candidates)?;
+        fitting.get(chosen).copied()
     }
 
-    /// Holds a request back that the budget does not let be sent once more, or has it refused where
-    /// its caller is sooner served by coming back, which costs the budget nothing.
+    /// Holds a request back because the retry budget is spent. If the expected wait is too long,
+    /// marks the request for refusal instead: a retry by the caller does not use the budget.
     ///
-    /// An answer that has begun waits: what its caller has is worth more than another try.
-    fn starve(&mut self, id: CallId, service: &Name) {
-        self.starved = Some(self.now + BUDGET_PAUSE);
+    /// A request whose response has begun always waits: losing the partial response would cost the
+    /// caller more than the wait.
+    fn hold_back(&mut self, id: CallId, service: &Name) {
+        self.budget_retry_at = Some(self.now + BUDGET_RETRY_INTERVAL);
         self.tallies.of(service).held_back += 1;
         let others = self.calls.values().filter(|call| {
-            let before = call.request.id < id && call.waits() && call.arrivals > 0;
+            let before = call.request.id < id && call.is_waiting() && call.sends > 0;
             before && call.key.service() == *service
         });
         let ahead = others.count();
-        let wait = self.budget.wait(service, ahead, self.now);
+        let wait = self.budget.expected_wait(service, ahead, self.now);
         let begun = self
             .calls
             .get(&id)
-            .is_some_and(|call| call.reach == Reach::Begun);
-        if wait > SOON && !begun {
-            self.unaffordable.push((id, wait));
+            .is_some_and(|call| call.progress == Progress::Begun);
+        if wait > MAX_BUDGET_WAIT && !begun {
+            self.over_budget.push((id, wait));
         }
     }
 
-    /// Refuses the requests for which no retry comes soon.
-    fn refuse_unaffordable(&mut self) {
-        for (id, wait) in std::mem::take(&mut self.unaffordable) {
+    /// Refuses the requests for which the retry budget has no retry soon.
+    fn refuse_over_budget(&mut self) {
+        for (id, wait) in std::mem::take(&mut self.over_budget) {
             let unsent = self
                 .calls
                 .get(&id)
-                .is_some_and(|call| call.reach == Reach::Unsent);
+                .is_some_and(|call| call.progress == Progress::Unsent);
             if unsent {
-                let detail = "targets turned it away, and no more retries may be made now";
-                let end = End::not_run(Reason::Overloaded, detail);
-                self.refuse(id, end.after(wait.min(SOON)));
+                let detail = "targets declined the request and the retry budget is spent";
+                let rejection = Rejection::not_run(Reason::Overloaded, detail);
+                self.refuse(id, rejection.after(wait.min(MAX_BUDGET_WAIT)));
             } else {
-                self.give_up(id, "the target failed, and no more retries may be made now");
+                self.fail_call(id, "the target failed and the retry budget is spent");
             }
         }
     }
 
-    /// Whether a request of a service may be sent once more.
-    pub(crate) fn affords(&mut self, service: &Name) -> bool {
-        !self.config.uses(Guard::Budget) || self.budget.has(service, self.now)
+    /// Whether the retry budget allows sending another retry to a service.
+    pub(crate) fn budget_allows(&mut self, service: &Name) -> bool {
+        !self.config.uses(Guard::Budget) || self.budget.allows(service, self.now)
     }
 
-    /// Whether a place has what a request needs, and the request may go there.
+    /// Whether a place has the adapter that a request needs, and the strike limit allows the
+    /// request's fingerprint to run there.
     pub(crate) fn fits(&self, call: &Call, option: &Choice) -> bool {
         if let What::Model(reference) = &call.request.what
             && let Some(adapter) = &reference.adapter
@@ -353,29 +365,38 @@
         }
         let fingerprint = call.request.fingerprint;
         let strikes = self.quarantine.strikes(fingerprint);
-        let Some(targets) = self.prints.get(&fingerprint) else {
+        let Some(targets) = self.in_flight_fingerprints.get(&fingerprint) else {
             return true;
         };
         let left = self.strike_limit().saturating_sub(strikes) as usize;
         targets.len() < left || targets.contains_key(&option.candidate.place.target)
     }
 
-    /// Of the places that fit a suspect, those that are reserved for it; asks for one if none is.
-    fn isolated(&mut self, id: CallId, fit: Vec<usize>, options: &[Choice]) -> Vec<usize> {
-        if self.planted(Fault::SharesSuspects) {
-            return fit;
+    /// Filters the places to those reserved for this host's suspects. If there are none, asks
+    /// control to reserve one.
+    fn reserved_choices(
+        &mut self,
+        id: CallId,
+        fitting: Vec<usize>,
+        options: &[Choice],
+    ) -> Vec<usize> {
+        if self.has_fault(Fault::SharesSuspects) {
+            return fitting;
         }
-        let free = self.quarantine.free(self.config.suspects);
-        let reserved: Vec<usize> = fit
+        let free = self.quarantine.available(self.config.suspects);
+        let reserved: Vec<usize> = fitting
             .iter()
             .copied()
-            .filter(|index| free.contains(&options[*index].life()))
+            .filter(|index| free.contains(&options[*index].instance()))
             .collect();
         if !reserved.is_empty() || !self.calls.contains_key(&id) {
             return reserved;
         }
-        let lives: Vec<Life> = fit.iter().map(|index| options[*index].life()).collect();
-        if let Some((target, incarnation)) = self.quarantine.ask(&lives, self.now) {
+        let lives: Vec<TargetInstance> = fitting
+            .iter()
+            .map(|index| options[*index].instance())
+            .collect();
+        if let Some((target, incarnation)) = self.quarantine.next_to_reserve(&lives, self.now) {
             self.actions.push(Action::Reserve {
                 target,
                 incarnation,
@@ -384,13 +405,14 @@
         Vec::new()
     }
 
-    /// A candidate with what depends on the request.
-    fn priced(&self, call: &Call, candidate: &Candidate) -> Candidate {
+    /// Returns the candidate with the costs that depend on the request: network price and cached
+    /// prefix.
+    fn with_request_costs(&self, call: &Call, candidate: &Candidate) -> Candidate {
         let mut candidate = candidate.clone();
         let bytes = call.request.bytes;
-        let (_, price) = self
-            .catalogue
-            .way(&self.config.region, &candidate.region, bytes);
+        let (_, price) =
+            self.catalogue
+                .distance_and_price(&self.config.region, &candidate.region, bytes);
         candidate.price = price;
         if let What::Model(reference) = &call.request.what
             && !call.request.prefixes.is_empty()
@@ -406,38 +428,39 @@
         candidate
     }
 
-    /// Starts an attempt.
+    /// Starts an attempt at a place.
     pub(crate) fn send(&mut self, id: CallId, candidate: &Candidate) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        self.queue.serve(&call.key, call.rank, id);
+        self.queue.take_turn(&call.key, call.rank, id);
         let fingerprint = call.request.fingerprint;
-        let life = (candidate.place.target.clone(), candidate.incarnation);
+        let instance = (candidate.place.target.clone(), candidate.incarnation);
         let strikes = self.quarantine.strikes(fingerprint);
-        let reserved = strikes > 0 && self.quarantine.start(&life);
-        if call.arrivals > 0 {
+        let reserved = strikes > 0 && self.quarantine.start_suspect(&instance);
+        if call.sends > 0 {
             self.budget.reserve(&call.key.service(), self.now);
         }
         call.attempts += 1;
-        call.stage = Stage::Running(Run {
+        call.stage = Stage::Running(RunningAttempt {
             attempt: call.attempts,
             place: candidate.place.clone(),
             incarnation: candidate.incarnation,
-            reach: Reach::Unsent,
+            progress: Progress::Unsent,
             since: self.now,
             strikes,
             reserved,
         });
-        *self.flights.entry(candidate.place.clone()).or_default() += 1;
-        let targets = self.prints.entry(fingerprint).or_default();
-        *targets.entry(life.0).or_default() += 1;
+        *self.in_flight.entry(candidate.place.clone()).or_default() += 1;
+        let targets = self.in_flight_fingerprints.entry(fingerprint).or_default();
+        *targets.entry(instance.0).or_default() += 1;
         if let What::Model(reference) = &call.request.what
             && !call.request.prefixes.is_empty()
         {
             let prefixes = &call.request.prefixes;
             let target = &candidate.place.target;
-            self.caches.sent(target, &reference.model, prefixes);
+            self.caches
+                .expect_prompt(target, &reference.model, prefixes);
         }
         self.actions.push(Action::Send {
             id,
@@ -448,14 +471,14 @@
                 address: candidate.address,
                 replica: candidate.place.replica,
             },
-            resume: (call.reach == Reach::Begun).then_some(call.offset),
+            resume: (call.progress == Progress::Begun).then_some(call.offset),
         });
     }
 }
 
-/// Notes which candidate all hosts prefer for the shared part of a prompt, where the request tells
-/// the parts of its prompt.
-fn prefer(call: &Call, candidates: &mut [Candidate]) {
+/// Raises the expected cached prefix of the target that all hosts prefer for the shared part of a
+/// prompt, if the request gives the sizes of its prompt's prefixes.
+fn credit_preferred(call: &Call, candidates: &mut [Candidate]) {
     let Some(terms) = &call.request.terms else {
         return;
     };
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -1,27 +1,28 @@
-//! The steps of a host that ends.
+//! The states of a host's graceful shutdown.
 
 use cornelhitch_types::id::Time;
 use serde::Serialize;
 
-/// The steps of a host that ends.
+/// The state of a host's graceful shutdown.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub enum Drain {
-    /// It takes callers.
+    /// The host accepts callers.
     #[default]
     Open,
-    /// It is left out of answers, but still serves callers that have an old one.
+    /// The host is no longer announced to callers, but still accepts those that have a cached
+    /// address.
     Leaving {
-        /// When the last old answer is over.
+        /// When the last cached address has expired.
         until: Time,
     },
-    /// Its listener is closed, and what it has goes on.
+    /// The listener is closed; requests already accepted continue.
     Closed,
-    /// Everything has ended.
+    /// All requests have ended.
     Done,
 }
 
 impl Drain {
-    /// Starts to end; asked again, it changes nothing.
+    /// Starts the shutdown. Has no effect if it has already started.
     ///
     /// ```
     /// use cornelhitch_entry::drain::Drain;
@@ -29,7 +30,7 @@
     ///
     /// let mut drain = Drain::default();
     /// drain.start(Duration::ZERO);
-    /// assert!(drain.serves());
+    /// assert!(drain.accepts_requests());
     /// ```
     pub fn start(&mut self, until: Time) {
         if *self == Self::Open {
@@ -37,21 +38,21 @@
         }
     }
 
-    /// Whether new requests are taken.
+    /// Whether new requests are accepted.
     #[must_use]
-    pub fn serves(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         matches!(self, Self::Open | Self::Leaving { .. })
     }
 
-    /// Whether callers are to be sent elsewhere.
+    /// Whether callers should be directed to other hosts.
     #[must_use]
-    pub fn leaves(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         *self != Self::Open
     }
 
-    /// When the next step is due.
+    /// Returns when the next state is due, or `None` if that does not depend on time.
     #[must_use]
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_step(&self) -> Option<Time> {
         match self {
             Self::Leaving { until } => Some(*until),
             _ => None,
--- a/crates/entry/src/dump.rs
+++ b/crates/entry/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state of a core, for operators.
+//! A snapshot of a core's state, for operators.
 
 use std::time::Duration;
 
@@ -9,87 +9,89 @@
 use crate::core::Core;
 use crate::drain::Drain;
 use crate::event::{Attempt, CallId};
-use crate::queue::Key;
-use crate::request::{Call, Claim, Reach};
+use crate::queue::QueueKey;
+use crate::request::{Call, Claim, Progress};
 use crate::route::Place;
 use crate::tally::Tallies;
 
-/// The state of a core.
+/// A snapshot of a core's state.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Dump {
-    /// The host.
+    /// The host's number.
     pub host: HostId,
-    /// When this was, on the clock of the core.
+    /// When the snapshot was taken, on the core's clock.
     pub now: Time,
-    /// The settings in force here.
+    /// The version of the settings in force on this host.
     pub settings: Version,
-    /// Whether new requests are taken.
+    /// Whether the lease on the settings is valid, so that new requests are accepted.
     pub leased: bool,
-    /// Whether it is ending.
+    /// The state of the host's shutdown.
     pub drain: Drain,
-    /// The sequence number up to which the view is known.
+    /// The sequence number up to which the fleet view is known.
     pub view: u64,
-    /// What waits, one row a kind of request.
+    /// Waiting requests, one row per lane.
     pub lanes: Vec<Lane>,
-    /// What is in progress, one row a place.
-    pub places: Vec<Flight>,
-    /// Targets that cannot be reached from here.
+    /// In-flight requests, one row per place.
+    pub places: Vec<InFlight>,
+    /// Targets that cannot be reached from this host.
     pub ejected: Vec<TargetId>,
     /// Fingerprints with strikes.
     pub strikes: Vec<Strike>,
-    /// Requests and repeats by service.
+    /// Request and retry counters by service.
     pub services: Tallies,
-    /// What retries may be made.
+    /// The state of the retry budget.
     pub budget: Budget,
-    /// Every request.
+    /// All requests.
     pub calls: Vec<Row>,
 }
 
-/// What waits for the same places.
+/// The waiting requests of one lane.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Lane {
-    /// What it waits for.
-    pub key: Key,
-    /// How many.
+    /// The model or service that they wait for.
+    pub key: QueueKey,
+    /// Number of waiting requests.
     pub waiting: usize,
-    /// The mean time of an answer.
-    pub whole: Option<Duration>,
+    /// Mean time of a complete response, if any was measured.
+    #[serde(rename = "whole")]
+    pub response_time: Option<Duration>,
 }
 
-/// What is in progress at one place.
+/// The in-flight requests at one place.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Flight {
-    /// Where.
+pub struct InFlight {
+    /// The place that runs them.
     pub place: Place,
-    /// How many.
+    /// Number of in-flight requests.
     pub running: u32,
 }
 
-/// A fingerprint that took targets down.
+/// A fingerprint with strikes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Strike {
-    /// The fingerprint.
+    /// The fingerprint of the request.
     pub fingerprint: u64,
-    /// How many targets.
+    /// Number of strikes, one for each target that died.
     pub strikes: u32,
 }
 
 /// One request.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Row {
-    /// Its number.
+    /// The request's number.
     pub id: CallId,
-    /// Who asked.
+    /// The caller that sent it.
     pub caller: CallerId,
-    /// What for.
+    /// The model or service that it is for.
     pub what: String,
-    /// What it waits for.
+    /// What the request is waiting for.
     pub stage: String,
-    /// How far it has come.
-    pub reach: Reach,
-    /// Its claim.
+    /// How far the request has got.
+    #[serde(rename = "reach")]
+    pub progress: Progress,
+    /// The state of the request's claim.
     pub claim: Claim,
-    /// Attempts made.
+    /// Number of attempts made.
     pub attempts: Attempt,
     /// Time left until its deadline.
     pub left: Duration,
@@ -99,10 +101,10 @@
     fn from(core: &Core) -> Self {
         let lanes = core.queue.keys().into_iter().map(|key| Lane {
             waiting: core.queue.waiting(&key),
-            whole: core.paces.get(&key).whole(),
+            response_time: core.latencies.get(&key).response_time(),
             key,
         });
-        let places = core.flights.iter().map(|(place, running)| Flight {
+        let places = core.in_flight.iter().map(|(place, running)| InFlight {
             place: place.clone(),
             running: *running,
         });
@@ -118,10 +120,10 @@
             settings: core.catalogue.version,
             leased: core.lease.holds(core.catalogue.version, core.now),
             drain: core.drain,
-            view: core.picture.sequence,
+            view: core.fleet_view.sequence,
             lanes: lanes.collect(),
             places: places.collect(),
-            ejected: core.ejections.names(),
+            ejected: core.ejections.targets(),
             strikes: core.quarantine.list(),
             services: core.tallies.clone(),
             budget: core.budget.clone(),
@@ -130,9 +132,9 @@
     }
 }
 
-/// The row of one request.
+/// Returns the row of one request.
 fn row(call: &Call, now: Time) -> Row {
-    let stage = match call.running() {
+    let stage = match call.current_attempt() {
         Some(run) => format!("running on {}", run.place.target),
         None => format!("{:?}", call.stage).to_lowercase(),
     };
@@ -141,7 +143,7 @@
         caller: call.request.caller.clone(),
         what: call.request.what.to_string(),
         stage,
-        reach: call.reach,
+        progress: call.progress,
         claim: call.claim,
         attempts: call.attempts,
         left: call.deadline.saturating_sub(now),
--- a/crates/entry/src/ejection.rs
+++ b/crates/entry/src/ejection.rs
@@ -1,4 +1,4 @@
-//! Targets that this host cannot reach, left out until a probe connects.
+//! Ejects targets that this host cannot reach, until a probe connects.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,43 +6,43 @@
 use cornelhitch_types::id::{TargetId, Time};
 use serde::Serialize;
 
-/// The pause before the first probe.
-const FIRST: Duration = Duration::from_millis(500);
+/// Delay before the first probe.
+const INITIAL_PROBE_DELAY: Duration = Duration::from_millis(500);
 
-/// The longest pause between probes.
-const LONGEST: Duration = Duration::from_secs(8);
+/// Maximum delay between probes.
+const MAX_PROBE_DELAY: Duration = Duration::from_secs(8);
 
-/// A target that is left out.
+/// An ejected target.
 #[derive(Debug, Clone, Serialize)]
-struct Out {
-    /// The pause before the next probe.
+struct EjectedTarget {
+    /// The delay before the next probe.
     pause: Duration,
     /// When the next probe is due.
     due: Time,
 }
 
-/// Targets that are left out.
+/// The targets that are currently ejected.
 #[derive(Debug, Default, Serialize)]
 pub struct Ejections {
-    /// By name.
-    out: BTreeMap<TargetId, Out>,
+    #[serde(rename = "out")]
+    ejected: BTreeMap<TargetId, EjectedTarget>,
 }
 
 impl Ejections {
-    /// Leaves a target out; returns whether it was in before.
+    /// Ejects a target. Returns `false` if it was already ejected.
     pub fn eject(&mut self, target: &TargetId, now: Time) -> bool {
-        if self.out.contains_key(target) {
+        if self.ejected.contains_key(target) {
             return false;
         }
-        let out = Out {
-            pause: FIRST,
-            due: now + FIRST,
+        let ejected_target = EjectedTarget {
+            pause: INITIAL_PROBE_DELAY,
+            due: now + INITIAL_PROBE_DELAY,
         };
-        self.out.insert(target.clone(), out);
+        self.ejected.insert(target.clone(), ejected_target);
         true
     }
 
-    /// Whether a target is left out.
+    /// Whether a target is ejected.
     ///
     /// ```
     /// use cornelhitch_entry::ejection::Ejections;
@@ -50,42 +50,46 @@
     ///
     /// let mut ejections = Ejections::default();
     /// ejections.eject(&"worker-1".into(), Duration::ZERO);
-    /// assert!(ejections.has("worker-1"));
+    /// assert!(ejections.is_ejected("worker-1"));
     /// ejections.readmit("worker-1");
-    /// assert!(!ejections.has("worker-1"));
+    /// assert!(!ejections.is_ejected("worker-1"));
     /// ```
     #[must_use]
-    pub fn has(&self, target: &str) -> bool {
-        self.out.contains_key(target)
+    pub fn is_ejected(&self, target: &str) -> bool {
+        self.ejected.contains_key(target)
     }
 
-    /// Takes a target in again.
+    /// Readmits a target.
     pub fn readmit(&mut self, target: &str) {
-        self.out.remove(target);
+        self.ejected.remove(target);
     }
 
-    /// The targets that are left out.
+    /// Returns the names of the ejected targets.
     #[must_use]
-    pub fn names(&self) -> Vec<TargetId> {
-        self.out.keys().cloned().collect()
+    pub fn targets(&self) -> Vec<TargetId> {
+        self.ejected.keys().cloned().collect()
     }
 
-    /// The targets whose probe is due; each next pause is twice as long.
-    pub fn due(&mut self, now: Time) -> Vec<TargetId> {
+    /// Returns the targets whose probe is due, and schedules the next probe of each with twice the
+    /// delay.
+    pub fn take_due(&mut self, now: Time) -> Vec<TargetId> {
         let mut due = Vec::new();
-        for (target, out) in &mut self.out {
-            if out.due <= now {
-                out.pause = (out.pause * 2).min(LONGEST);
-                out.due = now + out.pause;
+        for (target, ejected_target) in &mut self.ejected {
+            if ejected_target.due <= now {
+                ejected_target.pause = (ejected_target.pause * 2).min(MAX_PROBE_DELAY);
+                ejected_target.due = now + ejected_target.pause;
                 due.push(target.clone());
             }
         }
         due
     }
 
-    /// When the next probe is due.
+    /// Returns when the next probe is due.
     #[must_use]
-    pub fn next(&self) -> Option<Time> {
-        self.out.values().map(|out| out.due).min()
+    pub fn next_probe(&self) -> Option<Time> {
+        self.ejected
+            .values()
+            .map(|ejected_target| ejected_target.due)
+            .min()
     }
 }
--- a/crates/entry/src/entries.rs
+++ b/crates/entry/src/entries.rs
@@ -1,4 +1,4 @@
-//! The answer to `GET /v1/entries`: which entry hosts a caller connects to.
+//! The answer to `GET /v1/entries`: which entry hosts a caller should connect to.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -10,38 +10,39 @@
 use rand::rngs::SmallRng;
 use serde::Serialize;
 
-/// The part of the age that is drawn at random, so that callers do not come back together.
+/// Maximum fraction by which the age of an answer is randomly shortened, so that callers do not all
+/// come back at the same time.
 const JITTER: f64 = 0.3;
 
-/// Addresses named in one answer.
+/// Maximum number of addresses in one answer.
 const LIMIT: usize = 4;
 
-/// Requests by which a host may be busier and still be preferred for its zone or region.
+/// How many more requests a host in the caller's zone may have and still be preferred.
 const NEAR: u32 = 64;
 
-/// An answer.
+/// The entry hosts for a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Entries {
-    /// Where to connect, the best first; the others are for when it fails.
+    /// Addresses to connect to, the best one first; the others are for failover.
     pub addresses: Vec<SocketAddr>,
-    /// How long to keep this answer.
+    /// How long the caller may cache this answer.
     pub max_age: Duration,
 }
 
-/// Where the caller is, as far as it says or its host knows.
+/// The location of a caller, as far as the caller or its host reports it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Whence {
-    /// Its region.
+    /// The caller's region, or empty if unknown.
     pub region: RegionId,
-    /// Its availability zone.
+    /// The caller's availability zone, or empty if unknown.
     pub zone: ZoneId,
 }
 
-/// Makes an answer out of the hosts that take callers.
+/// Chooses the entry hosts for a caller from those that are not draining.
 ///
-/// Hosts of the caller's region come first. Among them the less busy of two
-/// random ones leads, with a bonus for the caller's zone, so that hosts with
-/// the same stale figures do not send every caller to one.
+/// Hosts in the caller's region come first. The less busy of two random ones among them leads, with
+/// a bonus for the caller's zone. Choosing the least busy of all would send every caller to the
+/// same host while the load figures are stale.
 ///
 /// ```
 /// use cornelhitch_entry::entries::{Whence, answer};
@@ -77,7 +78,7 @@
     }
 }
 
-/// Puts the less busy of the first two in front, if both are in the same region.
+/// Swaps the first two hosts if both are in the same tier and the second is less busy.
 fn lead(ranked: &mut [(bool, u32, u64, SocketAddr)]) {
     let [first, second, ..] = ranked else {
         return;
@@ -88,7 +89,7 @@
     }
 }
 
-/// The hosts nearest to a caller: those of its zone, else of its region, else all.
+/// Returns the hosts nearest to a caller: those of its zone, else of its region, else all.
 #[must_use]
 pub fn nearest(hosts: &[&Host], whence: &Whence, max_age: Duration) -> Entries {
     let tiers: [&dyn Fn(&Host) -> bool; 3] = [
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -1,4 +1,4 @@
-//! What a core is told.
+//! The events that a core processes.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 
 use crate::claim;
 
-/// A request, as its owner numbers it; never used twice within a process.
+/// A request's number, assigned by the owner; unique within a process.
 pub type CallId = u64;
 
-/// Counts the sends of one request, from 1.
+/// The number of a send of one request, from 1.
 pub type Attempt = u32;
 
 /// A digest of a request's method, path and body.
 pub type Digest = [u8; 32];
 
-/// What a request asks for.
+/// The model or service that a request is for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum What {
-    /// A model, with its version and adapter where they are named.
+    /// A model, with its version and adapter if the request names them.
     Model(Reference),
-    /// A plain service.
+    /// A service that does not run models.
     Service {
-        /// Its name.
+        /// The service's name.
         name: Name,
         /// The HTTP method, which decides whether the call may be repeated.
         method: Name,
@@ -47,51 +47,51 @@
 /// A request whose head and body have been read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// Its number.
+    /// The request's number.
     pub id: CallId,
-    /// Who asks.
+    /// The caller that sent the request.
     pub caller: CallerId,
-    /// What for.
+    /// The model or service that it is for.
     pub what: What,
-    /// Its class, or the one that the settings give to the model or service.
+    /// The class that the request names; `None` for the default class of the model or service.
     pub class: Option<ClassId>,
-    /// How long from its arrival the caller waits, or what the settings say.
+    /// How long the caller waits, counted from arrival; `None` for the default from the settings.
     pub deadline: Option<Duration>,
-    /// The caller's key; a request with one runs at most once, whatever it asks for.
+    /// The idempotency key; a request with one runs at most once, whatever it is for.
     pub key: Option<Name>,
-    /// `false` where the caller forbids a repeat that the settings would allow.
+    /// `false` if the caller forbids retries that the settings would allow.
     pub repeatable: bool,
-    /// See [`crate::fingerprint::of`].
+    /// The fingerprint of the body and what it is for; see [`crate::fingerprint::of`].
     pub fingerprint: u64,
-    /// Digest of the request, to tell another body under the same key.
+    /// Digest of the request, to detect a different body under the same key.
     pub digest: Digest,
     /// Digests of the prompt's prefixes, block by block, shortest first.
     pub prefixes: Vec<u64>,
-    /// Whether the caller reads the answer while it is generated.
+    /// Whether the caller reads the response as a stream.
     pub streaming: bool,
-    /// Bytes of the body.
+    /// Size of the body in bytes.
     pub bytes: u64,
-    /// What its route grants it, where it came by one.
+    /// The terms of the request's route, or `None` if it did not come through one.
     pub terms: Option<Box<Terms>>,
 }
 
-/// What a route grants its requests.
+/// The terms under which a route's requests run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Terms {
-    /// Targets that may run one request at most.
+    /// Maximum number of targets that may run one request.
     pub attempts: Attempt,
-    /// How long after its arrival the end of its answer is due, even where that has begun.
+    /// Time from arrival by which the response must end, even if it has begun.
     pub limit: Duration,
-    /// The objective: time to the answer, or to the first event of a stream.
+    /// The latency objective: time to the response, or to the first event of a stream.
     pub objective: Duration,
-    /// Its rank among the requests of a service; 0 goes first.
+    /// Priority among the requests of a service; 0 is the highest.
     pub rank: u8,
-    /// Tokens of the prompt up to the end of each prefix.
+    /// Number of prompt tokens up to the end of each prefix.
     pub sizes: Vec<u32>,
 }
 
 impl Terms {
-    /// The weight of a rank against others: a turn of one rank is worth some of the next.
+    /// Returns the queueing weight of the rank: 32 times that of the next lower rank, at least 1.
     #[must_use]
     pub fn weight(&self) -> u32 {
         const TOP: u32 = 1 << 20;
@@ -103,7 +103,7 @@
 }
 
 impl Request {
-    /// A request of which only the necessary is known.
+    /// Creates a request with defaults for all that is optional; the fingerprint is the id.
     ///
     /// ```
     /// use cornelhitch_entry::event::{Request, What};
@@ -131,7 +131,8 @@
         }
     }
 
-    /// Takes off what has passed of the caller's time and of its route's before the request came in.
+    /// Subtracts time that passed before the request came in from the caller's deadline and the
+    /// route's limit.
     pub fn spend(&mut self, time: Duration) {
         self.deadline = self.deadline.map(|left| left.saturating_sub(time));
         if let Some(terms) = &mut self.terms {
@@ -158,25 +159,26 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Failure {
-    /// No connection was made.
+    /// No connection was established.
     Connect,
-    /// The target answered that it does not take the request.
+    /// The target declined the request.
     Refused,
-    /// The target answered that it is another one, or does not hold what was asked for.
+    /// The target is not the expected one, or does not hold the requested model or service.
     Absent,
-    /// The connection broke before the answer began.
+    /// The connection broke before the response began.
     Broken,
-    /// The answer carried another request's id.
+    /// The response carried another request's id.
     Crossed,
-    /// The answer stopped without its terminator.
+    /// The response ended without its terminator.
     Truncated,
     /// The target answered with a server error.
     Status,
-    /// No part of an answer that had begun came for [`crate::attempt::STALL`].
+    /// A response did not begin in time, or no part of it arrived for
+    /// [`crate::attempt::STALL_TIMEOUT`].
     Stalled,
 }
 
-/// What a core is told.
+/// An event that a core processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
     /// A request arrived.
@@ -185,103 +187,103 @@
     View(View),
     /// The lease on the settings was renewed.
     Lease {
-        /// Until when, on the clock of this core.
+        /// When the lease expires, on this core's clock.
         until: Time,
         /// The version of the settings that control has in force.
         version: Version,
     },
     /// Control answered a claim.
     Claimed {
-        /// The request.
+        /// The request that the claim is for.
         id: CallId,
-        /// The answer.
+        /// Control's reply.
         reply: claim::Reply,
     },
     /// Control committed the outcome of a request with a key.
     Recorded {
-        /// The request.
+        /// The request with the outcome.
         id: CallId,
     },
-    /// The owner is about to hand the first byte to the connection, and waits for `Proceed`.
+    /// The owner has connected, is about to write the first byte, and waits for `Proceed`.
     Sent {
-        /// The request.
+        /// The request of the attempt.
         id: CallId,
-        /// The attempt.
+        /// The attempt's number.
         attempt: Attempt,
     },
-    /// The answer began, and the owner waits for `Deliver`.
+    /// The response began, and the owner waits for `Deliver`.
     Begun {
-        /// The request.
+        /// The request of the attempt.
         id: CallId,
-        /// The attempt.
+        /// The attempt's number.
         attempt: Attempt,
     },
-    /// The head of an answer came.
+    /// The head of a response arrived.
     Answered {
-        /// The target.
+        /// The target that sent it.
         target: TargetId,
-        /// Its life.
+        /// The incarnation of the target.
         incarnation: Incarnation,
-        /// Whether it is an error of the target's own.
+        /// Whether the response is an error caused by the target itself.
         error: bool,
     },
-    /// The owner passed on a part of a streamed answer.
+    /// The owner forwarded a part of a streamed response.
     Progress {
-        /// The request.
+        /// The request of the attempt.
         id: CallId,
-        /// The attempt.
+        /// The attempt's number.
         attempt: Attempt,
-        /// Tokens passed on so far, over all attempts.
+        /// Number of tokens forwarded so far, over all attempts.
         offset: u64,
     },
-    /// The terminator of the answer came, and the owner waits for `Finish`.
+    /// The terminator of the response arrived, and the owner waits for `Finish`.
     Ended {
-        /// The request.
+        /// The request of the attempt.
         id: CallId,
-        /// The attempt.
+        /// The attempt's number.
         attempt: Attempt,
     },
-    /// The attempt failed; told also of an attempt that was cancelled just before.
+    /// The attempt failed; also reported for an attempt that was cancelled just before.
     Failed {
-        /// The request.
+        /// The request of the attempt.
         id: CallId,
-        /// The attempt.
+        /// The attempt's number.
         attempt: Attempt,
-        /// How.
+        /// The kind of failure.
         failure: Failure,
     },
     /// The caller closed its connection.
     CallerLeft {
-        /// The request.
+        /// The request of the caller.
         id: CallId,
     },
     /// Control answered a reservation of a target for suspect requests.
     Reserved {
-        /// The target.
+        /// The target that was to be reserved.
         target: TargetId,
-        /// The life of the target that was asked for.
+        /// The incarnation of the target in the reservation.
         incarnation: Incarnation,
-        /// Whether this host has it now.
+        /// Whether this host now holds the reservation.
         granted: bool,
     },
     /// A probe of an ejected target ended.
     Probed {
-        /// The target.
+        /// The probed target.
         target: TargetId,
-        /// Whether a connection was made.
+        /// Whether a connection was established.
         connected: bool,
     },
-    /// A target told its load with an answer.
+    /// A target reported its load with a response.
     Loaded {
-        /// The target.
+        /// The target that reported.
         target: TargetId,
-        /// Its life.
+        /// The incarnation of the target.
         incarnation: Incarnation,
         /// Its load.
         load: Load,
     },
-    /// The process was asked to end.
+    /// The process was asked to shut down.
     Drain,
-    /// The time that `next_wake` named has come.
+    /// The time returned by `next_wake` has come.
     Tick,
 }
--- a/crates/entry/src/fault.rs
+++ b/crates/entry/src/fault.rs
@@ -1,29 +1,29 @@
-//! Faults that tests plant, to show that the suite catches them.
+//! Faults that tests inject to show that the test suite detects them.
 
 use strum::EnumIter;
 
-/// A fault, one for each invariant.
+/// An injectable fault; each one breaks one invariant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, EnumIter)]
 #[cfg_attr(not(test), allow(dead_code))]
 pub(crate) enum Fault {
-    /// An ended request is answered again when its timer comes.
+    /// A request that has ended is answered again when its timer fires.
     EndsTwice,
-    /// The timer of a waiting request is set too late.
+    /// The timer of a waiting request fires too late.
     LateTimer,
-    /// A request that was sent is called "not run".
+    /// A request that was sent is reported as "not run".
     FalseNotRun,
-    /// A request that may not be repeated is sent again.
+    /// A request that must not be repeated is sent again.
     SendsTwice,
-    /// A claim is given back though its request was sent.
+    /// A claim is released although its request was sent.
     ReleasesSent,
     /// Strikes are not counted.
     ForgetsStrikes,
-    /// Suspects share a target.
+    /// Several suspects run on one target at the same time.
     SharesSuspects,
-    /// A closed target or a retiring replica is sent to.
+    /// Requests are sent to closed targets and retiring replicas.
     SendsToClosed,
-    /// The bound of the queue is not kept.
+    /// The queue limit is not enforced.
     Unbounded,
-    /// Events of an old attempt are taken.
+    /// Events of an earlier attempt are accepted.
     TakesOldAttempt,
 }
--- a/crates/entry/src/fingerprint.rs
+++ b/crates/entry/src/fingerprint.rs
@@ -1,8 +1,8 @@
-//! What makes two requests the same to an engine.
+//! Identifies requests that are the same to an engine, whoever sends them.
 
 use crate::event::{Digest, What};
 
-/// A digest of what is asked and of the body, but not of the caller.
+/// Returns a 64-bit digest of what the request is for and its body, independent of the caller.
 ///
 /// ```
 /// use cornelhitch_entry::event::What;
@@ -21,7 +21,7 @@
     u64::from_le_bytes(first)
 }
 
-/// The whole digest, which claims carry to tell another body under the same key.
+/// Returns the full digest, which claims carry to detect a different body under the same key.
 #[must_use]
 pub fn digest(what: &What, body: &[u8]) -> Digest {
     let mut hasher = blake3::Hasher::new();
