--- a/crates/entry/src/finish.rs
+++ b/crates/entry/src/finish.rs
@@ -1,4 +1,4 @@
-//! The one end of each request, and what is left to do after it.
+//! The end of a request: the single reply to its caller, and the cleanup after it.
 
 use std::time::Duration;
 
@@ -7,37 +7,36 @@
 use cornelhitch_types::refusal::{Reason, Refusal, Run};
 
 use crate::action::Action;
+use crate::cancelled::Suspect;
 use crate::claim::Outcome;
 use crate::core::Core;
 use crate::event::{CallId, Failure};
 use crate::fault::Fault;
-use crate::quarantine::Life;
-use crate::queue::Key;
-use crate::request::{Call, Claim, Reach, Stage};
-use crate::stopped::Suspect;
+use crate::quarantine::TargetInstance;
+use crate::queue::QueueKey;
+use crate::request::{Call, Claim, Progress, Stage};
 
-/// How long a call that may not be repeated goes on after its caller has been answered, so that
-/// its outcome can be recorded.
-pub(crate) const LINGER: Time = Time::from_mins(1);
+/// How long an attempt that must not be repeated may continue after its caller has been answered,
+/// so that its outcome can still be recorded.
+pub(crate) const LINGER_TIMEOUT: Time = Time::from_mins(1);
 
-/// How long the commit of an outcome is waited for.
-pub(crate) const RECORDING: Time = Time::from_mins(1);
+/// How long to wait for control to commit an outcome.
+pub(crate) const RECORD_TIMEOUT: Time = Time::from_mins(1);
 
 /// How a request ends that is not answered in full.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct End {
-    /// Why.
+pub(crate) struct Rejection {
     pub reason: Reason,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub run: Run,
-    /// When to come back.
+    /// When the caller may retry.
     pub retry: Option<Duration>,
-    /// A sentence for people.
+    /// A message for people.
     pub detail: Name,
 }
 
-impl End {
-    /// The end of a request of which no byte was sent.
+impl Rejection {
+    /// Creates the rejection of a request of which no byte was sent.
     pub(crate) fn not_run(reason: Reason, detail: &str) -> Self {
         Self {
             reason,
@@ -47,14 +46,13 @@
         }
     }
 
-    /// The same, with a time to come back: at least a second, at most a minute.
+    /// Adds a `Retry-After`, clamped to between 1 s and 1 min.
     pub(crate) fn after(mut self, wait: Duration) -> Self {
         let wait = wait.clamp(Duration::from_secs(1), Duration::from_mins(1));
         self.retry = Some(wait);
         self
     }
 
-    /// The refusal that the caller gets.
     fn refusal(self) -> Refusal {
         Refusal {
             reason: self.reason,
@@ -66,23 +64,23 @@
 }
 
 impl Core {
-    /// Refuses a request that was never taken in.
-    pub(crate) fn turn_away(&mut self, id: CallId, end: End) {
-        let refusal = end.refusal();
+    /// Refuses a request that was not admitted.
+    pub(crate) fn refuse_unadmitted(&mut self, id: CallId, rejection: Rejection) {
+        let refusal = rejection.refusal();
         self.actions.push(Action::Refuse { id, refusal });
     }
 
-    /// Ends a request with a refusal, or with a stream error if its answer had begun.
-    pub(crate) fn refuse(&mut self, id: CallId, end: End) {
+    /// Ends a request with a refusal, or with a stream error if its response has begun.
+    pub(crate) fn refuse(&mut self, id: CallId, rejection: Rejection) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         if call.answered {
             return;
         }
-        let begun = call.reach == Reach::Begun;
-        let mut refusal = end.refusal();
-        if self.planted(Fault::FalseNotRun) {
+        let begun = call.progress == Progress::Begun;
+        let mut refusal = rejection.refusal();
+        if self.has_fault(Fault::FalseNotRun) {
             refusal.run = Run::NotRun;
         }
         self.actions.push(if begun {
@@ -90,94 +88,98 @@
         } else {
             Action::Refuse { id, refusal }
         });
-        self.close(id);
+        self.finish_for_caller(id);
     }
 
-    /// Ends a request with the recorded answer.
+    /// Ends a request with the response recorded for its key.
     pub(crate) fn replay(&mut self, id: CallId, recorded: Bytes) {
         self.actions.push(Action::Replay { id, recorded });
-        self.close(id);
+        self.finish_for_caller(id);
     }
 
-    /// Ends a request whose caller left.
-    pub(crate) fn caller_left(&mut self, id: CallId) {
+    /// Ends a request whose caller disconnected.
+    pub(crate) fn on_caller_left(&mut self, id: CallId) {
         let known = self.calls.get(&id);
         if known.is_some_and(|call| !call.answered) {
-            self.close(id);
+            self.finish_for_caller(id);
         }
     }
 
-    /// What follows the end of a request towards its caller.
-    fn close(&mut self, id: CallId) {
+    /// Marks a request as answered and cancels its attempt, unless the attempt must run on so that
+    /// its outcome can be recorded.
+    fn finish_for_caller(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         call.answered = true;
         let caller = call.request.caller.clone();
-        let sent = call.running().is_some_and(|run| run.reach > Reach::Unsent);
+        let sent = call
+            .current_attempt()
+            .is_some_and(|run| run.progress > Progress::Unsent);
         let lingers = !call.repeatable && sent && call.request.terms.is_none();
-        self.queue.leave(&caller);
+        self.queue.remove_caller_request(&caller);
         if lingers {
-            self.set_timer(id, self.now + LINGER);
+            self.set_timer(id, self.now + LINGER_TIMEOUT);
         } else {
-            self.stop(id);
-            self.conclude(id);
+            self.cancel_attempt(id);
+            self.settle_claim(id);
         }
     }
 
     /// Cancels the attempt in progress, if there is one.
-    pub(crate) fn stop(&mut self, id: CallId) {
-        let Some(run) = self.calls.get(&id).and_then(Call::running).cloned() else {
+    pub(crate) fn cancel_attempt(&mut self, id: CallId) {
+        let Some(run) = self.calls.get(&id).and_then(Call::current_attempt).cloned() else {
             return;
         };
-        if run.reach > Reach::Unsent
+        if run.progress > Progress::Unsent
             && let Some(call) = self.calls.get(&id)
         {
             let suspect = Suspect {
                 fingerprint: call.request.fingerprint,
                 strikes: run.strikes,
-                life: (run.place.target.clone(), run.incarnation),
+                instance: (run.place.target.clone(), run.incarnation),
             };
-            self.stopped.insert((id, run.attempt), suspect, self.now);
+            self.cancelled.insert((id, run.attempt), suspect, self.now);
         }
         self.actions.push(Action::Cancel {
             id,
             attempt: run.attempt,
             target: run.place.target.clone(),
         });
-        self.land(id);
+        self.release_attempt(id);
     }
 
-    /// Frees what an attempt took.
-    pub(crate) fn land(&mut self, id: CallId) {
+    /// Releases what an attempt holds: its slot, retry reservation, fingerprint count and suspect
+    /// reservation.
+    pub(crate) fn release_attempt(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let Some(run) = call.running().cloned() else {
+        let Some(run) = call.current_attempt().cloned() else {
             return;
         };
         call.stage = Stage::Recording;
         let (key, fingerprint) = (call.key.clone(), call.request.fingerprint);
-        if run.reach == Reach::Unsent && call.arrivals > 0 {
+        if run.progress == Progress::Unsent && call.sends > 0 {
             self.budget.release(&key.service());
         }
-        if let Some(flights) = self.flights.get_mut(&run.place) {
-            *flights = flights.saturating_sub(1);
-            if *flights == 0 {
-                self.flights.remove(&run.place);
+        if let Some(in_flight) = self.in_flight.get_mut(&run.place) {
+            *in_flight = in_flight.saturating_sub(1);
+            if *in_flight == 0 {
+                self.in_flight.remove(&run.place);
             }
         }
-        self.unprint(fingerprint, &run.place.target);
+        self.release_fingerprint(fingerprint, &run.place.target);
         if run.reserved {
-            let life: Life = (run.place.target, run.incarnation);
-            self.quarantine.end(&life);
+            let instance: TargetInstance = (run.place.target, run.incarnation);
+            self.quarantine.end_suspect(&instance);
         }
-        self.freed(&key);
+        self.mark_freed(&key);
     }
 
-    /// Counts the end of a fingerprint's attempt on a target.
-    fn unprint(&mut self, fingerprint: u64, target: &Name) {
-        let Some(targets) = self.prints.get_mut(&fingerprint) else {
+    /// Counts the end of an attempt of a fingerprint on a target.
+    fn release_fingerprint(&mut self, fingerprint: u64, target: &Name) {
+        let Some(targets) = self.in_flight_fingerprints.get_mut(&fingerprint) else {
             return;
         };
         if let Some(count) = targets.get_mut(target) {
@@ -187,52 +189,52 @@
             }
         }
         if targets.is_empty() {
-            self.prints.remove(&fingerprint);
+            self.in_flight_fingerprints.remove(&fingerprint);
         }
     }
 
-    /// Looks again at what waits for the same places, in any version.
-    fn freed(&mut self, key: &Key) {
-        let same = |other: &Key| match (key, other) {
-            (Key::Model(one, _), Key::Model(other, _)) => one == other,
-            (Key::Service(_), Key::Service(_)) => true,
+    /// Marks the lanes that compete for the released place, in any version of the model.
+    fn mark_freed(&mut self, key: &QueueKey) {
+        let same = |other: &QueueKey| match (key, other) {
+            (QueueKey::Model(one, _), QueueKey::Model(other, _)) => one == other,
+            (QueueKey::Service(_), QueueKey::Service(_)) => true,
             _ => false,
         };
         let keys = self.queue.keys();
         self.dirty.extend(keys.into_iter().filter(same));
     }
 
-    /// Settles the claim of a request that has ended, and drops the request when that is done.
-    pub(crate) fn conclude(&mut self, id: CallId) {
+    /// Settles the claim of a request that has ended and removes the request once that is done.
+    pub(crate) fn settle_claim(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let outcome = match (call.claim, call.reach) {
+        let outcome = match (call.claim, call.progress) {
             (Claim::None, _) => None,
-            (Claim::Asked, _) | (Claim::Granted, Reach::Unsent) => Some(Outcome::NotRun),
+            (Claim::Asked, _) | (Claim::Granted, Progress::Unsent) => Some(Outcome::NotRun),
             (Claim::Granted, _) => Some(Outcome::Unknown),
         };
         match outcome {
-            None => self.forget(id),
-            Some(outcome) => self.record(id, outcome),
+            None => self.remove_call(id),
+            Some(outcome) => self.record_outcome(id, outcome),
         }
     }
 
-    /// Has an outcome committed; the request stays until it is.
-    pub(crate) fn record(&mut self, id: CallId, outcome: Outcome) {
+    /// Asks control to commit an outcome; the request is kept until `Recorded` arrives.
+    pub(crate) fn record_outcome(&mut self, id: CallId, outcome: Outcome) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let Some(key) = call.request.key.clone() else {
-            self.forget(id);
+            self.remove_call(id);
             return;
         };
-        let planted = self.planted(Fault::ReleasesSent);
-        let outcome = if planted { Outcome::NotRun } else { outcome };
+        let has_fault = self.has_fault(Fault::ReleasesSent);
+        let outcome = if has_fault { Outcome::NotRun } else { outcome };
         let caller = call.request.caller.clone();
         if call.claim == Claim::Asked {
             let (caller, key) = (caller.clone(), key.clone());
-            self.orphans.watch(id, caller, key, self.now);
+            self.orphaned_claims.watch(id, caller, key, self.now);
         }
         self.actions.push(Action::Record {
             id,
@@ -240,23 +242,23 @@
             key,
             outcome,
         });
-        self.unqueue(id);
+        self.dequeue(id);
         if let Some(call) = self.calls.get_mut(&id) {
             call.stage = Stage::Recording;
         }
-        self.set_timer(id, self.now + RECORDING);
+        self.set_timer(id, self.now + RECORD_TIMEOUT);
     }
 
-    /// Takes the word that an outcome is committed.
-    pub(crate) fn recorded(&mut self, id: CallId) {
+    /// Handles the confirmation that an outcome is committed.
+    pub(crate) fn on_recorded(&mut self, id: CallId) {
         let known = self.calls.get(&id);
         if known.is_some_and(|call| call.answered && call.stage == Stage::Recording) {
-            self.forget(id);
+            self.remove_call(id);
         }
     }
 
-    /// Takes a request out of the queue, or out of those that wait for a claim.
-    fn unqueue(&mut self, id: CallId) {
+    /// Takes a request out of the queue, or out of the count of those waiting for a claim.
+    fn dequeue(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -267,16 +269,16 @@
         }
     }
 
-    /// Drops a request.
-    pub(crate) fn forget(&mut self, id: CallId) {
-        self.unqueue(id);
+    /// Removes a request with its timers.
+    pub(crate) fn remove_call(&mut self, id: CallId) {
+        self.dequeue(id);
         if let Some(call) = self.calls.remove(&id) {
             self.timers.remove(&(call.timer, id));
-            self.pauses.remove(&(call.pause, id));
+            self.backoffs.remove(&(call.retry_at, id));
         }
     }
 
-    /// Sets a request's one timer.
+    /// Sets the request's timer; each request has exactly one.
     pub(crate) fn set_timer(&mut self, id: CallId, at: Time) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -286,51 +288,59 @@
         self.timers.insert((at, id));
     }
 
-    /// Does what a request's timer is for.
-    pub(crate) fn expired(&mut self, id: CallId) {
+    /// Handles a request's timer: the end of its deadline, of a response timeout or of its
+    /// lingering.
+    pub(crate) fn on_timer(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         if call.answered {
-            self.abandon(id);
+            self.abandon_lingering(id);
             return;
         }
-        if self.unstall(id) || self.lose_patience(id) {
+        if self.retry_stalled(id) || self.retry_slow_target(id) {
             return;
         }
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let (run, detail) = match call.reach {
-            Reach::Unsent => (Run::NotRun, "the deadline came while it waited"),
-            Reach::Sent => (Run::Unknown, "the deadline came before the answer"),
-            Reach::Begun => (Run::Unknown, "the answer stopped coming"),
+        let (run, detail) = match call.progress {
+            Progress::Unsent => (
+                Run::NotRun,
+                "the deadline passed before the request was sent to a target",
+            ),
+            Progress::Sent => (
+                Run::Unknown,
+                "the deadline passed before the target answered",
+            ),
+            Progress::Begun => (Run::Unknown, "the answer cancelled coming"),
         };
-        let end = End {
+        let rejection = Rejection {
             run,
-            ..End::not_run(Reason::Expired, detail)
+            ..Rejection::not_run(Reason::Expired, detail)
         };
         let retry = run == Run::NotRun || call.repeatable;
-        let end = if retry {
-            end.after(Duration::ZERO)
+        let rejection = if retry {
+            rejection.after(Duration::ZERO)
         } else {
-            end
+            rejection
         };
-        self.refuse(id, end);
-        if self.planted(Fault::EndsTwice) {
-            let end = End::not_run(Reason::Expired, "planted");
-            self.turn_away(id, end);
+        self.refuse(id, rejection);
+        if self.has_fault(Fault::EndsTwice) {
+            let rejection = Rejection::not_run(Reason::Expired, "planted");
+            self.refuse_unadmitted(id, rejection);
         }
     }
 
-    /// Takes an answer that stopped coming from its target, once, and continues it.
-    fn unstall(&mut self, id: CallId) -> bool {
+    /// Cancels a streamed response that stalled and resumes it elsewhere; done at most once per
+    /// request.
+    fn retry_stalled(&mut self, id: CallId) -> bool {
         let Some(call) = self.calls.get_mut(&id) else {
             return false;
         };
-        let begun = call.reach == Reach::Begun && call.request.streaming;
+        let begun = call.progress == Progress::Begun && call.request.streaming;
         let Some((attempt, target)) = call
-            .running()
+            .current_attempt()
             .map(|run| (run.attempt, run.place.target.clone()))
         else {
             return false;
@@ -344,19 +354,20 @@
             attempt,
             target,
         });
-        self.touch(id);
-        self.failed(id, attempt, Failure::Stalled);
+        self.reset_response_timer(id);
+        self.on_failed(id, attempt, Failure::Stalled);
         true
     }
 
-    /// Gives up what went on after its caller had been answered.
-    fn abandon(&mut self, id: CallId) {
+    /// Gives up on an attempt, or the commit of an outcome, that continued after its caller was
+    /// answered.
+    fn abandon_lingering(&mut self, id: CallId) {
         let known = self.calls.get(&id);
-        if known.is_some_and(|call| call.running().is_some()) {
-            self.stop(id);
-            self.conclude(id);
+        if known.is_some_and(|call| call.current_attempt().is_some()) {
+            self.cancel_attempt(id);
+            self.settle_claim(id);
         } else {
-            self.forget(id);
+            self.remove_call(id);
         }
     }
 }
--- a/crates/entry/src/picture.rs
+++ b/crates/entry/src/fleet_view.rs
@@ -1,4 +1,5 @@
-//! What this host knows of the fleet: the view, put together from its changes.
+//! The fleet as this host knows it: the view that control publishes, built from incremental
+//! changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,65 +10,67 @@
 
 use crate::share::Sharers;
 
-/// A replica and when it is expected to be ready.
+/// A replica, with its expected time of readiness.
 #[derive(Debug, Clone, Serialize)]
 pub struct Replica {
-    /// What control published.
+    /// The replica as control published it.
     pub view: view::Replica,
-    /// When it is expected to be ready, on the clock of this core.
+    /// When it is expected to be ready, on this core's clock.
     pub ready_at: Time,
 }
 
-/// A target and when its report was measured.
+/// A target, with the age of its load report.
 #[derive(Debug, Clone, Serialize)]
 pub struct Target {
-    /// What control published.
+    /// The target as control published it.
     pub view: view::Target,
-    /// When its load was measured, on the clock of this core.
+    /// When its load was measured, on this core's clock.
     pub measured: Time,
-    /// Requests of this host that were in progress there when the report came.
+    /// Number of this host's requests in flight there when the report arrived.
     pub own: u32,
 }
 
-/// What a view led to.
+/// The result of merging a view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Merge {
-    /// It was put in.
-    Taken,
-    /// It is older than what is known.
-    Old,
-    /// Changes before it are missing.
+    /// The view continues what is known and is to be applied.
+    Applied,
+    /// The view has nothing newer than what is known.
+    Stale,
+    /// Changes before this view are missing.
     Gap,
 }
 
-/// What this host knows of the fleet.
+/// The fleet as this host knows it.
 #[derive(Debug, Default, Serialize)]
-pub struct Picture {
-    /// The newest term that published a view.
+pub struct FleetView {
+    /// The newest term in which a view was published.
     pub term: Term,
     /// The sequence number up to which changes are known.
     pub sequence: u64,
-    /// Replicas.
+    /// All known replicas.
     pub replicas: BTreeMap<ReplicaId, Replica>,
-    /// Targets.
+    /// All known targets.
     pub targets: BTreeMap<TargetId, Target>,
-    /// Entry hosts.
+    /// All known entry hosts.
     pub hosts: BTreeMap<HostId, entry::Host>,
-    /// How long the load of a model takes that no target has near.
+    /// Load time of models that no target has stored nearby.
     outlooks: BTreeMap<ModelId, Time>,
     /// Replicas by model.
     models: BTreeMap<ModelId, BTreeSet<ReplicaId>>,
-    /// Targets by plain service.
+    /// Targets by service.
     services: BTreeMap<cornelhitch_types::id::Name, BTreeSet<TargetId>>,
 }
 
-impl Picture {
-    /// Checks a view's place in the sequence; a whole one clears what was known.
+impl FleetView {
+    /// Checks a view's position in the sequence and advances to it; a complete view first clears
+    /// what was known.
     ///
-    /// Changes say how things stand, so those that are known already may come once more before new ones.
+    /// Changes carry absolute state, so a view may repeat some that are already known before new
+    /// ones.
     pub fn merge(&mut self, view: &View) -> Merge {
         if view.term < self.term {
-            return Merge::Old;
+            return Merge::Stale;
         }
         let renewed = view.term > self.term;
         if view.from == 0 && (renewed || view.to > self.sequence || self.sequence == 0) {
@@ -75,16 +78,16 @@
         } else if renewed || view.from > self.sequence {
             return Merge::Gap;
         } else if view.to <= self.sequence {
-            return Merge::Old;
+            return Merge::Stale;
         }
         self.term = view.term;
         self.sequence = view.to;
-        Merge::Taken
+        Merge::Applied
     }
 
-    /// Puts a replica in, in place of what was known of it.
-    pub fn replica(&mut self, view: view::Replica, now: Time) {
-        self.replica_gone(view.replica);
+    /// Inserts or replaces a replica.
+    pub fn insert_replica(&mut self, view: view::Replica, now: Time) {
+        self.remove_replica(view.replica);
         let ids = self.models.entry(view.model.clone()).or_default();
         ids.insert(view.replica);
         let ready_at = now + Time::from_millis(u64::from(view.ready_in_ms));
@@ -92,8 +95,8 @@
             .insert(view.replica, Replica { view, ready_at });
     }
 
-    /// Takes a replica out.
-    pub fn replica_gone(&mut self, id: ReplicaId) {
+    /// Removes a replica, if it is known.
+    pub fn remove_replica(&mut self, id: ReplicaId) {
         let Some(known) = self.replicas.remove(&id) else {
             return;
         };
@@ -102,8 +105,8 @@
         }
     }
 
-    /// Notes how long the load of a model takes; 0 where a target has it near.
-    pub fn outlook(&mut self, model: ModelId, ms: u32) {
+    /// Sets how long loading a model takes; 0 if a target has it stored nearby.
+    pub fn set_load_outlook(&mut self, model: ModelId, ms: u32) {
         if ms == 0 {
             self.outlooks.remove(&model);
         } else {
@@ -111,17 +114,17 @@
         }
     }
 
-    /// How long the load of a model takes at least that no target has near.
+    /// Returns the minimum load time of a model that no target has stored nearby, else zero.
     #[must_use]
-    pub fn load_of(&self, model: &str) -> Time {
+    pub fn load_outlook(&self, model: &str) -> Time {
         self.outlooks.get(model).copied().unwrap_or_default()
     }
 
-    /// Puts a target in; returns whether it is another life than the one that was known.
-    pub fn target(&mut self, view: view::Target, own: u32, now: Time) -> bool {
+    /// Inserts or replaces a target. Returns whether its incarnation differs from the known one.
+    pub fn insert_target(&mut self, view: view::Target, own: u32, now: Time) -> bool {
         let known = self.targets.get(&view.target);
         let renewed = known.is_some_and(|known| known.view.incarnation != view.incarnation);
-        self.target_gone(&view.target.clone());
+        self.remove_target(&view.target.clone());
         for service in &view.services {
             let targets = self.services.entry(service.clone()).or_default();
             targets.insert(view.target.clone());
@@ -138,8 +141,8 @@
         renewed
     }
 
-    /// Takes a target out.
-    pub fn target_gone(&mut self, id: &TargetId) {
+    /// Removes a target, if it is known.
+    pub fn remove_target(&mut self, id: &TargetId) {
         let Some(known) = self.targets.remove(id) else {
             return;
         };
@@ -150,42 +153,43 @@
         }
     }
 
-    /// The replicas of a model, in the order of their ids.
-    pub fn of_model(&self, model: &str) -> impl Iterator<Item = &Replica> {
+    /// Iterates over the replicas of a model, in the order of their ids.
+    pub fn replicas_of_model(&self, model: &str) -> impl Iterator<Item = &Replica> {
         let ids = self.models.get(model).into_iter().flatten();
         ids.filter_map(|id| self.replicas.get(id))
     }
 
-    /// The targets of a plain service, in the order of their names.
-    pub fn of_service(&self, service: &str) -> impl Iterator<Item = &Target> {
+    /// Iterates over the targets of a service, in the order of their names.
+    pub fn targets_of_service(&self, service: &str) -> impl Iterator<Item = &Target> {
         let ids = self.services.get(service).into_iter().flatten();
         ids.filter_map(|id| self.targets.get(id))
     }
 
-    /// Whether a target takes new work, in this life.
+    /// Whether a target accepts new work and still has this incarnation.
     #[must_use]
-    pub fn open(&self, target: &TargetId, incarnation: u64) -> bool {
+    pub fn is_open(&self, target: &TargetId, incarnation: u64) -> bool {
         let known = self.targets.get(target);
         known.is_some_and(|known| known.view.open && known.view.incarnation == incarnation)
     }
 
-    /// Whether a replica may be sent to.
+    /// Whether a replica is ready for requests.
     #[must_use]
-    pub fn ready(&self, replica: ReplicaId) -> bool {
+    pub fn is_ready(&self, replica: ReplicaId) -> bool {
         let known = self.replicas.get(&replica);
         known.is_some_and(|known| known.view.state == State::Ready)
     }
 
-    /// How many replicas a target holds ready.
+    /// Returns the number of ready replicas on a target.
     #[must_use]
-    pub fn held(&self, target: &TargetId) -> u32 {
+    pub fn ready_replicas_on(&self, target: &TargetId) -> u32 {
         let ready = self.replicas.values();
         let ready =
             ready.filter(|known| known.view.target == *target && known.view.state == State::Ready);
         u32::try_from(ready.count()).unwrap_or(u32::MAX)
     }
 
-    /// Entry hosts that share a target in a region with this one.
+    /// Returns which entry hosts share the targets of `region` with this one, whose own region is
+    /// `home`.
     #[must_use]
     pub fn sharers(&self, own: HostId, home: &RegionId, region: &RegionId) -> Sharers {
         let mut sharers = Sharers {
--- a/crates/entry/src/health.rs
+++ b/crates/entry/src/health.rs
@@ -1,7 +1,8 @@
-//! Targets whose answers are mostly errors of their own.
+//! Detects targets that mostly answer with errors of their own.
 //!
-//! Such a target may say that it is well and take every request, at once and in vain. It is left
-//! out while another one can take a request, and is tried again when its errors are some time ago.
+//! Such a target may report itself as healthy, accept every request and fail it at once. It is
+//! avoided while another target can take the request, and tried again some time after its last
+//! errors.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,16 +10,17 @@
 use cornelhitch_types::id::{TargetId, Time};
 use serde::Serialize;
 
-/// Time after which an answer counts half.
-const HALF: Duration = Duration::from_secs(10);
+/// Time after which a response counts half.
+const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// Errors from which on a target may count as failing: a single one may be the request's own.
-const LEAST: f64 = 1.5;
+/// Minimum number of errors for a target to count as failing; a single one may be caused by the
+/// request.
+const MIN_ERRORS: f64 = 1.5;
 
-/// The part of the answers that are errors from which on a target counts as failing.
-const PART: f64 = 0.3;
+/// Ratio of errors to responses above which a target counts as failing.
+const MIN_ERROR_RATIO: f64 = 0.3;
 
-/// Answers of one target, the older the less they count.
+/// Exponentially decaying counts of one target's responses.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 struct Record {
     answers: f64,
@@ -27,10 +29,10 @@
 }
 
 impl Record {
-    /// The same as it counts later.
-    fn at(self, now: Time) -> Self {
-        let halves = now.saturating_sub(self.at).as_secs_f64() / HALF.as_secs_f64();
-        let kept = 0.5_f64.powf(halves);
+    /// Returns the counts decayed to `now`.
+    fn decayed(self, now: Time) -> Self {
+        let half_lives = now.saturating_sub(self.at).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        let kept = 0.5_f64.powf(half_lives);
         Self {
             answers: self.answers * kept,
             errors: self.errors * kept,
@@ -39,38 +41,37 @@
     }
 }
 
-/// How the targets have answered of late.
+/// Recent error ratios of all targets.
 #[derive(Debug, Default, Serialize)]
 pub struct Health {
-    /// By target.
     records: BTreeMap<TargetId, Record>,
 }
 
 impl Health {
-    /// A target answered, with an error of its own or not.
-    pub fn answered(&mut self, target: &TargetId, error: bool, now: Time) {
+    /// Records a response; `error` means an error caused by the target itself.
+    pub fn record_answer(&mut self, target: &TargetId, error: bool, now: Time) {
         let record = self.records.entry(target.clone()).or_default();
-        *record = record.at(now);
+        *record = record.decayed(now);
         record.answers += 1.0;
         if error {
             record.errors += 1.0;
         }
     }
 
-    /// Forgets a target, when it is gone or has a new life.
+    /// Forgets a target when it is gone or has restarted.
     pub fn forget(&mut self, target: &str) {
         self.records.remove(target);
     }
 
-    /// Whether the answers of a target are mostly errors.
+    /// Whether a target's recent responses are mostly errors.
     ///
     /// ```
     /// use cornelhitch_entry::health::Health;
     /// use std::time::Duration;
     ///
     /// let (mut health, target) = (Health::default(), "worker-1".into());
-    /// health.answered(&target, true, Duration::ZERO);
-    /// health.answered(&target, true, Duration::ZERO);
+    /// health.record_answer(&target, true, Duration::ZERO);
+    /// health.record_answer(&target, true, Duration::ZERO);
     /// assert!(health.is_failing("worker-1", Duration::ZERO));
     /// assert!(!health.is_failing("worker-1", Duration::from_secs(30)));
     /// ```
@@ -79,7 +80,7 @@
         let Some(record) = self.records.get(target) else {
             return false;
         };
-        let record = record.at(now);
-        record.errors >= LEAST && record.errors > record.answers * PART
+        let record = record.decayed(now);
+        record.errors >= MIN_ERRORS && record.errors > record.answers * MIN_ERROR_RATIO
     }
 }
--- a/crates/entry/src/lease.rs
+++ b/crates/entry/src/lease.rs
@@ -1,27 +1,27 @@
-//! The lease on the settings: without one, no new requests.
+//! The lease on the settings; without it, a host accepts no new requests.
 
 use std::time::Duration;
 
 use cornelhitch_types::id::{Time, Version};
 use serde::Serialize;
 
-/// How long a host that holds a lease may act on older settings than the lease
-/// names; "in force everywhere" is answered only once it has caught up.
-pub const GRACE: Duration = Duration::from_secs(3);
+/// How long a host with a lease may act on older settings than the lease names. Control reports a
+/// version as in force everywhere only after every host has caught up.
+pub const SETTINGS_GRACE: Duration = Duration::from_secs(3);
 
-/// What is known of the lease.
+/// The state of this host's lease on the settings.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Lease {
-    /// Until when it holds.
+    /// When the lease expires.
     until: Option<Time>,
     /// The settings version that control has in force.
     version: Version,
-    /// When that version was first heard of.
+    /// When this host first learned of that version.
     since: Time,
 }
 
 impl Lease {
-    /// Takes a renewal; an older one that comes late changes nothing.
+    /// Applies a renewal. Renewals may arrive out of order; an older one has no effect.
     pub fn renew(&mut self, until: Time, version: Version, now: Time) {
         self.until = Some(self.until.map_or(until, |known| known.max(until)));
         if version > self.version {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether it holds for a host that acts on the settings of version `applied`.
+    /// Whether the lease is valid for a host that acts on the settings of version `applied`.
     ///
     /// ```
     /// use cornelhitch_entry::lease::Lease;
@@ -45,7 +45,7 @@
     #[must_use]
     pub fn holds(&self, applied: Version, now: Time) -> bool {
         let live = self.until.is_some_and(|until| now < until);
-        let current = applied >= self.version || now < self.since + GRACE;
+        let current = applied >= self.version || now < self.since + SETTINGS_GRACE;
         live && current && applied > 0
     }
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,16 +1,15 @@
-//! Admission, queues, routing, retries and claims of an entry host.
+//! Admission, queueing, routing, retries and idempotency claims of an entry host.
 //!
-//! [`core::Core`] is sans-I/O: it takes an [`event::Event`] and the time and
-//! returns [`action::Action`]s. Bodies never pass through it; the tasks around
-//! it own the connections and ask it before each step that cannot be undone:
-//!
-//! 1. `Send` names a target. The owner connects, reports `Sent`, and writes
-//!    the first byte only after `Proceed`, so "not run" is true.
-//! 2. The owner reports `Begun` when the answer starts, and passes the answer
-//!    on only after `Deliver`, so a late answer reaches nobody.
-//! 3. The owner reports `Ended` when the terminator came, and ends the answer
-//!    only after `Finish`, so a truncated answer is never taken for a whole one.
+//! [`core::Core`] is sans-I/O: it takes an [`event::Event`] and the current time and returns
+//! [`action::Action`]s. Request and response bodies do not pass through it. The tasks around it
+//! (the "owner") hold the connections and ask it before each irreversible step:
 //!
+//! 1. `Send` names a target. The owner connects, reports `Sent`, and writes the first byte only
+//!    after `Proceed`, so that a refusal marked "not run" is always true.
+//! 2. The owner reports `Begun` when the response starts and forwards it only after `Deliver`, so
+//!    that a response that arrives too late is never forwarded.
+//! 3. The owner reports `Ended` when it has read the terminator and completes the response only
+//!    after `Finish`, so that a truncated response is never taken for a complete one.
 //! ```
 //! use cornelhitch_entry::config::Config;
 //! use cornelhitch_entry::core::Core;
@@ -25,6 +24,7 @@
 pub mod action;
 pub mod affinity;
 pub mod budget;
+pub mod cancelled;
 pub mod catalogue;
 pub mod claim;
 pub mod config;
@@ -36,19 +36,18 @@
 pub mod estimate;
 pub mod event;
 pub mod fingerprint;
+pub mod fleet_view;
 pub mod health;
+pub mod host_share;
 pub mod lease;
-pub mod part;
-pub mod picture;
 pub mod prelude;
 pub mod quarantine;
 pub mod queue;
-pub mod recent;
 pub mod request;
+pub mod retry_policy;
 pub mod route;
-pub mod rule;
 pub mod share;
-pub mod stopped;
+pub mod sliding_counter;
 pub mod tally;
 
 mod admit;
@@ -58,4 +57,4 @@
 mod finish;
 #[cfg(test)]
 mod tests;
-mod watch;
+mod updates;
--- a/crates/entry/src/prelude.rs
+++ b/crates/entry/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for a glob import.
+//! The types that most users of this crate need, for a glob import.
 
 pub use crate::action::Action;
 pub use crate::config::Config;
--- a/crates/entry/src/quarantine.rs
+++ b/crates/entry/src/quarantine.rs
@@ -1,11 +1,10 @@
-//! Requests that took a target down, kept from taking down more than two.
+//! Limits how many targets a request that crashes them can take down to two.
 //!
-//! When a target dies, every request in progress on it is struck: one of them
-//! may be the cause. A struck request runs again only on a target that is
-//! reserved for this host's suspects, one suspect at a time, so that the next
-//! death names its cause; at the second strike it is refused. With two deaths
-//! at most, nothing but one at a time can both find the cause and serve all
-//! its neighbours: see `docs/design/entry.md`.
+//! When a target dies, every request in flight on it gets a strike, since any of them may be the
+//! cause. A request with a strike (a suspect) runs only on a target that is reserved for this
+//! host's suspects, one at a time, so that the next crash identifies its cause. At the second
+//! strike it is refused. With at most two crashes, only running suspects one at a time can both
+//! find the cause and serve all other requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,68 +12,68 @@
 use cornelhitch_types::id::{Incarnation, TargetId, Time};
 use serde::Serialize;
 
-/// Targets that one fingerprint may take down.
-pub const LIMIT: u32 = 2;
+/// Number of targets that one fingerprint may take down.
+pub const MAX_STRIKES: u32 = 2;
 
-/// Fingerprints with strikes that are remembered; the oldest go first.
-const RECORDS: usize = 10_000;
+/// Maximum number of fingerprints with strikes that are kept; the oldest are dropped first.
+const MAX_RECORDS: usize = 10_000;
 
-/// Targets that one host reserves for suspects at once.
-const RESERVED: usize = 2;
+/// Maximum number of targets that one host reserves for suspects at the same time.
+const MAX_RESERVATIONS: usize = 2;
 
-/// How long a reservation that was asked for is waited for.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long to wait for the answer to a reservation.
+const RESERVATION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The pause after a reservation was not granted.
-const PAUSE: Duration = Duration::from_millis(500);
+/// How long to wait before asking again after a reservation was denied or released.
+const RESERVATION_BACKOFF: Duration = Duration::from_millis(500);
 
-/// A target in one life.
-pub type Life = (TargetId, Incarnation);
+/// A target with its incarnation.
+pub type TargetInstance = (TargetId, Incarnation);
 
-/// What is known of one fingerprint.
+/// The strikes of one fingerprint.
 #[derive(Debug, Default, Serialize)]
 struct Record {
-    /// Targets that died with it in progress, seen from here.
-    seen: BTreeSet<Life>,
-    /// Strikes that control published.
+    /// Targets that this host saw die while the fingerprint was in flight on them.
+    seen: BTreeSet<TargetInstance>,
+    /// Number of strikes that control published.
     published: u32,
-    /// One more than were known when an attempt was sent that took its target down.
+    /// Lower bound: one more than the strikes known when the attempt was sent that took its target
+    /// down.
     least: u32,
-    /// When the last strike came.
+    /// Time of the last strike.
     at: Time,
 }
 
 /// The state of a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-enum Slot {
-    /// Control was asked.
+enum Reservation {
+    /// Control was asked for it.
     Asked {
-        /// When to stop waiting.
+        /// When to stop waiting for an answer.
         until: Time,
     },
-    /// This host has it.
+    /// This host holds it.
     Held {
-        /// Suspects in progress there.
+        /// Number of suspects in flight on the target.
         running: u32,
     },
-    /// Another host has it.
+    /// Denied by control, or released by this host.
     Denied {
-        /// When to ask again.
+        /// When it may be asked for again.
         until: Time,
     },
 }
 
-/// Strikes and reservations.
+/// Strikes by fingerprint, and reservations of targets for suspects.
 #[derive(Debug, Default, Serialize)]
 pub struct Quarantine {
-    /// By fingerprint.
     records: BTreeMap<u64, Record>,
-    /// Reservations.
-    slots: BTreeMap<Life, Slot>,
+    /// Reservations by target.
+    slots: BTreeMap<TargetInstance, Reservation>,
 }
 
 impl Quarantine {
-    /// Strikes of a fingerprint.
+    /// Returns the number of strikes of a fingerprint.
     #[must_use]
     pub fn strikes(&self, fingerprint: u64) -> u32 {
         let record = self.records.get(&fingerprint);
@@ -84,21 +83,21 @@
         })
     }
 
-    /// Counts a target that died; the same life of a target counts once.
+    /// Adds a strike for a target that died. The same incarnation of a target counts once.
     ///
-    /// `known` strikes had been counted when the attempt was sent: they were other targets, since
-    /// this one lived then, whether or not control names them.
-    pub fn strike(&mut self, fingerprint: u64, life: Life, known: u32, now: Time) {
+    /// `known` is the number of strikes counted when the attempt was sent. Those were for other
+    /// targets, since this one was alive then, even if control does not name them.
+    pub fn strike(&mut self, fingerprint: u64, instance: TargetInstance, known: u32, now: Time) {
         let record = self.records.entry(fingerprint).or_default();
-        record.seen.insert(life);
+        record.seen.insert(instance);
         record.least = record.least.max(known + 1);
         record.at = now;
-        self.bound();
+        self.drop_oldest();
     }
 
-    /// Forgets the oldest strikes beyond the limit.
-    fn bound(&mut self) {
-        while self.records.len() > RECORDS {
+    /// Drops the oldest strikes beyond the limit.
+    fn drop_oldest(&mut self) {
+        while self.records.len() > MAX_RECORDS {
             let oldest = self.records.iter().min_by_key(|(_, record)| record.at);
             let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) else {
                 return;
@@ -107,8 +106,9 @@
         }
     }
 
-    /// Takes what control published; 0 is an operator's release.
-    pub fn publish(&mut self, fingerprint: u64, strikes: u32, now: Time) {
+    /// Applies the number of strikes that control published; 0 means that an operator released the
+    /// fingerprint.
+    pub fn set_published(&mut self, fingerprint: u64, strikes: u32, now: Time) {
         if strikes == 0 {
             self.records.remove(&fingerprint);
             return;
@@ -116,25 +116,25 @@
         let record = self.records.entry(fingerprint).or_default();
         record.published = strikes;
         record.at = now;
-        self.bound();
+        self.drop_oldest();
     }
 
-    /// Forgets what control published, before the whole of it comes again.
-    pub fn unpublish(&mut self) {
+    /// Clears what control published, before a complete view is applied.
+    pub fn clear_published(&mut self) {
         for record in self.records.values_mut() {
             record.published = 0;
         }
         self.records.retain(|_, record| !record.seen.is_empty());
     }
 
-    /// Whether a target is reserved for this host.
+    /// Whether any target is reserved for this host.
     #[must_use]
-    pub fn holds(&self) -> bool {
+    pub fn has_reservations(&self) -> bool {
         let mut slots = self.slots.values();
-        slots.any(|slot| matches!(slot, Slot::Held { .. }))
+        slots.any(|reservation| matches!(reservation, Reservation::Held { .. }))
     }
 
-    /// Every fingerprint with its strikes.
+    /// Returns all fingerprints with their strikes.
     #[must_use]
     pub fn list(&self) -> Vec<crate::dump::Strike> {
         let fingerprints = self.records.keys().copied();
@@ -145,109 +145,129 @@
         rows.collect()
     }
 
-    /// How long a fingerprint is still refused.
+    /// Returns how much longer a fingerprint is refused, where strikes are kept for `kept`.
     #[must_use]
-    pub fn left(&self, fingerprint: u64, kept: Duration, now: Time) -> Duration {
+    pub fn time_left(&self, fingerprint: u64, kept: Duration, now: Time) -> Duration {
         let record = self.records.get(&fingerprint);
         record.map_or(Duration::ZERO, |record| {
             (record.at + kept).saturating_sub(now)
         })
     }
 
-    /// Forgets strikes whose time is over.
+    /// Drops strikes that are older than `kept`.
     pub fn expire(&mut self, kept: Duration, now: Time) {
         self.records.retain(|_, record| record.at + kept > now);
     }
 
-    /// The targets on which a suspect may be started now.
+    /// Returns the reserved targets with fewer than `width` suspects in flight.
     #[must_use]
-    pub fn free(&self, width: u32) -> Vec<Life> {
+    pub fn available(&self, width: u32) -> Vec<TargetInstance> {
         let free = self
             .slots
             .iter()
-            .filter(|(_, slot)| matches!(slot, Slot::Held { running } if *running < width));
-        free.map(|(life, _)| life.clone()).collect()
+            .filter(|(_, reservation)| matches!(reservation, Reservation::Held { running } if *running < width));
+        free.map(|(instance, _)| instance.clone()).collect()
     }
 
-    /// The target to ask control for, out of those that could run a waiting suspect.
-    pub fn ask(&mut self, targets: &[Life], now: Time) -> Option<Life> {
-        self.lapse(now);
-        let denied = |slot: &&Slot| matches!(slot, Slot::Denied { .. });
+    /// Picks the next target to ask control for, out of those that can run a waiting suspect.
+    /// Returns `None` if all are already reserved or denied, or this host has its maximum of
+    /// reservations.
+    pub fn next_to_reserve(
+        &mut self,
+        targets: &[TargetInstance],
+        now: Time,
+    ) -> Option<TargetInstance> {
+        self.expire_reservations(now);
+        let denied = |reservation: &&Reservation| matches!(reservation, Reservation::Denied { .. });
         let denied = self.slots.values().filter(denied).count();
-        if self.slots.len() - denied >= RESERVED {
+        if self.slots.len() - denied >= MAX_RESERVATIONS {
             return None;
         }
-        let next = targets.iter().find(|life| !self.slots.contains_key(life))?;
-        let until = now + PATIENCE;
-        self.slots.insert(next.clone(), Slot::Asked { until });
+        let next = targets
+            .iter()
+            .find(|instance| !self.slots.contains_key(instance))?;
+        let until = now + RESERVATION_TIMEOUT;
+        self.slots
+            .insert(next.clone(), Reservation::Asked { until });
         Some(next.clone())
     }
 
-    /// Forgets reservations that were asked for or denied too long ago.
-    pub fn lapse(&mut self, now: Time) {
-        self.slots.retain(|_, slot| match slot {
-            Slot::Asked { until } | Slot::Denied { until } => *until > now,
-            Slot::Held { .. } => true,
+    /// Drops unanswered and denied reservations whose time is up.
+    pub fn expire_reservations(&mut self, now: Time) {
+        self.slots.retain(|_, reservation| match reservation {
+            Reservation::Asked { until } | Reservation::Denied { until } => *until > now,
+            Reservation::Held { .. } => true,
         });
     }
 
-    /// Takes control's answer; returns whether the reservation is of use.
-    pub fn reserved(&mut self, life: &Life, granted: bool, now: Time) -> bool {
-        let asked = match self.slots.get(life) {
-            Some(Slot::Held { .. }) => return true,
-            Some(Slot::Asked { .. }) => true,
+    /// Applies control's answer. Returns whether the reservation was still wanted.
+    pub fn on_reservation(&mut self, instance: &TargetInstance, granted: bool, now: Time) -> bool {
+        let asked = match self.slots.get(instance) {
+            Some(Reservation::Held { .. }) => return true,
+            Some(Reservation::Asked { .. }) => true,
             _ => false,
         };
         if asked {
-            let slot = if granted {
-                Slot::Held { running: 0 }
+            let reservation = if granted {
+                Reservation::Held { running: 0 }
             } else {
-                Slot::Denied { until: now + PAUSE }
+                Reservation::Denied {
+                    until: now + RESERVATION_BACKOFF,
+                }
             };
-            self.slots.insert(life.clone(), slot);
+            self.slots.insert(instance.clone(), reservation);
         }
         asked
     }
 
-    /// Counts a suspect that was sent; returns whether the target is reserved for it.
-    pub fn start(&mut self, life: &Life) -> bool {
-        let Some(Slot::Held { running }) = self.slots.get_mut(life) else {
+    /// Counts a suspect that was sent. Returns whether the target is reserved for it.
+    pub fn start_suspect(&mut self, instance: &TargetInstance) -> bool {
+        let Some(Reservation::Held { running }) = self.slots.get_mut(instance) else {
             return false;
         };
         *running += 1;
         true
     }
 
-    /// Counts a suspect that ended.
-    pub fn end(&mut self, life: &Life) {
-        if let Some(Slot::Held { running }) = self.slots.get_mut(life) {
+    /// Counts a suspect whose attempt ended.
+    pub fn end_suspect(&mut self, instance: &TargetInstance) {
+        if let Some(Reservation::Held { running }) = self.slots.get_mut(instance) {
             *running = running.saturating_sub(1);
         }
     }
 
-    /// Takes out the reservations on which nothing runs and that are not `kept`.
+    /// Releases the reservations that are idle and not `kept`, and returns their targets.
     ///
-    /// They are not asked for again at once: a new request that overtook the release would be
-    /// granted, and then be released by it.
-    pub fn release(&mut self, kept: impl Fn(&Life) -> bool, now: Time) -> Vec<Life> {
-        let idle = |slot: &Slot| matches!(slot, Slot::Held { running: 0 });
+    /// They are not asked for again at once: a new reservation request that overtook the release
+    /// would be granted and then undone by it.
+    pub fn release_idle(
+        &mut self,
+        kept: impl Fn(&TargetInstance) -> bool,
+        now: Time,
+    ) -> Vec<TargetInstance> {
+        let idle =
+            |reservation: &Reservation| matches!(reservation, Reservation::Held { running: 0 });
         let slots = self.slots.iter();
-        let slots = slots.filter(|(life, slot)| idle(slot) && !kept(life));
-        let lives: Vec<Life> = slots.map(|(life, _)| life.clone()).collect();
-        for life in &lives {
-            let until = now + PAUSE;
-            self.slots.insert(life.clone(), Slot::Denied { until });
+        let slots = slots.filter(|(instance, reservation)| idle(reservation) && !kept(instance));
+        let instances: Vec<TargetInstance> = slots.map(|(instance, _)| instance.clone()).collect();
+        for instance in &instances {
+            let until = now + RESERVATION_BACKOFF;
+            self.slots
+                .insert(instance.clone(), Reservation::Denied { until });
         }
-        lives
+        instances
     }
 
-    /// When a reservation may be asked for again.
+    /// Returns when the next unanswered or denied reservation expires.
     #[must_use]
-    pub fn next(&self) -> Option<Time> {
-        let times = self.slots.values().filter_map(|slot| match slot {
-            Slot::Asked { until } | Slot::Denied { until } => Some(*until),
-            Slot::Held { .. } => None,
-        });
+    pub fn next_expiry(&self) -> Option<Time> {
+        let times = self
+            .slots
+            .values()
+            .filter_map(|reservation| match reservation {
+                Reservation::Asked { until } | Reservation::Denied { until } => Some(*until),
+                Reservation::Held { .. } => None,
+            });
         times.min()
     }
 }
--- a/crates/entry/src/queue.rs
+++ b/crates/entry/src/queue.rs
@@ -1,10 +1,8 @@
-//! The requests that wait, in the order in which they are to be sent.
+//! The queue of waiting requests, in the order in which they are to be sent.
 //!
-//! Within a class the nearest deadline goes first. Between classes the turns
-//! are shared out by weight (stride scheduling, Waldspurger and Weihl 1995): a
-//! class that waits gets turns in proportion to its weight, so a heavy class
-//! goes before a light one, and no class starves however long the heavy ones
-//! are busy.
+//! Within a class, the earliest deadline goes first. Classes share turns in proportion to their
+//! weights by stride scheduling (Waldspurger and Weihl 1995): a heavy class goes before a light
+//! one, and no class starves however long the heavy ones are busy.
 
 use std::collections::btree_set::Iter;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -15,25 +13,25 @@
 
 use crate::event::{CallId, What};
 
-/// Requests that can be sent to the same replicas.
+/// Identifies a lane: the requests that can be sent to the same replicas.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Key {
-    /// A model, in the version that was named.
+pub enum QueueKey {
+    /// A model, with the version if the request names one.
     Model(ModelId, Option<Name>),
-    /// A plain service.
+    /// A service, by name.
     Service(Name),
 }
 
-impl Key {
-    /// The service that the requests are for; models that belong to no service count as one, which
-    /// has an empty name.
+impl QueueKey {
+    /// Returns the service that the requests belong to. All models outside a service count as one,
+    /// with an empty name.
     ///
     /// ```
-    /// use cornelhitch_entry::queue::Key;
+    /// use cornelhitch_entry::queue::QueueKey;
     ///
-    /// assert_eq!(&*Key::Service("auction".into()).service(), "auction");
-    /// assert_eq!(&*Key::Model("engines/report".into(), None).service(), "engines");
-    /// assert_eq!(&*Key::Model("report".into(), None).service(), "");
+    /// assert_eq!(&*QueueKey::Service("auction".into()).service(), "auction");
+    /// assert_eq!(&*QueueKey::Model("engines/report".into(), None).service(), "engines");
+    /// assert_eq!(&*QueueKey::Model("report".into(), None).service(), "");
     /// ```
     #[must_use]
     pub fn service(&self) -> Name {
@@ -44,7 +42,7 @@
     }
 }
 
-impl From<&What> for Key {
+impl From<&What> for QueueKey {
     fn from(what: &What) -> Self {
         match what {
             What::Model(reference) => {
@@ -55,43 +53,43 @@
     }
 }
 
-/// The weight of requests that go before all classes: answers that are to be continued.
-pub const FIRST: u32 = u32::MAX;
+/// Weight of a response that is to be resumed; it goes before all classes.
+pub const RESUME_WEIGHT: u32 = u32::MAX;
 
-/// A place in the order.
+/// The position of a request in the order of its lane.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Rank {
-    /// The weight of its class.
+    /// The weight of the request's class.
     pub weight: u32,
-    /// Its deadline.
+    /// The request's deadline.
     pub deadline: Time,
 }
 
-/// The requests of one class that wait for the same replicas.
+/// The waiting requests of one class in a lane.
 #[derive(Debug, Default)]
 struct Class {
-    /// In the order of their deadlines.
+    /// In order of deadline.
     waiting: BTreeSet<(Time, CallId)>,
-    /// When its next turn is, on the clock of the lane.
+    /// The virtual time of the class's next turn.
     turn: f64,
 }
 
-/// The requests that wait for the same replicas.
+/// The waiting requests for the same replicas.
 #[derive(Debug, Default)]
 struct Lane {
-    /// By weight.
+    /// Classes by weight.
     classes: BTreeMap<u32, Class>,
-    /// The turn of the last request that was sent.
+    /// Virtual time: the turn of the last request that was sent.
     clock: f64,
 }
 
-/// The part of the lane's clock that one turn of a class takes.
+/// Returns the virtual time that one turn of a class takes.
 fn stride(weight: u32) -> f64 {
     1.0 / f64::from(weight.max(1))
 }
 
 impl Lane {
-    /// Adds a request; a class that did not wait has its next turn now.
+    /// Adds a request. If its class had no waiting requests, its next turn is no earlier than now.
     fn push(&mut self, rank: Rank, id: CallId) {
         let clock = self.clock;
         let class = self.classes.entry(rank.weight).or_default();
@@ -101,42 +99,41 @@
         class.waiting.insert((rank.deadline, id));
     }
 
-    /// Counts a turn.
-    fn serve(&mut self, weight: u32) {
+    /// Advances virtual time by one turn of a class.
+    fn take_turn(&mut self, weight: u32) {
         if let Some(class) = self.classes.get_mut(&weight) {
             self.clock = self.clock.max(class.turn);
             class.turn += stride(weight);
         }
     }
 
-    /// Takes a request out.
     fn remove(&mut self, rank: Rank, id: CallId) {
         if let Some(class) = self.classes.get_mut(&rank.weight) {
             class.waiting.remove(&(rank.deadline, id));
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     fn len(&self) -> usize {
         self.classes.values().map(|class| class.waiting.len()).sum()
     }
 
-    /// The request with the last turn, and that turn as seen from now.
+    /// Returns the request with the last turn, and that turn relative to now.
     fn last(&self) -> Option<(f64, CallId)> {
         let lasts = self.classes.iter().filter_map(|(weight, class)| {
             let (_, id) = class.waiting.last()?;
-            Some((self.end(*weight, class), *id))
+            Some((self.end_turn(*weight, class), *id))
         });
         lasts.max_by(|one, other| one.0.total_cmp(&other.0))
     }
 
-    /// The turn of a class's last request, as seen from now.
-    fn end(&self, weight: u32, class: &Class) -> f64 {
+    /// Returns the turn of a class's last request, relative to now.
+    fn end_turn(&self, weight: u32, class: &Class) -> f64 {
         let count = u32::try_from(class.waiting.len()).unwrap_or(u32::MAX);
         class.turn - self.clock + f64::from(count) * stride(weight)
     }
 
-    /// How many go before a new request, as far as is known now.
+    /// Returns how many waiting requests would go before a new one if no others arrived.
     fn ahead(&self, rank: Rank) -> usize {
         let own = self.classes.get(&rank.weight);
         let before = own.map_or(0, |class| class.waiting.range(..(rank.deadline, 0)).count());
@@ -155,66 +152,64 @@
     }
 }
 
-/// A number of turns as a count.
+/// Converts a number of turns to a count.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn turns_to_count(turns: f64) -> usize {
     turns as usize
 }
 
-/// The requests of one class that are yet to be gone through.
-struct Series<'a> {
-    /// The next turn.
+/// Iteration state of one class.
+struct ClassCursor<'a> {
+    /// The virtual time of its next turn.
     turn: f64,
-    /// The time between turns.
+    /// The virtual time between its turns.
     stride: f64,
-    /// The requests.
     waiting: Iter<'a, (Time, CallId)>,
 }
 
-/// The requests of a lane in the order of their turns.
-struct Turns<'a> {
-    /// One series a class, the heaviest first.
-    series: Vec<Series<'a>>,
+/// Iterator over the requests of a lane in the order of their turns.
+struct TurnOrder<'a> {
+    /// One cursor per class, the heaviest first.
+    cursors: Vec<ClassCursor<'a>>,
 }
 
-impl Iterator for Turns<'_> {
+impl Iterator for TurnOrder<'_> {
     type Item = CallId;
 
     fn next(&mut self) -> Option<CallId> {
-        while !self.series.is_empty() {
-            let turns = self.series.iter().enumerate();
+        while !self.cursors.is_empty() {
+            let turns = self.cursors.iter().enumerate();
             let (index, _) = turns.min_by(|one, other| one.1.turn.total_cmp(&other.1.turn))?;
-            let series = &mut self.series[index];
-            if let Some((_, id)) = series.waiting.next() {
-                series.turn += series.stride;
+            let cursors = &mut self.cursors[index];
+            if let Some((_, id)) = cursors.waiting.next() {
+                cursors.turn += cursors.stride;
                 return Some(*id);
             }
-            let _spent = self.series.remove(index);
+            let _spent = self.cursors.remove(index);
         }
         None
     }
 }
 
-/// The requests that wait, and how many requests each caller has.
+/// The waiting requests, and the number of requests of each caller.
 #[derive(Debug, Default)]
 pub struct Queue {
-    /// By the replicas that they can be sent to.
-    lanes: BTreeMap<Key, Lane>,
-    /// Requests that wait.
+    lanes: BTreeMap<QueueKey, Lane>,
+    /// Total number of waiting requests.
     length: usize,
-    /// Requests of each caller, waiting or in progress.
+    /// Number of requests of each caller, waiting or in flight.
     callers: HashMap<CallerId, u32>,
 }
 
 impl Queue {
-    /// Adds a request that does not wait yet.
+    /// Adds a request. Adding it again has no effect.
     ///
     /// ```
-    /// use cornelhitch_entry::queue::{Key, Queue, Rank};
+    /// use cornelhitch_entry::queue::{QueueKey, Queue, Rank};
     /// use std::time::Duration;
     ///
     /// let mut queue = Queue::default();
-    /// let key = Key::Service("bids".into());
+    /// let key = QueueKey::Service("bids".into());
     /// let rank = |weight, seconds| Rank { weight, deadline: Duration::from_secs(seconds) };
     /// queue.push(&key, rank(1, 600), 1);
     /// queue.push(&key, rank(1, 500), 2);
@@ -222,7 +217,7 @@
     /// let order: Vec<u64> = queue.lane(&key).collect();
     /// assert_eq!(order, [3, 2, 1]);
     /// ```
-    pub fn push(&mut self, key: &Key, rank: Rank, id: CallId) {
+    pub fn push(&mut self, key: &QueueKey, rank: Rank, id: CallId) {
         if !self.lanes.contains_key(key) {
             self.lanes.insert(key.clone(), Lane::default());
         }
@@ -233,16 +228,16 @@
         }
     }
 
-    /// Takes a request out that is sent, which is a turn of its class.
-    pub fn serve(&mut self, key: &Key, rank: Rank, id: CallId) {
+    /// Removes a request that is being sent, which uses a turn of its class.
+    pub fn take_turn(&mut self, key: &QueueKey, rank: Rank, id: CallId) {
         if let Some(lane) = self.lanes.get_mut(key) {
-            lane.serve(rank.weight);
+            lane.take_turn(rank.weight);
         }
         self.remove(key, rank, id);
     }
 
-    /// Takes a request out; it may not be there.
-    pub fn remove(&mut self, key: &Key, rank: Rank, id: CallId) {
+    /// Removes a request, if it is queued.
+    pub fn remove(&mut self, key: &QueueKey, rank: Rank, id: CallId) {
         let Some(lane) = self.lanes.get_mut(key) else {
             return;
         };
@@ -255,19 +250,20 @@
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether nothing waits.
+    /// Whether no requests wait.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// The request with the last turn of all, which is the furthest from being met.
+    /// Returns the request with the last turn over all lanes, which is the one shed when the queue
+    /// is full.
     #[must_use]
     pub fn last(&self) -> Option<CallId> {
         let lasts = self.lanes.values().filter_map(Lane::last);
@@ -275,52 +271,52 @@
         last.map(|(_, id)| id)
     }
 
-    /// The keys of what waits.
+    /// Returns the keys of all lanes with waiting requests.
     #[must_use]
-    pub fn keys(&self) -> Vec<Key> {
+    pub fn keys(&self) -> Vec<QueueKey> {
         self.lanes.keys().cloned().collect()
     }
 
-    /// Requests that wait for the same replicas, in the order of their turns.
-    pub fn lane(&self, key: &Key) -> impl Iterator<Item = CallId> {
+    /// Iterates over the waiting requests of a lane in the order of their turns.
+    pub fn lane(&self, key: &QueueKey) -> impl Iterator<Item = CallId> {
         let lane = self.lanes.get(key);
-        // Of classes with the same turn the heaviest goes first.
+        // Of classes with the same turn, the heaviest goes first.
         let classes = lane.into_iter().flat_map(|lane| lane.classes.iter().rev());
-        let series = classes.map(|(weight, class)| Series {
+        let cursors = classes.map(|(weight, class)| ClassCursor {
             turn: class.turn,
             stride: stride(*weight),
             waiting: class.waiting.iter(),
         });
-        Turns {
-            series: series.collect(),
+        TurnOrder {
+            cursors: cursors.collect(),
         }
     }
 
-    /// How many wait for the same replicas.
+    /// Returns the number of waiting requests in a lane.
     #[must_use]
-    pub fn waiting(&self, key: &Key) -> usize {
+    pub fn waiting(&self, key: &QueueKey) -> usize {
         self.lanes.get(key).map_or(0, Lane::len)
     }
 
-    /// How many of them would go before a new one.
+    /// Returns how many waiting requests of a lane would go before a new one.
     #[must_use]
-    pub fn ahead(&self, key: &Key, rank: Rank) -> usize {
+    pub fn ahead(&self, key: &QueueKey, rank: Rank) -> usize {
         self.lanes.get(key).map_or(0, |lane| lane.ahead(rank))
     }
 
-    /// Requests of a caller, waiting or in progress.
+    /// Returns the number of a caller's requests, waiting or in flight.
     #[must_use]
-    pub fn of_caller(&self, caller: &CallerId) -> u32 {
+    pub fn caller_requests(&self, caller: &CallerId) -> u32 {
         self.callers.get(caller).copied().unwrap_or(0)
     }
 
-    /// Counts a caller's request.
-    pub fn enter(&mut self, caller: &CallerId) {
+    /// Counts a new request of a caller.
+    pub fn add_caller_request(&mut self, caller: &CallerId) {
         *self.callers.entry(caller.clone()).or_default() += 1;
     }
 
     /// Counts the end of a caller's request.
-    pub fn leave(&mut self, caller: &CallerId) {
+    pub fn remove_caller_request(&mut self, caller: &CallerId) {
         let Some(count) = self.callers.get_mut(caller) else {
             return;
         };
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,154 +1,159 @@
-//! One request from its arrival to its end.
+//! The state of one request from its arrival to its end.
 
 use cornelhitch_types::id::{Incarnation, TargetId, Time};
 use serde::Serialize;
 
 use crate::event::{Attempt, Request};
-use crate::queue::{Key, Rank};
+use crate::queue::{QueueKey, Rank};
 use crate::route::Place;
 
-/// How far a request has come over all its attempts; it never goes back.
+/// How far a request has got over all its attempts; it never goes back, except by
+/// [`Call::undo_run`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub enum Reach {
+pub enum Progress {
     /// No byte was handed to a connection.
     Unsent,
     /// The first byte may have been written.
     Sent,
-    /// The answer may have reached the caller in part.
+    /// A part of the response may have reached the caller.
     Begun,
 }
 
 /// An attempt in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Run {
-    /// Its number.
+pub struct RunningAttempt {
+    /// The attempt's number.
     pub attempt: Attempt,
-    /// Where.
+    /// The place that it was sent to.
     pub place: Place,
-    /// The life of the target.
+    /// The incarnation of the target.
     pub incarnation: Incarnation,
-    /// How far it has come.
-    pub reach: Reach,
+    /// How far this attempt has got.
+    #[serde(rename = "reach")]
+    pub progress: Progress,
     /// When it was sent.
     pub since: Time,
-    /// Strikes that were known of the request when it was sent.
+    /// Strikes of the request's fingerprint that were known when it was sent.
     pub strikes: u32,
-    /// Whether it runs on a target that is reserved for suspects.
+    /// Whether it counts against a reservation for suspects.
     pub reserved: bool,
 }
 
 /// What a request is waiting for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub enum Stage {
-    /// For its claim.
+    /// Control's reply to its claim.
     Claiming,
-    /// For a place.
+    /// A place to run.
     Waiting,
-    /// For the end of an attempt.
-    Running(Run),
-    /// For its outcome to be committed; the caller has its answer.
+    /// The end of an attempt.
+    Running(RunningAttempt),
+    /// The commit of its outcome; the caller already has the response.
     Recording,
 }
 
-/// Whether a request has a claim.
+/// The state of a request's claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Claim {
-    /// It needs none.
+    /// The request needs no claim.
     None,
-    /// It was asked for.
+    /// Control was asked to commit it.
     Asked,
-    /// It is committed.
+    /// Control has committed it.
     Granted,
 }
 
-/// A request and what is known of it.
+/// A request and its state.
 #[derive(Debug, Clone, Serialize)]
 pub struct Call {
-    /// What was asked.
+    /// The request as it arrived.
     pub request: Request,
-    /// What it can be answered by.
-    pub key: Key,
-    /// The weight of its class.
+    /// The lane that the request waits in.
+    pub key: QueueKey,
+    /// The weight of its class or rank.
     pub weight: u32,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived: Time,
-    /// When its answer, or the begin of a streamed one, is due.
+    /// When the response, or the beginning of a streamed one, is due.
     pub deadline: Time,
-    /// When its timer comes.
+    /// When its timer fires.
     pub timer: Time,
-    /// Its place in the queue.
+    /// Its position in the lane.
     pub rank: Rank,
-    /// Whether it may be sent again.
+    /// Whether it may be sent again after its first byte was written.
     pub repeatable: bool,
-    /// Its claim.
+    /// The state of its claim.
     pub claim: Claim,
     /// What it waits for.
     pub stage: Stage,
-    /// How far it has come.
-    pub reach: Reach,
-    /// Tokens that the caller has.
+    /// How far it has got.
+    #[serde(rename = "reach")]
+    pub progress: Progress,
+    /// Number of tokens that the caller has received.
     pub offset: u64,
-    /// Attempts made.
+    /// Number of attempts made.
     pub attempts: Attempt,
-    /// Attempts whose first byte was handed to a connection.
-    pub arrivals: Attempt,
-    /// Attempts that may have run.
+    /// Number of attempts whose first byte was handed to a connection.
+    #[serde(rename = "arrivals")]
+    pub sends: Attempt,
+    /// Number of attempts that may have run.
     pub runs: Attempt,
-    /// Targets on which it failed, which are tried again only if there is no other.
+    /// Targets on which it failed; they are tried again only if there are no others.
     pub failed: Vec<TargetId>,
-    /// It is not sent again before.
-    pub pause: Time,
-    /// Whether the caller has its end, or left.
+    /// End of the current retry backoff.
+    #[serde(rename = "pause")]
+    pub retry_at: Time,
+    /// Whether the caller has its final response or has left.
     pub answered: bool,
-    /// Whether its answer stopped coming once and was taken from the target.
+    /// Whether its response stalled once and was taken from the target.
     pub stalled: bool,
 }
 
 impl Call {
-    /// The attempt in progress, if it has that number.
+    /// Returns the attempt in progress, if it has this number.
     #[must_use]
-    pub fn run(&self, attempt: Attempt) -> Option<&Run> {
+    pub fn run(&self, attempt: Attempt) -> Option<&RunningAttempt> {
         match &self.stage {
             Stage::Running(run) if run.attempt == attempt => Some(run),
             _ => None,
         }
     }
 
-    /// Takes back an attempt that its target says it did not run.
-    pub fn refused(&mut self) {
+    /// Takes back an attempt that its target declares not to have run.
+    pub fn undo_run(&mut self) {
         self.runs = self.runs.saturating_sub(1);
-        if self.runs == 0 && self.reach == Reach::Sent {
-            self.reach = Reach::Unsent;
+        if self.runs == 0 && self.progress == Progress::Sent {
+            self.progress = Progress::Unsent;
         }
     }
 
-    /// Whether as many targets may have run it as its route allows.
+    /// Whether the request may have run on as many targets as its route allows.
     #[must_use]
-    pub fn is_spent(&self) -> bool {
+    pub fn attempts_exhausted(&self) -> bool {
         let terms = self.request.terms.as_ref();
         terms.is_some_and(|terms| self.runs >= terms.attempts)
     }
 
-    /// The attempt in progress, whatever its number.
+    /// Returns the attempt in progress.
     #[must_use]
-    pub fn running(&self) -> Option<&Run> {
+    pub fn current_attempt(&self) -> Option<&RunningAttempt> {
         match &self.stage {
             Stage::Running(run) => Some(run),
             _ => None,
         }
     }
 
-    /// The same, to be changed.
-    pub fn run_mut(&mut self, attempt: Attempt) -> Option<&mut Run> {
+    /// Returns the attempt in progress for modification, if it has this number.
+    pub fn run_mut(&mut self, attempt: Attempt) -> Option<&mut RunningAttempt> {
         match &mut self.stage {
             Stage::Running(run) if run.attempt == attempt => Some(run),
             _ => None,
         }
     }
 
-    /// Whether it waits for a place.
+    /// Whether the request waits for a place.
     #[must_use]
-    pub fn waits(&self) -> bool {
+    pub fn is_waiting(&self) -> bool {
         self.stage == Stage::Waiting
     }
 }
--- a/crates/entry/src/route.rs
+++ b/crates/entry/src/route.rs
@@ -1,11 +1,10 @@
-//! Which replica a request goes to.
+//! Chooses the replica for a request.
 //!
-//! Every part gives its cost in milliseconds of expected delay, so that parts
-//! can be added up and each can be left out. Two candidates are drawn at
-//! random, the one with the most of the prompt and the nearest one join them,
-//! and the cheapest of these is taken (the power of two choices, Mitzenmacher
-//! 2001): taking the best of all would send every host to the same replica
-//! while reports lag.
+//! Each cost term estimates a part of the expected delay in milliseconds, so that terms can be
+//! added up and left out one by one. The router samples two candidates at random, adds the one with
+//! the longest cached prefix and the nearest one, and takes the cheapest of these (power of two
+//! choices, Mitzenmacher 2001). Taking the cheapest of all candidates would send every host to the
+//! same replica while load reports lag.
 
 use std::net::SocketAddr;
 
@@ -15,180 +14,182 @@
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// Where a request runs.
+/// Where a request runs: a target and, for a model, one of its replicas.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Place {
-    /// The target.
+    /// The target that runs the request.
     pub target: TargetId,
-    /// The replica, for a model.
+    /// The replica, or `None` for a service.
     pub replica: Option<ReplicaId>,
 }
 
-/// A place that could take the request now.
+/// A place that can take the request now, with what its cost depends on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// Where.
+    /// The place itself.
     pub place: Place,
-    /// The life of the target.
+    /// The incarnation of the target.
     pub incarnation: Incarnation,
-    /// Where the target takes requests.
+    /// The address at which the target accepts requests.
     pub address: SocketAddr,
-    /// Its region.
+    /// The target's region.
     pub region: RegionId,
-    /// Its availability zone.
+    /// The target's availability zone.
     pub zone: ZoneId,
-    /// This host's requests in progress there.
+    /// Number of this host's requests in flight there.
     pub own: u32,
-    /// Requests of other hosts, as the last report shows.
+    /// Number of other hosts' requests there, according to the last load report.
     pub others: u32,
     /// The age of that report.
     pub age: Time,
-    /// Requests that it answers at once.
+    /// Number of requests that it serves concurrently.
     pub capacity: u32,
-    /// Blocks of the prompt that it is believed to hold.
+    /// Expected number of blocks of the prompt in its prefix cache.
     pub cached: f64,
-    /// The way there and back in milliseconds.
+    /// Round-trip time in milliseconds.
     pub distance_ms: f64,
-    /// The price of the request's bytes there.
+    /// Network price of the request's bytes.
     pub price: f64,
 }
 
-/// What a part may look at besides the candidate.
+/// What a cost term may depend on besides the candidate.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ask {
-    /// How long an answer takes, in milliseconds.
-    pub whole_ms: f64,
-    /// The mean of the candidates' reported part of requests.
-    pub mean: f64,
+pub struct CostContext {
+    /// Mean duration of a response in milliseconds.
+    pub response_ms: f64,
+    /// Mean of the candidates' reported load, as a fraction of capacity.
+    pub mean_load: f64,
 }
 
-/// One part of a candidate's cost.
-pub trait Part: Send {
-    /// Its cost in milliseconds; less is better.
-    fn cost(&self, ask: &Ask, candidate: &Candidate) -> f64;
+/// One term of a candidate's cost.
+pub trait CostTerm: Send {
+    /// Returns the cost in milliseconds; lower is better.
+    fn cost(&self, context: &CostContext, candidate: &Candidate) -> f64;
 }
 
-/// Chooses among candidates.
+/// Chooses one of several candidates.
 pub trait Router: Send {
-    /// The index of the chosen candidate; none only if there is none.
-    fn choose(&mut self, whole_ms: f64, candidates: &[Candidate]) -> Option<usize>;
+    /// Returns the index of the chosen candidate, or `None` if there are no candidates.
+    /// `response_ms` is the mean duration of a response.
+    fn choose(&mut self, response_ms: f64, candidates: &[Candidate]) -> Option<usize>;
 }
 
-/// Requests in progress: this host's own now, and the reported others, believed less with age.
+/// The cost of load: this host's own in-flight requests, and the reported ones of other hosts,
+/// whose weight decays with the age of the report.
 ///
-/// The cost grows with the fourth power of the used part: a batching engine hardly notices one
-/// more while it has room, and that is not worth a way to another region.
+/// The cost grows with the fourth power of the utilization: a batching engine hardly slows down
+/// with one more request while it has room, which would not justify going to another region.
 #[derive(Debug, Clone, Copy)]
-pub struct Load {
-    /// The age at which a report is worth half, as a part of the time that an answer takes: by
-    /// then as much of what it counted has ended. What is missing is filled by the mean.
-    pub half: f64,
+pub struct LoadCost {
+    /// Age at which a report has half its weight, as a fraction of the mean response time: by then,
+    /// about that share of the requests it counted has ended. The rest of the weight goes to the
+    /// mean of all candidates.
+    pub half_life: f64,
 }
 
-impl Part for Load {
-    fn cost(&self, ask: &Ask, candidate: &Candidate) -> f64 {
+impl CostTerm for LoadCost {
+    fn cost(&self, context: &CostContext, candidate: &Candidate) -> f64 {
         let capacity = f64::from(candidate.capacity.max(1));
-        let half = (ask.whole_ms * self.half).max(1.0);
-        let trust = 0.5_f64.powf(candidate.age.as_secs_f64() * 1_000.0 / half);
+        let half_life = (context.response_ms * self.half_life).max(1.0);
+        let trust = 0.5_f64.powf(candidate.age.as_secs_f64() * 1_000.0 / half_life);
         let others = f64::from(candidate.others) / capacity;
-        let believed = ask.mean + (others - ask.mean) * trust;
+        let believed = context.mean_load + (others - context.mean_load) * trust;
         let used = f64::from(candidate.own) / capacity + believed;
-        used.powi(4) * ask.whole_ms
+        used.powi(4) * context.response_ms
     }
 }
 
-/// The part of the prompt that need not be read again.
+/// The saving from the part of the prompt that is already in the prefix cache.
 #[derive(Debug, Clone, Copy)]
-pub struct Prefix {
-    /// Time to read one block, in milliseconds.
+pub struct PrefixCost {
+    /// Time to prefill one block, in milliseconds.
     pub block_ms: f64,
 }
 
-impl Part for Prefix {
-    fn cost(&self, _: &Ask, candidate: &Candidate) -> f64 {
+impl CostTerm for PrefixCost {
+    fn cost(&self, _: &CostContext, candidate: &Candidate) -> f64 {
         -candidate.cached * self.block_ms
     }
 }
 
-/// The way to the target, and what its bytes cost.
+/// The cost of the network: round-trip time and price of the bytes.
 #[derive(Debug, Clone, Copy)]
-pub struct Locality {
-    /// Milliseconds of delay that one unit of the currency is worth.
+pub struct LocalityCost {
+    /// Delay in milliseconds that is worth one unit of the currency.
     pub ms_per_price: f64,
 }
 
-impl Part for Locality {
-    fn cost(&self, _: &Ask, candidate: &Candidate) -> f64 {
+impl CostTerm for LocalityCost {
+    fn cost(&self, _: &CostContext, candidate: &Candidate) -> f64 {
         candidate.distance_ms + candidate.price * self.ms_per_price
     }
 }
 
-/// The usual router.
-pub struct TwoChoices {
-    /// Where random choices come from.
+/// The default router: samples some candidates and takes the cheapest.
+pub struct TwoChoiceRouter {
+    /// The source of the random samples.
     random: SmallRng,
-    /// The parts of the cost.
-    parts: Vec<Box<dyn Part>>,
-    /// Candidates that are drawn.
-    choices: usize,
+    terms: Vec<Box<dyn CostTerm>>,
+    /// Number of candidates sampled at random.
+    samples: usize,
 }
 
-impl TwoChoices {
-    /// A router with the given parts.
+impl TwoChoiceRouter {
+    /// Creates a router with the given cost terms, which samples two candidates.
     #[must_use]
-    pub fn new(seed: u64, parts: Vec<Box<dyn Part>>) -> Self {
+    pub fn new(seed: u64, terms: Vec<Box<dyn CostTerm>>) -> Self {
         Self {
             random: SmallRng::seed_from_u64(seed),
-            parts,
-            choices: 2,
+            terms,
+            samples: 2,
         }
     }
 
-    /// The same with another number of candidates that are drawn, at least one.
+    /// Sets the number of candidates sampled at random, at least one.
     #[must_use]
-    pub fn draw(mut self, choices: usize) -> Self {
-        self.choices = choices.max(1);
+    pub fn sample_size(mut self, samples: usize) -> Self {
+        self.samples = samples.max(1);
         self
     }
 
-    /// A router with all parts.
+    /// Creates a router with all cost terms.
     ///
     /// ```
-    /// use cornelhitch_entry::route::{Router, TwoChoices};
+    /// use cornelhitch_entry::route::{Router, TwoChoiceRouter};
     ///
-    /// assert_eq!(TwoChoices::whole(1).choose(10.0, &[]), None);
+    /// assert_eq!(TwoChoiceRouter::with_all_costs(1).choose(10.0, &[]), None);
     /// ```
     #[must_use]
-    pub fn whole(seed: u64) -> Self {
+    pub fn with_all_costs(seed: u64) -> Self {
         Self::new(
             seed,
             vec![
-                Box::new(Load { half: 0.1 }),
-                Box::new(Prefix { block_ms: 4.0 }),
-                Box::new(Locality {
+                Box::new(LoadCost { half_life: 0.1 }),
+                Box::new(PrefixCost { block_ms: 4.0 }),
+                Box::new(LocalityCost {
                     ms_per_price: 1_000_000.0,
                 }),
             ],
         )
     }
 
-    /// The cost of one candidate.
-    fn cost(&self, ask: &Ask, candidate: &Candidate) -> f64 {
-        let costs = self.parts.iter().map(|part| part.cost(ask, candidate));
+    fn cost(&self, context: &CostContext, candidate: &Candidate) -> f64 {
+        let costs = self.terms.iter().map(|term| term.cost(context, candidate));
         costs.sum()
     }
 
-    /// The candidates to compare.
-    fn drawn(&mut self, candidates: &[Candidate]) -> Vec<usize> {
+    /// Returns the indices of the candidates to compare, possibly with repeats.
+    fn sample_candidates(&mut self, candidates: &[Candidate]) -> Vec<usize> {
         let count = candidates.len();
-        let mut drawn = sample(&mut self.random, count, self.choices.min(count)).into_vec();
+        let mut drawn = sample(&mut self.random, count, self.samples.min(count)).into_vec();
         drawn.extend(best(candidates, |candidate| -candidate.cached));
         drawn.extend(best(candidates, |candidate| candidate.distance_ms));
         drawn
     }
 }
 
-/// The index of the candidate with the smallest figure, if they differ.
+/// Returns the index of the candidate with the smallest `figure`, or `None` if it is the same for
+/// all.
 fn best(candidates: &[Candidate], figure: impl Fn(&Candidate) -> f64) -> Option<usize> {
     let first = figure(candidates.first()?);
     if candidates
@@ -204,36 +205,39 @@
     (0..candidates.len()).min_by(order)
 }
 
-impl Router for TwoChoices {
-    fn choose(&mut self, whole_ms: f64, candidates: &[Candidate]) -> Option<usize> {
+impl Router for TwoChoiceRouter {
+    fn choose(&mut self, response_ms: f64, candidates: &[Candidate]) -> Option<usize> {
         if candidates.is_empty() {
             return None;
         }
-        let parts = candidates
+        let terms = candidates
             .iter()
             .map(|candidate| f64::from(candidate.others) / f64::from(candidate.capacity.max(1)));
         let count = u32::try_from(candidates.len()).unwrap_or(u32::MAX);
-        let mean = parts.sum::<f64>() / f64::from(count);
-        let ask = Ask { whole_ms, mean };
-        let drawn = self.drawn(candidates);
-        let cost = |index: &usize| self.cost(&ask, &candidates[*index]);
+        let mean_load = terms.sum::<f64>() / f64::from(count);
+        let context = CostContext {
+            response_ms,
+            mean_load,
+        };
+        let drawn = self.sample_candidates(candidates);
+        let cost = |index: &usize| self.cost(&context, &candidates[*index]);
         let order = |a: &usize, b: &usize| cost(a).total_cmp(&cost(b));
         drawn.into_iter().min_by(order)
     }
 }
 
-/// A router that looks at nothing, to measure the others against.
-pub struct Random(SmallRng);
+/// A router that chooses uniformly at random, as a baseline for measurements.
+pub struct RandomRouter(SmallRng);
 
-impl Random {
-    /// A router that looks at nothing.
+impl RandomRouter {
+    /// Creates a router with this seed.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self(SmallRng::seed_from_u64(seed))
     }
 }
 
-impl Router for Random {
+impl Router for RandomRouter {
     fn choose(&mut self, _: f64, candidates: &[Candidate]) -> Option<usize> {
         if candidates.is_empty() {
             return None;
--- a/crates/entry/src/share.rs
+++ b/crates/entry/src/share.rs
@@ -1,11 +1,10 @@
-//! A target's concurrency, shared out among entry hosts that do not ask each other.
+//! Shares a target's concurrency among entry hosts without coordination between them.
 //!
-//! Each host starts with a part of what a replica answers at once: one request
-//! for a host of another region, and an equal part of the rest for the hosts of
-//! the target's own region. A report that shows free room lets each host that
-//! has requests there grow by its part of that room, so that together they never
-//! add more than there was; a report that shows requests queued inside the target
-//! shrinks every host's part.
+//! Each host starts with a share of what a replica serves concurrently: one request for a host in
+//! another region, and an equal share of the rest for each host in the target's own region. When a
+//! load report shows free capacity, each host with requests there grows by its share of it, so that
+//! together they never add more than was free. When a report shows requests queued inside the
+//! target, every host's share shrinks.
 
 use std::collections::BTreeMap;
 
@@ -13,22 +12,22 @@
 
 use crate::route::Place;
 
-/// Who shares a target.
+/// The entry hosts that share a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sharers {
-    /// Entry hosts in its region that take callers.
+    /// Entry hosts in the target's region that are not draining.
     pub near: u32,
-    /// Entry hosts of other regions that take callers.
+    /// Entry hosts in other regions that are not draining.
     pub far: u32,
-    /// Those of all that have work.
+    /// How many of all these hosts have requests, including this one.
     pub busy: u32,
-    /// Whether this host is in its region.
+    /// Whether this host is in the target's region.
     pub is_near: bool,
 }
 
 impl Sharers {
-    /// The part of this host before any report, at least one request.
-    fn part(self, capacity: u32) -> u32 {
+    /// Returns this host's share before any report, at least one request.
+    fn initial_share(self, capacity: u32) -> u32 {
         if !self.is_near {
             return 1;
         }
@@ -37,30 +36,30 @@
     }
 }
 
-/// A report of a target, and who shares it.
+/// A load report of a target, with the hosts that share it.
 #[derive(Debug, Clone, Copy)]
 pub struct Report {
-    /// Requests being answered, of all entry hosts.
+    /// Number of running requests, from all entry hosts.
     pub running: u32,
-    /// Requests that wait inside the target.
+    /// Number of requests queued inside the target.
     pub queued: u32,
-    /// This host's requests there.
+    /// Number of this host's requests in flight there.
     pub own: u32,
-    /// Requests that the target answers at once.
+    /// Number of requests that the target serves concurrently.
     pub capacity: u32,
-    /// Who shares the target.
+    /// The entry hosts that share the target.
     pub sharers: Sharers,
 }
 
-/// How many requests this host may have at each place.
+/// How many requests this host may have in flight at each place.
 #[derive(Debug, Default, Serialize)]
 pub struct Shares {
-    /// Where a report has changed the equal part.
+    /// Limits that a report has changed from the initial share.
     limits: BTreeMap<Place, u32>,
 }
 
 impl Shares {
-    /// How many requests this host may have at a place.
+    /// Returns how many requests this host may have in flight at a place.
     ///
     /// ```
     /// use cornelhitch_entry::route::Place;
@@ -74,20 +73,21 @@
     pub fn limit(&self, place: &Place, capacity: u32, sharers: Sharers) -> u32 {
         let known = self.limits.get(place).copied();
         known
-            .unwrap_or_else(|| sharers.part(capacity))
+            .unwrap_or_else(|| sharers.initial_share(capacity))
             .min(capacity.max(1))
     }
 
-    /// Takes a fresh report.
+    /// Updates the limit of a place from a new load report.
     ///
-    /// A host without requests there keeps its equal part: which other hosts have work is known
-    /// late, so that in a burst of first requests each would take all the free room for its own.
-    pub fn report(&mut self, place: &Place, report: Report) {
+    /// A host with no requests there returns to its initial share: it learns late which other hosts
+    /// have requests, so in a burst of first requests each host would otherwise claim all the free
+    /// capacity.
+    pub fn apply_report(&mut self, place: &Place, report: Report) {
         if report.own == 0 {
             self.limits.remove(place);
             return;
         }
-        let part = report.sharers.part(report.capacity);
+        let initial_share = report.sharers.initial_share(report.capacity);
         let total = report.running + report.queued;
         let limit = if report.queued > 0 && total > 0 {
             let now = u64::from(self.limit(place, report.capacity, report.sharers));
@@ -97,7 +97,7 @@
             let free = report.capacity.saturating_sub(total);
             report.own + free.div_ceil(report.sharers.busy.max(1))
         };
-        let limit = limit.clamp(part, report.capacity.max(part));
+        let limit = limit.clamp(initial_share, report.capacity.max(initial_share));
         self.limits.insert(place.clone(), limit);
     }
 
--- a/crates/entry/src/tally.rs
+++ b/crates/entry/src/tally.rs
@@ -1,4 +1,4 @@
-//! Requests and repeats of each service, counted since the process started.
+//! Request and retry counters by service, since the process started.
 
 use std::collections::BTreeMap;
 use std::ops::Deref;
@@ -6,24 +6,24 @@
 use cornelhitch_types::id::Name;
 use serde::Serialize;
 
-/// What was counted of one service.
+/// Counters of one service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Tally {
-    /// Requests whose first byte was handed to a connection once.
+    /// Requests whose first byte was handed to a connection.
     pub requests: u64,
-    /// Sends beyond the first of their request.
+    /// Sends beyond the first one of a request.
     pub repeats: u64,
-    /// Times that a repeat was possible and the retry budget held it back.
+    /// Number of times that the retry budget held back a possible retry.
     pub held_back: u64,
 }
 
-/// The tallies of all services that were sent to.
+/// Counters of all services that were sent to.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
 pub struct Tallies(BTreeMap<Name, Tally>);
 
 impl Tallies {
-    /// The tally of a service, to be added to.
+    /// Returns the mutable counters of a service, which start at zero.
     ///
     /// ```
     /// use cornelhitch_entry::tally::Tallies;
--- a/crates/entry/src/tests/control.rs
+++ b/crates/entry/src/tests/control.rs
@@ -9,7 +9,7 @@
 
 use crate::claim::{Outcome, Reply};
 use crate::event::{CallId, Digest};
-use crate::quarantine::Life;
+use crate::quarantine::TargetInstance;
 
 /// The settings of a run: small bounds, so that they are met.
 pub const SETTINGS: &str = "
@@ -56,8 +56,8 @@
 #[derive(Debug, Default)]
 pub struct Control {
     claims: BTreeMap<(CallerId, Name), Held>,
-    strikes: BTreeMap<u64, BTreeSet<Life>>,
-    reserved: BTreeMap<Life, usize>,
+    strikes: BTreeMap<u64, BTreeSet<TargetInstance>>,
+    reserved: BTreeMap<TargetInstance, usize>,
     /// Views published after the first whole one, whose number is 1: 0 stands for a whole.
     sequence: u64,
 }
@@ -97,19 +97,19 @@
     }
 
     /// Counts a strike.
-    pub fn strike(&mut self, fingerprint: u64, life: Life) -> Change {
+    pub fn strike(&mut self, fingerprint: u64, life: TargetInstance) -> Change {
         let lives = self.strikes.entry(fingerprint).or_default();
         lives.insert(life);
         strikes(fingerprint, lives)
     }
 
     /// Reserves a target for one core's suspects.
-    pub fn reserve(&mut self, life: Life, core: usize) -> bool {
+    pub fn reserve(&mut self, life: TargetInstance, core: usize) -> bool {
         *self.reserved.entry(life).or_insert(core) == core
     }
 
     /// Ends a reservation.
-    pub fn unreserve(&mut self, life: &Life, core: usize) {
+    pub fn unreserve(&mut self, life: &TargetInstance, core: usize) {
         if self.reserved.get(life) == Some(&core) {
             self.reserved.remove(life);
         }
@@ -172,7 +172,7 @@
 }
 
 /// The number of strikes, as control publishes it.
-fn strikes(fingerprint: u64, lives: &BTreeSet<Life>) -> Change {
+fn strikes(fingerprint: u64, lives: &BTreeSet<TargetInstance>) -> Change {
     Change::Strike(fingerprint, u32::try_from(lives.len()).unwrap_or(u32::MAX))
 }
 
--- a/crates/entry/src/tests/fleet.rs
+++ b/crates/entry/src/tests/fleet.rs
@@ -17,7 +17,7 @@
 use crate::core::Core;
 use crate::event::{Attempt, CallId, Event, Request, What};
 use crate::fault::Fault;
-use crate::quarantine::Life;
+use crate::quarantine::TargetInstance;
 
 /// A run never takes longer.
 pub(super) const END: Time = Time::from_mins(10);
@@ -225,7 +225,7 @@
         }
         for caller in 0..5 {
             let caller: Name = format!("caller-{caller}").into();
-            if self.cores[core].queue.of_caller(&caller) > CALLER {
+            if self.cores[core].queue.caller_requests(&caller) > CALLER {
                 return Err(format!("{caller} has too many requests"));
             }
         }
@@ -377,7 +377,7 @@
                 target,
                 incarnation,
             } => {
-                let life: Life = (target.clone(), incarnation);
+                let life: TargetInstance = (target.clone(), incarnation);
                 let granted = self.control.reserve(life, core);
                 let event = Event::Reserved {
                     target,
--- a/crates/entry/src/tests/ledger.rs
+++ b/crates/entry/src/tests/ledger.rs
@@ -5,7 +5,7 @@
 use cornelhitch_types::id::{Name, Time};
 use cornelhitch_types::refusal::Run;
 
-use crate::attempt::{REST, STALL};
+use crate::attempt::{MAX_OVERRUN, STALL_TIMEOUT};
 use crate::event::{Attempt, CallId};
 
 /// A broken invariant.
@@ -89,8 +89,8 @@
         let due = match entry.moved {
             None => entry.deadline,
             // An answer that stopped coming is continued once.
-            Some(moved) if entry.streaming => moved + STALL + STALL,
-            Some(_) => entry.deadline + REST,
+            Some(moved) if entry.streaming => moved + STALL_TIMEOUT + STALL_TIMEOUT,
+            Some(_) => entry.deadline + MAX_OVERRUN,
         };
         if now > due {
             return Err(format!("request {id} ended at {now:?} and was due {due:?}"));
--- a/crates/entry/src/tests/traffic.rs
+++ b/crates/entry/src/tests/traffic.rs
@@ -50,14 +50,17 @@
 
     /// Nothing goes to a closed target or a retiring replica, as far as the core knows.
     fn allowed(&self, core: usize, id: CallId, to: &Destination) -> Result<(), Violation> {
-        let picture = &self.cores[core].picture;
-        if !picture.open(&to.target, to.incarnation) {
+        let fleet_view = &self.cores[core].fleet_view;
+        if !fleet_view.is_open(&to.target, to.incarnation) {
             return Err(format!(
                 "request {id} went to the closed target {}",
                 to.target
             ));
         }
-        if to.replica.is_some_and(|replica| !picture.ready(replica)) {
+        if to
+            .replica
+            .is_some_and(|replica| !fleet_view.is_ready(replica))
+        {
             return Err(format!("request {id} went to a replica that is not ready"));
         }
         Ok(())
--- /dev/null
+++ b/crates/entry/src/updates.rs
@@ -0,0 +1,267 @@
+//! Handles events from control and targets: view changes, load reports, reservations and probes.
+
+use cornelhitch_types::id::{Incarnation, Name, TargetId, Version};
+use cornelhitch_types::refusal::Reason;
+use cornelhitch_types::target::Load;
+use cornelhitch_types::view::{self, Change, View};
+
+use crate::action::Action;
+use crate::catalogue::Catalogue;
+use crate::core::Core;
+use crate::event::CallId;
+use crate::finish::Rejection;
+use crate::fleet_view::Merge;
+use crate::quarantine::TargetInstance;
+use crate::route::Place;
+use crate::share;
+
+impl Core {
+    /// Applies a view, or requests the complete one if changes are missing.
+    pub(crate) fn on_view(&mut self, view: View) {
+        let settings_before = self.catalogue.version;
+        match self.fleet_view.merge(&view) {
+            Merge::Stale => return,
+            Merge::Gap => {
+                let from = self.fleet_view.sequence;
+                self.actions.push(Action::RequestView { from });
+                return;
+            }
+            Merge::Applied => {}
+        }
+        if view.from == 0 {
+            self.quarantine.clear_published();
+        }
+        for change in view.changes {
+            self.apply_change(change);
+        }
+        let hosts = &self.fleet_view.hosts;
+        let listed = hosts.contains_key(&self.config.host);
+        let count = u32::try_from(hosts.len()).unwrap_or(u32::MAX);
+        self.budget.set_hosts(count, listed, self.now);
+        if self.catalogue.version != settings_before {
+            self.refuse_unknown();
+        }
+        self.dirty.extend(self.queue.keys());
+    }
+
+    /// Applies one change of a view.
+    fn apply_change(&mut self, change: Change) {
+        match change {
+            Change::Replica(replica) => self.fleet_view.insert_replica(replica, self.now),
+            Change::ReplicaGone(id) => self.on_replica_gone(id),
+            Change::Target(target) => self.on_target(target),
+            Change::TargetGone(target) => self.on_target_gone(&target),
+            Change::Entry(host) => {
+                self.fleet_view.hosts.insert(host.host, host);
+            }
+            Change::EntryGone(host) => {
+                self.fleet_view.hosts.remove(&host);
+            }
+            Change::Cache(target, events) => self.caches.apply(&target, events),
+            Change::Strike(fingerprint, strikes) => {
+                self.quarantine
+                    .set_published(fingerprint, strikes, self.now);
+                self.refuse_quarantined(fingerprint);
+            }
+            Change::Settings(version, text) => self.settings_changed(version, &text),
+            Change::Table(table) => self.catalogue.adopt_table(table),
+            Change::Outlook(model, ms) => self.fleet_view.set_load_outlook(model, ms),
+        }
+    }
+
+    /// Removes a replica with its share.
+    fn on_replica_gone(&mut self, id: u64) {
+        if let Some(known) = self.fleet_view.replicas.get(&id) {
+            let target = known.view.target.clone();
+            let replica = Some(id);
+            self.shares.forget(&Place { target, replica });
+        }
+        self.fleet_view.remove_replica(id);
+    }
+
+    /// Updates a target that is new, has changed or has reported its load.
+    fn on_target(&mut self, target: view::Target) {
+        let id = target.target.clone();
+        let load = target.load;
+        let sharers = self.sharers(&target.region);
+        let own = self.own_in_flight(&id);
+        if self.fleet_view.insert_target(target, own, self.now) {
+            self.ejections.readmit(&id);
+            self.health.forget(&id);
+            self.caches.forget(&id);
+        }
+        if self
+            .fleet_view
+            .targets
+            .get(&id)
+            .is_some_and(|it| it.view.slots.is_some())
+        {
+            return;
+        }
+        let held = self.fleet_view.ready_replicas_on(&id).max(1);
+        let replicas = self.fleet_view.replicas.values();
+        let mut places: Vec<(Place, u32)> = replicas
+            .filter(|known| known.view.target == id)
+            .map(|known| {
+                let replica = Some(known.view.replica);
+                let target = id.clone();
+                let capacity = self.catalogue.concurrency(Some(&known.view.model));
+                (Place { target, replica }, capacity)
+            })
+            .collect();
+        if places.is_empty() {
+            let place = Place {
+                target: id,
+                replica: None,
+            };
+            places.push((place, self.catalogue.concurrency(None)));
+        }
+        for (place, capacity) in places {
+            let own = self.in_flight.get(&place).copied().unwrap_or(0);
+            let report = share::Report {
+                running: load.running / held,
+                queued: load.queued / held,
+                own,
+                capacity,
+                sharers,
+            };
+            self.shares.apply_report(&place, report);
+        }
+    }
+
+    /// Returns the number of this host's requests in flight on a target.
+    pub(crate) fn own_in_flight(&self, target: &TargetId) -> u32 {
+        let in_flight = self.in_flight.iter();
+        let there = in_flight.filter(|(place, _)| place.target == *target);
+        there.map(|(_, count)| *count).sum()
+    }
+
+    /// Updates the load of a target that reported it with a response.
+    pub(crate) fn on_loaded(&mut self, target: &TargetId, incarnation: Incarnation, load: Load) {
+        let own = self.own_in_flight(target);
+        let now = self.now;
+        let known = self.fleet_view.targets.get_mut(target);
+        if let Some(known) = known.filter(|known| known.view.incarnation == incarnation) {
+            known.view.load = load;
+            known.measured = now;
+            known.own = own;
+        }
+    }
+
+    /// Records whether a target's response was an error of its own, if its incarnation is current.
+    pub(crate) fn on_answered(&mut self, target: &TargetId, instance: Incarnation, error: bool) {
+        let known = self.fleet_view.targets.get(target);
+        if known.is_some_and(|known| known.view.incarnation == instance) {
+            self.health.record_answer(target, error, self.now);
+        }
+    }
+
+    /// Removes a target and all that is known of it.
+    fn on_target_gone(&mut self, target: &TargetId) {
+        self.fleet_view.remove_target(target);
+        self.ejections.readmit(target);
+        self.health.forget(target);
+        self.caches.forget(target);
+        let place = Place {
+            target: target.clone(),
+            replica: None,
+        };
+        self.shares.forget(&place);
+    }
+
+    /// Applies newer settings; reports them to the owner if they are invalid.
+    fn settings_changed(&mut self, version: Version, text: &Name) {
+        if version <= self.catalogue.version {
+            return;
+        }
+        match Catalogue::read(version, text) {
+            Ok(catalogue) => {
+                let table = self.catalogue.table.take();
+                self.catalogue = catalogue;
+                if let Some(table) = table {
+                    self.catalogue.adopt_table(table);
+                }
+            }
+            Err(error) => {
+                let error = error.to_string();
+                self.actions.push(Action::BadSettings { version, error });
+            }
+        }
+    }
+
+    /// Refuses waiting requests for models and services that the new settings no longer list.
+    fn refuse_unknown(&mut self) {
+        let unknown = self.calls.values().filter(|call| {
+            let waits = call.is_waiting() && call.attempts == 0;
+            waits && !self.is_known(&call.request)
+        });
+        let mut unknown: Vec<CallId> = unknown.map(|call| call.request.id).collect();
+        unknown.sort_unstable();
+        for id in unknown {
+            let rejection = Rejection::not_run(
+                Reason::Unknown,
+                "the settings no longer list the requested model or service",
+            );
+            self.refuse(id, rejection);
+        }
+    }
+
+    /// Handles control's answer to a reservation; releases a grant that is no longer wanted.
+    pub(crate) fn on_reserved(
+        &mut self,
+        target: TargetId,
+        incarnation: Incarnation,
+        granted: bool,
+    ) {
+        let instance = (target, incarnation);
+        let wanted = self.quarantine.on_reservation(&instance, granted, self.now);
+        if granted && !wanted {
+            let (target, incarnation) = instance;
+            self.actions.push(Action::Unreserve {
+                target,
+                incarnation,
+            });
+        }
+        self.dirty.extend(self.queue.keys());
+    }
+
+    /// Releases the reservations that no suspect can use any more.
+    pub(crate) fn release_idle_reservations(&mut self) {
+        if !self.quarantine.has_reservations() {
+            return;
+        }
+        let suspect = |call: &crate::request::Call| {
+            self.quarantine.strikes(call.request.fingerprint) > 0 && call.is_waiting()
+        };
+        let wanted = self.calls.values().any(suspect);
+        let kept =
+            |instance: &TargetInstance| wanted && self.fleet_view.is_open(&instance.0, instance.1);
+        for (target, incarnation) in self.quarantine.release_idle(kept, self.now) {
+            self.actions.push(Action::Unreserve {
+                target,
+                incarnation,
+            });
+        }
+    }
+
+    /// Probes the ejected targets whose probe is due.
+    pub(crate) fn send_due_probes(&mut self) {
+        for target in self.ejections.take_due(self.now) {
+            match self.fleet_view.targets.get(&target) {
+                Some(known) => {
+                    let address = known.view.address;
+                    self.actions.push(Action::Probe { target, address });
+                }
+                None => self.ejections.readmit(&target),
+            }
+        }
+    }
+
+    /// Readmits an ejected target if a probe connected to it.
+    pub(crate) fn on_probed(&mut self, target: &TargetId, connected: bool) {
+        if connected {
+            self.ejections.readmit(target);
+            self.dirty.extend(self.queue.keys());
+        }
+    }
+}
--- a/crates/entry/tests/affinity.rs
+++ b/crates/entry/tests/affinity.rs
@@ -1,6 +1,6 @@
 //! Cache events that come late, doubled and with gaps.
 
-use cornelhitch_entry::affinity::Caches;
+use cornelhitch_entry::affinity::PrefixCaches;
 use cornelhitch_types::target::CacheEvent;
 use proptest::prelude::*;
 
@@ -34,8 +34,8 @@
 #[test]
 fn each_order_of_events_is_believed_as_the_table_says() {
     for (name, events, expected) in rows() {
-        let mut caches = Caches::default();
-        caches.take(&"w1".into(), events);
+        let mut caches = PrefixCaches::default();
+        caches.apply(&"w1".into(), events);
         let blocks = caches.blocks("w1", &"report".into(), &[8, 9], &[]);
         assert!((blocks - expected).abs() < 1e-9, "{name}: {blocks}");
     }
@@ -44,12 +44,12 @@
 #[test]
 fn a_sent_prompt_is_expected_until_an_event_says_otherwise() {
     let (target, model) = ("w1".into(), "report".into());
-    let mut caches = Caches::default();
-    caches.take(&target, vec![event(3, 1, true)]);
-    caches.sent(&target, &model, &[8, 9]);
+    let mut caches = PrefixCaches::default();
+    caches.apply(&target, vec![event(3, 1, true)]);
+    caches.expect_prompt(&target, &model, &[8, 9]);
     let expected = caches.blocks("w1", &model, &[8, 9], &[]);
     assert!(expected > 1.0 && expected < 2.0, "{expected}");
-    caches.take(&target, vec![event(4, 9, false), event(5, 8, false)]);
+    caches.apply(&target, vec![event(4, 9, false), event(5, 8, false)]);
     assert!(caches.blocks("w1", &model, &[8, 9], &[]) < 1e-9);
 }
 
@@ -65,8 +65,8 @@
         let last = events.last().is_some_and(|event| event.held);
         let middle = seed.index(events.len());
         events.rotate_left(middle);
-        let mut caches = Caches::default();
-        caches.take(&"w1".into(), events);
+        let mut caches = PrefixCaches::default();
+        caches.apply(&"w1".into(), events);
         let blocks = caches.blocks("w1", &"report".into(), &[9], &[]);
         prop_assert_eq!(blocks > 0.0, last);
     }
--- a/crates/entry/tests/share.rs
+++ b/crates/entry/tests/share.rs
@@ -69,7 +69,7 @@
                     capacity: CAPACITY,
                     sharers,
                 };
-                table.report(&place, report);
+                table.apply_report(&place, report);
                 table.limit(&place, CAPACITY, sharers)
             })
             .sum();
