--- a/crates/entry/examples/policy/bench.rs
+++ b/crates/entry/examples/policy/bench.rs
@@ -1,4 +1,4 @@
-//! Several cores before engines of limited concurrency, in virtual time.
+//! Simulates several cores in front of engines with limited concurrency, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
@@ -13,64 +13,64 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::engine::{Engine, SHARED};
-use crate::figures::Figures;
+use crate::engine::{Engine, SHARED_BLOCKS};
+use crate::measurements::Measurements;
 
-/// A setup.
+/// The parameters of a simulation.
 pub struct Setup {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub cores: usize,
-    /// Engines, dealt out over the regions.
+    /// Number of engines, distributed over the regions.
     pub engines: usize,
-    /// Requests that an engine answers at once.
+    /// Number of requests that an engine serves concurrently.
     pub concurrency: u32,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     /// How long requests arrive.
     pub span: Duration,
-    /// Age of a load report when it is taken.
+    /// Age of a load report when a host applies it.
     pub lag: Duration,
-    /// Mean time of an answer once the prompt is read.
+    /// Mean time of a response after prefill.
     pub mean: Duration,
-    /// Groups of callers with a common begin of their prompts; 0 for none.
+    /// Number of groups of callers whose prompts share a prefix; 0 for none.
     pub groups: u64,
     /// When the first engine dies.
     pub death: Option<Duration>,
-    /// Only times of requests that arrive within it are kept, if there is one.
+    /// If set, response times are recorded only for requests that arrive within it.
     pub window: Option<(Duration, Duration)>,
-    /// In 100 attempts, how many fail at their end.
-    pub sick: u32,
-    /// Whether one request of the first batch takes its engine down.
+    /// Percentage of attempts that fail at their end.
+    pub failure_percent: u32,
+    /// Whether the first request takes its engine down.
     pub poison: bool,
-    /// How a core is made.
+    /// Creates the configuration of a core.
     pub config: Box<dyn Fn(usize) -> Config>,
 }
 
-/// Something that will happen.
-pub enum Happening {
+/// An event scheduled in virtual time.
+pub enum ScheduledEvent {
     Event(usize, Event),
     Arrive,
     Connected(usize, CallId, Attempt, usize, u64),
     Written(usize, CallId, Attempt, usize, u64),
-    Ended(usize, u64, Work),
+    Ended(usize, u64, Job),
     Publish(Vec<Change>),
     Report,
     Die(usize),
-    Back(usize),
+    Restart(usize),
 }
 
 /// An attempt that reached an engine.
 #[derive(Clone, Copy)]
-pub struct Work {
+pub struct Job {
     pub core: usize,
     pub id: CallId,
     pub attempt: Attempt,
 }
 
 /// What is known of a request outside the cores.
-pub struct Ticket {
+pub struct RequestInfo {
     pub at: Time,
     pub class: &'static str,
     pub region: usize,
@@ -79,46 +79,46 @@
     pub bytes: u64,
 }
 
-/// A run.
+/// The state of a simulation.
 pub struct Bench {
     pub setup: Setup,
     pub now: Time,
     pub serial: u64,
     pub due: BinaryHeap<Reverse<(Time, u64)>>,
-    pub what: HashMap<u64, Happening>,
+    pub what: HashMap<u64, ScheduledEvent>,
     pub cores: Vec<Core>,
     pub engines: Vec<Engine>,
-    pub tickets: BTreeMap<CallId, Ticket>,
+    pub infos: BTreeMap<CallId, RequestInfo>,
     pub reserved: HashMap<(Name, u64), usize>,
     pub strikes: HashMap<u64, HashSet<(Name, u64)>>,
     pub sequence: u64,
     pub random: SmallRng,
-    pub figures: Figures,
+    pub measurements: Measurements,
 }
 
 impl Bench {
-    pub fn run(setup: Setup) -> Figures {
+    pub fn run(setup: Setup) -> Measurements {
         let mut bench = Self::new(setup);
         while let Some(at) = bench.next() {
             bench.now = at;
             for core in 0..bench.cores.len() {
                 if bench.cores[core].next_wake().is_some_and(|wake| wake <= at) {
                     let actions = bench.cores[core].handle(Event::Tick, at);
-                    bench.take(core, actions);
+                    bench.carry_out_all(core, actions);
                 }
             }
             while bench.due.peek().is_some_and(|due| due.0.0 <= at) {
                 if let Some(Reverse((_, serial))) = bench.due.pop()
-                    && let Some(happening) = bench.what.remove(&serial)
+                    && let Some(event) = bench.what.remove(&serial)
                 {
-                    bench.happen(happening);
+                    bench.handle(event);
                 }
             }
             if at > bench.setup.span + Duration::from_mins(2) {
                 break;
             }
         }
-        bench.figures
+        bench.measurements
     }
 
     fn new(setup: Setup) -> Self {
@@ -140,12 +140,12 @@
                 .map(|core| Core::new((setup.config)(core), Time::ZERO))
                 .collect(),
             engines: (0..setup.engines).map(engine).collect(),
-            tickets: BTreeMap::new(),
+            infos: BTreeMap::new(),
             reserved: HashMap::new(),
             strikes: HashMap::new(),
             sequence: 0,
             random: SmallRng::seed_from_u64(11),
-            figures: Figures::new(setup.engines, setup.span),
+            measurements: Measurements::new(setup.engines, setup.span),
             setup,
         };
         let settings = bench.settings();
@@ -158,14 +158,14 @@
         for core in 0..bench.setup.cores {
             let until = Time::from_hours(10);
             let lease = Event::Lease { until, version: 1 };
-            bench.at(Time::ZERO, Happening::Event(core, lease));
+            bench.schedule(Time::ZERO, ScheduledEvent::Event(core, lease));
         }
-        bench.at(Time::from_millis(10), Happening::Arrive);
-        bench.at(Time::from_millis(100), Happening::Report);
+        bench.schedule(Time::from_millis(10), ScheduledEvent::Arrive);
+        bench.schedule(Time::from_millis(100), ScheduledEvent::Report);
         if let Some(death) = bench.setup.death {
-            bench.at(death, Happening::Die(0));
+            bench.schedule(death, ScheduledEvent::Die(0));
         }
-        bench.figures.window = bench.setup.window;
+        bench.measurements.window = bench.setup.window;
         bench
     }
 
@@ -175,17 +175,17 @@
         wakes.chain(due).min().map(|at| at.max(self.now))
     }
 
-    pub fn at(&mut self, at: Time, happening: Happening) {
+    pub fn schedule(&mut self, at: Time, event: ScheduledEvent) {
         self.serial += 1;
         self.due.push(Reverse((at, self.serial)));
-        self.what.insert(self.serial, happening);
+        self.what.insert(self.serial, event);
     }
 
-    pub fn publish(&mut self, changes: Vec<Change>, way: Duration) {
-        self.at(self.now + way, Happening::Publish(changes));
+    pub fn publish(&mut self, changes: Vec<Change>, delay: Duration) {
+        self.schedule(self.now + delay, ScheduledEvent::Publish(changes));
     }
 
-    /// Hands changes to every core, numbered in the order in which they come.
+    /// Publishes changes to every core, numbered in the order in which they arrive.
     fn deliver(&mut self, changes: &[Change]) {
         let from = self.sequence;
         self.sequence += 1;
@@ -197,20 +197,20 @@
                 changes: changes.to_vec(),
             };
             let actions = self.cores[core].handle(Event::View(view), self.now);
-            self.take(core, actions);
+            self.carry_out_all(core, actions);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Event(core, event) => {
+    fn handle(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Event(core, event) => {
                 let actions = self.cores[core].handle(event, self.now);
-                self.take(core, actions);
+                self.carry_out_all(core, actions);
             }
-            Happening::Arrive => self.arrive(),
-            Happening::Connected(core, id, attempt, engine, life) => {
+            ScheduledEvent::Arrive => self.arrive(),
+            ScheduledEvent::Connected(core, id, attempt, engine, incarnation) => {
                 let known = &self.engines[engine];
-                let up = known.alive && known.incarnation == life;
+                let up = known.alive && known.incarnation == incarnation;
                 let failure = Failure::Connect;
                 let event = if up {
                     Event::Sent { id, attempt }
@@ -225,23 +225,23 @@
                 let proceeds = actions
                     .iter()
                     .any(|action| matches!(action, Action::Proceed { .. }));
-                self.take(core, actions);
+                self.carry_out_all(core, actions);
                 if proceeds {
-                    let way = self.way(core, engine);
-                    self.at(
-                        self.now + way,
-                        Happening::Written(core, id, attempt, engine, life),
+                    let latency = self.latency(core, engine);
+                    self.schedule(
+                        self.now + latency,
+                        ScheduledEvent::Written(core, id, attempt, engine, incarnation),
                     );
                 }
             }
-            Happening::Written(core, id, attempt, engine, life) => {
-                self.written(Work { core, id, attempt }, engine, life);
+            ScheduledEvent::Written(core, id, attempt, engine, incarnation) => {
+                self.written(Job { core, id, attempt }, engine, incarnation);
             }
-            Happening::Ended(engine, life, work) => self.ended(engine, life, work),
-            Happening::Publish(changes) => self.deliver(&changes),
-            Happening::Report => self.report(),
-            Happening::Die(engine) => self.die(engine),
-            Happening::Back(engine) => {
+            ScheduledEvent::Ended(engine, incarnation, job) => self.ended(engine, incarnation, job),
+            ScheduledEvent::Publish(changes) => self.deliver(&changes),
+            ScheduledEvent::Report => self.report(),
+            ScheduledEvent::Die(engine) => self.die(engine),
+            ScheduledEvent::Restart(engine) => {
                 self.engines[engine].alive = true;
                 let changes = self.engine(engine, Load::default()).to_vec();
                 self.publish(changes, Duration::from_millis(20));
@@ -252,8 +252,8 @@
     fn arrive(&mut self) {
         let id = self.serial;
         let core = self.random.random_range(0..self.cores.len());
-        let draw = self.random.random_range(0..100);
-        let class = match draw {
+        let sample = self.random.random_range(0..100);
+        let class = match sample {
             _ if self.setup.poison => "pattern",
             0..10 => "preview",
             10..30 => "heritage",
@@ -264,8 +264,8 @@
         } else {
             0
         };
-        let first = self.tickets.is_empty();
-        let ticket = Ticket {
+        let first = self.infos.is_empty();
+        let info = RequestInfo {
             at: self.now,
             class,
             region: core % self.setup.regions,
@@ -275,27 +275,29 @@
         };
         let mut request = Request::new(id, "caller", What::Model(Reference::base("report")));
         request.class = Some(class.into());
-        request.bytes = ticket.bytes;
+        request.bytes = info.bytes;
         if group > 0 {
-            request.prefixes = (0..SHARED).map(|block| group * 1_000 + block).collect();
+            request.prefixes = (0..SHARED_BLOCKS)
+                .map(|block| group * 1_000 + block)
+                .collect();
         }
-        self.figures.arrived(class);
-        self.tickets.insert(id, ticket);
+        self.measurements.arrived(class);
+        self.infos.insert(id, info);
         let actions = self.cores[core].handle(Event::Arrived(request), self.now);
-        self.take(core, actions);
-        let draw: f64 = self.random.random_range(1e-9..1.0);
-        let next = self.now + Duration::from_secs_f64(-draw.ln() / self.setup.rate);
+        self.carry_out_all(core, actions);
+        let sample: f64 = self.random.random_range(1e-9..1.0);
+        let next = self.now + Duration::from_secs_f64(-sample.ln() / self.setup.rate);
         if next < self.setup.span {
-            self.at(next, Happening::Arrive);
+            self.schedule(next, ScheduledEvent::Arrive);
         }
     }
 
-    pub fn way(&self, core: usize, engine: usize) -> Duration {
+    pub fn latency(&self, core: usize, engine: usize) -> Duration {
         let far = core % self.setup.regions != engine % self.setup.regions;
         Duration::from_micros(if far { 15_000 } else { 250 })
     }
 
-    fn take(&mut self, core: usize, actions: Vec<Action>) {
+    fn carry_out_all(&mut self, core: usize, actions: Vec<Action>) {
         for action in actions {
             self.carry_out(core, action);
         }
@@ -307,32 +309,35 @@
                 id, attempt, to, ..
             } => {
                 let engine = number(&to.target);
-                let at = self.now + self.way(core, engine) * 2;
-                let life = to.incarnation;
-                self.at(at, Happening::Connected(core, id, attempt, engine, life));
+                let at = self.now + self.latency(core, engine) * 2;
+                let incarnation = to.incarnation;
+                self.schedule(
+                    at,
+                    ScheduledEvent::Connected(core, id, attempt, engine, incarnation),
+                );
             }
             Action::Cancel { id, target, .. } => {
                 let engine = number(&target);
                 let known = &mut self.engines[engine];
-                known.queued.retain(|work| work.id != id);
+                known.queued.retain(|job| job.id != id);
                 known.running.remove(&id);
                 self.start(engine);
             }
             Action::Finish { id, .. } => {
-                if let Some(ticket) = self.tickets.get(&id) {
-                    self.figures.finished(ticket, self.now);
+                if let Some(info) = self.infos.get(&id) {
+                    self.measurements.finished(info, self.now);
                 }
             }
             Action::Refuse { id, refusal } | Action::StreamError { id, refusal } => {
-                if let Some(ticket) = self.tickets.get(&id) {
-                    self.figures.refused(ticket, &refusal, self.now);
+                if let Some(info) = self.infos.get(&id) {
+                    self.measurements.refused(info, &refusal, self.now);
                 }
             }
             other => self.control(core, other),
         }
     }
 
-    /// What control and the network answer.
+    /// Answers for control and the network.
     fn control(&mut self, core: usize, action: Action) {
         let soon = self.now + Duration::from_millis(5);
         match action {
@@ -341,9 +346,9 @@
                 target,
                 incarnation,
             } => {
-                let lives = self.strikes.entry(fingerprint).or_default();
-                lives.insert((target, incarnation));
-                let count = u32::try_from(lives.len()).unwrap_or_default();
+                let instances = self.strikes.entry(fingerprint).or_default();
+                instances.insert((target, incarnation));
+                let count = u32::try_from(instances.len()).unwrap_or_default();
                 self.publish(
                     vec![Change::Strike(fingerprint, count)],
                     Duration::from_millis(20),
@@ -353,14 +358,14 @@
                 target,
                 incarnation,
             } => {
-                let life = (target.clone(), incarnation);
-                let granted = *self.reserved.entry(life).or_insert(core) == core;
+                let instance = (target.clone(), incarnation);
+                let granted = *self.reserved.entry(instance).or_insert(core) == core;
                 let event = Event::Reserved {
                     target,
                     incarnation,
                     granted,
                 };
-                self.at(soon, Happening::Event(core, event));
+                self.schedule(soon, ScheduledEvent::Event(core, event));
             }
             Action::Unreserve {
                 target,
@@ -370,9 +375,9 @@
             }
             Action::Probe { target, .. } => {
                 let connected = self.engines[number(&target)].alive;
-                self.at(
+                self.schedule(
                     soon,
-                    Happening::Event(core, Event::Probed { target, connected }),
+                    ScheduledEvent::Event(core, Event::Probed { target, connected }),
                 );
             }
             _ => {}
@@ -380,7 +385,7 @@
     }
 }
 
-/// The number in an engine's name.
+/// Returns the number in an engine's name.
 fn number(name: &str) -> usize {
     name[1..].parse().unwrap_or_default()
 }
--- a/crates/entry/examples/policy/cost.rs
+++ b/crates/entry/examples/policy/cost.rs
@@ -1,4 +1,4 @@
-//! Time of a request through a core, and memory of one that waits.
+//! Measures the CPU time of a request through a core and the memory of a waiting one.
 
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 use cornelhitch_types::target::{Kind, Load};
 use cornelhitch_types::view::{Change, Replica, State, Target, View};
 
-/// A core with `targets` replicas of each of `models` models.
+/// Creates a core with `models` models, each with four replicas on `targets` targets if `ready`.
 fn core(models: usize, targets: usize, ready: bool) -> Core {
     let mut text = String::from(
         "refusing: { queue: 1000000, caller: 1000000, deadline-ms: 3600000 }\nplacing: { concurrency: 64 }\nmodels:\n",
@@ -66,7 +66,7 @@
     )
 }
 
-/// Resident memory in bytes, as Linux counts it.
+/// Returns the resident memory in bytes, as Linux reports it.
 fn resident() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
@@ -109,7 +109,7 @@
     println!("\n## Requests that wait\n");
     println!("| waiting | bytes a request | ns an arrival | ms a sweep |");
     println!("| --- | --- | --- | --- |");
-    // Kept until the end, so that no size is filled from another one's memory.
+    // Kept until the end, so that no run reuses memory freed by an earlier one.
     let mut cores = Vec::new();
     for count in [5_000, 20_000, 80_000] {
         let mut waiting = core(40, 12, false);
@@ -132,7 +132,7 @@
     }
 }
 
-/// The time of an arrival in nanoseconds while up to `count` requests wait.
+/// Returns the mean time of an arrival in nanoseconds while up to `count` requests wait.
 fn arrivals(count: u64) -> u128 {
     let mut waiting = core(40, 12, false);
     let requests: Vec<Request> = (0..count).map(|id| request(id, 40)).collect();
--- a/crates/entry/examples/policy/engine.rs
+++ b/crates/entry/examples/policy/engine.rs
@@ -1,4 +1,4 @@
-//! The engines before which the cores stand, and what control tells of them.
+//! The simulated engines, and what control publishes about them.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
@@ -11,23 +11,23 @@
 use cornelhitch_types::view::{Change, Replica, State, Target};
 use rand::Rng;
 
-use crate::bench::{Bench, Happening, Work};
+use crate::bench::{Bench, Job, ScheduledEvent};
 
-/// Time to read one block of a prompt that is not cached.
-const BLOCK: Duration = Duration::from_millis(4);
+/// Time to prefill one block that is not cached.
+const PREFILL_PER_BLOCK: Duration = Duration::from_millis(4);
 
-/// Blocks of the part of a prompt that a group of callers shares.
-pub const SHARED: u64 = 32;
+/// Number of blocks in the shared prefix of a group of callers.
+pub const SHARED_BLOCKS: u64 = 32;
 
-/// Prefixes that an engine holds.
-const CACHED: usize = 12;
+/// Number of prefixes that an engine's cache holds.
+const MAX_CACHED_PREFIXES: usize = 12;
 
-/// An engine.
+/// A simulated engine.
 pub struct Engine {
     pub incarnation: u64,
     pub alive: bool,
     pub running: HashSet<CallId>,
-    pub queued: VecDeque<Work>,
+    pub queued: VecDeque<Job>,
     pub cached: VecDeque<u64>,
     pub events: Vec<CacheEvent>,
     pub sequence: u64,
@@ -96,52 +96,58 @@
         [Change::Target(target), Change::Replica(replica)]
     }
 
-    pub(crate) fn written(&mut self, work: Work, engine: usize, life: u64) {
+    pub(crate) fn written(&mut self, job: Job, engine: usize, incarnation: u64) {
         let known = &mut self.engines[engine];
-        if !known.alive || known.incarnation != life {
-            let (id, attempt) = (work.id, work.attempt);
+        if !known.alive || known.incarnation != incarnation {
+            let (id, attempt) = (job.id, job.attempt);
             let failure = Failure::Broken;
             let event = Event::Failed {
                 id,
                 attempt,
                 failure,
             };
-            self.at(self.now, Happening::Event(work.core, event));
+            self.schedule(self.now, ScheduledEvent::Event(job.core, event));
             return;
         }
-        known.queued.push_back(work);
+        known.queued.push_back(job);
         self.start(engine);
         let queued = self.engines[engine].queued.len();
-        self.figures.queued = self.figures.queued.max(queued);
+        self.measurements.queued = self.measurements.queued.max(queued);
     }
 
-    /// Starts what an engine has room for.
+    /// Starts queued requests while an engine has free slots.
     pub(crate) fn start(&mut self, engine: usize) {
         loop {
             let known = &mut self.engines[engine];
             if !known.alive || known.running.len() >= self.setup.concurrency as usize {
                 return;
             }
-            let Some(work) = known.queued.pop_front() else {
+            let Some(job) = known.queued.pop_front() else {
                 return;
             };
-            known.running.insert(work.id);
-            let ticket = &self.tickets[&work.id];
-            self.figures.sent(engine, ticket, self.setup.regions);
-            if ticket.poison {
-                self.at(self.now + Duration::from_millis(50), Happening::Die(engine));
+            known.running.insert(job.id);
+            let info = &self.infos[&job.id];
+            self.measurements.sent(engine, info, self.setup.regions);
+            if info.poison {
+                self.schedule(
+                    self.now + Duration::from_millis(50),
+                    ScheduledEvent::Die(engine),
+                );
                 continue;
             }
-            let group = ticket.group;
+            let group = info.group;
             let read = self.read(engine, group);
-            let draw: f64 = self.random.random_range(1e-9..1.0);
-            let took = self.setup.mean.mul_f64(0.5 - 0.5 * draw.ln());
-            let life = self.engines[engine].incarnation;
-            self.at(self.now + read + took, Happening::Ended(engine, life, work));
+            let sample: f64 = self.random.random_range(1e-9..1.0);
+            let response_times = self.setup.mean.mul_f64(0.5 - 0.5 * sample.ln());
+            let incarnation = self.engines[engine].incarnation;
+            self.schedule(
+                self.now + read + response_times,
+                ScheduledEvent::Ended(engine, incarnation, job),
+            );
         }
     }
 
-    /// The time to read a prompt, and what the engine's cache holds afterwards.
+    /// Updates the engine's prefix cache and returns the time to prefill a prompt.
     fn read(&mut self, engine: usize, group: u64) -> Duration {
         if group == 0 {
             return Duration::ZERO;
@@ -153,54 +159,54 @@
             return Duration::ZERO;
         }
         known.cached.push_back(group);
-        let gone = (known.cached.len() > CACHED).then(|| known.cached.pop_front());
-        for (group, held) in [(Some(group), true), (gone.flatten(), false)] {
+        let evicted = (known.cached.len() > MAX_CACHED_PREFIXES).then(|| known.cached.pop_front());
+        for (group, held) in [(Some(group), true), (evicted.flatten(), false)] {
             if let Some(group) = group {
                 known.sequence += 1;
                 known.events.push(CacheEvent {
                     sequence: known.sequence,
                     model: "report".into(),
-                    prefix: group * 1_000 + SHARED - 1,
+                    prefix: group * 1_000 + SHARED_BLOCKS - 1,
                     held,
                 });
             }
         }
-        BLOCK * u32::try_from(SHARED).unwrap_or_default()
+        PREFILL_PER_BLOCK * u32::try_from(SHARED_BLOCKS).unwrap_or_default()
     }
 
-    pub(crate) fn ended(&mut self, engine: usize, life: u64, work: Work) {
+    pub(crate) fn ended(&mut self, engine: usize, incarnation: u64, job: Job) {
         let known = &mut self.engines[engine];
-        if known.incarnation != life || !known.running.remove(&work.id) {
+        if known.incarnation != incarnation || !known.running.remove(&job.id) {
             return;
         }
-        let (id, attempt) = (work.id, work.attempt);
-        let back = self.now + self.way(work.core, engine);
-        if self.random.random_range(0..100) < self.setup.sick {
+        let (id, attempt) = (job.id, job.attempt);
+        let back = self.now + self.latency(job.core, engine);
+        if self.random.random_range(0..100) < self.setup.failure_percent {
             let failure = Failure::Status;
             let event = Event::Failed {
                 id,
                 attempt,
                 failure,
             };
-            self.at(back, Happening::Event(work.core, event));
+            self.schedule(back, ScheduledEvent::Event(job.core, event));
             self.start(engine);
             return;
         }
-        self.at(
+        self.schedule(
             back,
-            Happening::Event(work.core, Event::Begun { id, attempt }),
+            ScheduledEvent::Event(job.core, Event::Begun { id, attempt }),
         );
-        self.at(
+        self.schedule(
             back,
-            Happening::Event(work.core, Event::Ended { id, attempt }),
+            ScheduledEvent::Event(job.core, Event::Ended { id, attempt }),
         );
         self.start(engine);
     }
 
-    /// Every engine reports its load, and every entry host its own.
+    /// Samples the load; once per second, engines and entry hosts report theirs.
     pub(crate) fn report(&mut self) {
         let loads: Vec<u32> = self.engines.iter().map(engine_load).collect();
-        self.figures.sample(&loads);
+        self.measurements.sample(&loads);
         let second = self.now.as_millis().is_multiple_of(1_000);
         if second {
             let mut changes = Vec::new();
@@ -220,7 +226,10 @@
             self.publish(changes, self.setup.lag);
         }
         if self.now < self.setup.span {
-            self.at(self.now + Duration::from_millis(100), Happening::Report);
+            self.schedule(
+                self.now + Duration::from_millis(100),
+                ScheduledEvent::Report,
+            );
         }
     }
 
@@ -232,22 +241,25 @@
         known.alive = false;
         known.incarnation += 1;
         known.cached.clear();
-        self.figures.lost += 1;
-        self.figures.batch = self.figures.batch.max(known.running.len());
+        self.measurements.lost += 1;
+        self.measurements.batch = self.measurements.batch.max(known.running.len());
         let running: Vec<CallId> = known.running.drain().collect();
-        let queued: Vec<CallId> = known.queued.drain(..).map(|work| work.id).collect();
+        let queued: Vec<CallId> = known.queued.drain(..).map(|job| job.id).collect();
         let mut ids = [running, queued].concat();
         ids.sort_unstable();
         for id in ids {
-            self.break_off(id);
+            self.fail_in_flight(id);
         }
         let changes = self.engine(engine, Load::default()).to_vec();
         self.publish(changes, Duration::from_millis(1_500));
-        self.at(self.now + Duration::from_secs(4), Happening::Back(engine));
+        self.schedule(
+            self.now + Duration::from_secs(4),
+            ScheduledEvent::Restart(engine),
+        );
     }
 
-    /// Tells the core that has a request in progress that its connection broke.
-    fn break_off(&mut self, id: CallId) {
+    /// Reports a broken connection to the core that has the request in flight.
+    fn fail_in_flight(&mut self, id: CallId) {
         for core in 0..self.cores.len() {
             let row = self.cores[core]
                 .dump()
@@ -261,7 +273,7 @@
                     attempt,
                     failure,
                 };
-                self.at(self.now, Happening::Event(core, event));
+                self.schedule(self.now, ScheduledEvent::Event(core, event));
             }
         }
     }
--- a/crates/entry/examples/policy/figures.rs
+++ b/crates/entry/examples/policy/measurements.rs
@@ -1,4 +1,4 @@
-//! What is counted in a run.
+//! The measurements of a simulation.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,43 +6,43 @@
 use cornelhitch_types::id::Time;
 use cornelhitch_types::refusal::Refusal;
 
-use crate::bench::Ticket;
+use crate::bench::RequestInfo;
 
-/// The counts of one class.
+/// The measurements of one class.
 #[derive(Debug, Default, Clone)]
 pub struct Class {
     pub arrived: u64,
     pub refused: u64,
-    pub took: Vec<Duration>,
-    /// Times to a refusal.
+    pub response_times: Vec<Duration>,
+    /// Times from arrival to refusal.
     pub refused_after: Vec<Duration>,
 }
 
-/// What is counted in a run.
+/// The measurements of a simulation.
 #[derive(Debug, Clone)]
-pub struct Figures {
+pub struct Measurements {
     pub classes: BTreeMap<&'static str, Class>,
     pub reasons: BTreeMap<String, u64>,
     pub span: Duration,
-    /// Sends by engine.
+    /// Number of sends by engine.
     pub sends: Vec<u64>,
-    /// Most requests over the mean among engines, once every 100 ms.
+    /// Ratio of the largest load to the mean among engines, sampled every 100 ms.
     pub spread: Vec<f64>,
-    /// Bytes of requests that went to another region.
-    pub crossed: u64,
-    /// Answers while requests arrived.
+    /// Bytes of requests that were sent to another region.
+    pub cross_region_bytes: u64,
+    /// Number of responses that ended while requests still arrived.
     pub in_span: usize,
-    /// Requests that waited inside an engine, at most.
+    /// Maximum number of requests queued inside an engine.
     pub queued: usize,
-    /// Only times of requests that arrived within it are kept, if there is one.
+    /// If set, response times are recorded only for requests that arrived within it.
     pub window: Option<(Time, Time)>,
-    /// Engines lost.
+    /// Number of engines that died.
     pub lost: u64,
-    /// The largest batch that died.
+    /// The largest number of requests in flight on an engine that died.
     pub batch: usize,
 }
 
-impl Figures {
+impl Measurements {
     pub fn new(engines: usize, span: Duration) -> Self {
         Self {
             classes: BTreeMap::new(),
@@ -50,7 +50,7 @@
             span,
             sends: vec![0; engines],
             spread: Vec::new(),
-            crossed: 0,
+            cross_region_bytes: 0,
             in_span: 0,
             queued: 0,
             window: None,
@@ -63,30 +63,30 @@
         self.classes.entry(class).or_default().arrived += 1;
     }
 
-    pub fn finished(&mut self, ticket: &Ticket, now: Time) {
+    pub fn finished(&mut self, info: &RequestInfo, now: Time) {
         if now <= self.span {
             self.in_span += 1;
         }
-        let inside = |(from, to): (Time, Time)| ticket.at >= from && ticket.at < to;
+        let inside = |(from, to): (Time, Time)| info.at >= from && info.at < to;
         if !self.window.is_none_or(inside) {
             return;
         }
-        let class = self.classes.entry(ticket.class).or_default();
-        class.took.push(now.saturating_sub(ticket.at));
+        let class = self.classes.entry(info.class).or_default();
+        class.response_times.push(now.saturating_sub(info.at));
     }
 
-    pub fn refused(&mut self, ticket: &Ticket, refusal: &Refusal, now: Time) {
-        let class = self.classes.entry(ticket.class).or_default();
+    pub fn refused(&mut self, info: &RequestInfo, refusal: &Refusal, now: Time) {
+        let class = self.classes.entry(info.class).or_default();
         class.refused += 1;
-        class.refused_after.push(now.saturating_sub(ticket.at));
+        class.refused_after.push(now.saturating_sub(info.at));
         let reason = format!("{} ({})", refusal.reason, refusal.run);
         *self.reasons.entry(reason).or_default() += 1;
     }
 
-    pub fn sent(&mut self, engine: usize, ticket: &Ticket, regions: usize) {
+    pub fn sent(&mut self, engine: usize, info: &RequestInfo, regions: usize) {
         self.sends[engine] += 1;
-        if engine % regions != ticket.region {
-            self.crossed += ticket.bytes;
+        if engine % regions != info.region {
+            self.cross_region_bytes += info.bytes;
         }
     }
 
@@ -100,14 +100,17 @@
     }
 
     pub fn done(&self) -> usize {
-        self.classes.values().map(|class| class.took.len()).sum()
+        self.classes
+            .values()
+            .map(|class| class.response_times.len())
+            .sum()
     }
 
     pub fn refusals(&self) -> u64 {
         self.classes.values().map(|class| class.refused).sum()
     }
 
-    /// Answers a second, counted over the time in which requests arrived.
+    /// Returns the responses per second over the time in which requests arrived.
     #[allow(clippy::cast_precision_loss)]
     pub fn goodput(&self) -> f64 {
         self.in_span as f64 / self.span.as_secs_f64()
@@ -118,26 +121,31 @@
         self.spread.iter().sum::<f64>() / f64::from(count)
     }
 
-    /// The 99th of 100 times of a class, in milliseconds.
+    /// Returns the 99th percentile of a class's response times, in milliseconds.
     pub fn p99(&self, class: &str) -> u128 {
-        percentile(self.classes.get(class).map_or(&[], |class| &class.took), 99)
+        percentile(
+            self.classes
+                .get(class)
+                .map_or(&[], |class| &class.response_times),
+            99,
+        )
     }
 
     pub fn mean_ms(&self) -> u128 {
         let all: Vec<Duration> = self
             .classes
             .values()
-            .flat_map(|class| class.took.clone())
+            .flat_map(|class| class.response_times.clone())
             .collect();
         let sum: Duration = all.iter().sum();
         sum.as_millis() / all.len().max(1) as u128
     }
 }
 
-/// The time that `part` of 100 do not exceed, in milliseconds.
-pub fn percentile(times: &[Duration], part: usize) -> u128 {
+/// Returns the percentile `percent` of the times, in milliseconds.
+pub fn percentile(times: &[Duration], percent: usize) -> u128 {
     let mut times = times.to_vec();
     times.sort_unstable();
-    let index = (times.len() * part / 100).min(times.len().saturating_sub(1));
+    let index = (times.len() * percent / 100).min(times.len().saturating_sub(1));
     times.get(index).map_or(0, Duration::as_millis)
 }
--- a/crates/entry/src/tests/outcome.rs
+++ b/crates/entry/src/tests/attempt_script.rs
@@ -1,4 +1,4 @@
-//! How the fake targets answer an attempt.
+//! Random behaviour of the fake targets for one attempt.
 
 use std::time::Duration;
 
@@ -11,20 +11,25 @@
 /// One step of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// The answer begins.
+    /// The response begins.
     Begin,
-    /// Tokens come.
-    Move(u64),
-    /// The terminator comes.
+    /// Tokens arrive, up to this offset.
+    Progress(u64),
+    /// The terminator arrives.
     End,
-    /// It fails.
+    /// The attempt fails.
     Fail(Failure),
     /// The target dies.
     Die,
 }
 
-/// The steps of one attempt, with the time from the first byte to each.
-pub fn steps(poison: bool, streaming: bool, sick: u8, random: &mut SmallRng) -> Vec<(Time, Step)> {
+/// Returns the steps of one attempt, each with the time since the first byte was sent.
+pub fn steps(
+    poison: bool,
+    streaming: bool,
+    failure_percent: u8,
+    random: &mut SmallRng,
+) -> Vec<(Time, Step)> {
     let ms = |ms: u64| Duration::from_millis(ms);
     let first = ms(random.random_range(1..400));
     if poison {
@@ -35,11 +40,11 @@
     if streaming {
         for offset in 1..random.random_range(2..6) {
             at += ms(random.random_range(1..300));
-            steps.push((at, Step::Move(offset)));
+            steps.push((at, Step::Progress(offset)));
         }
     }
     at += ms(random.random_range(1..300));
-    if random.random_range(0..100) >= sick {
+    if random.random_range(0..100) >= failure_percent {
         steps.push((at, Step::End));
         return steps;
     }
@@ -50,7 +55,7 @@
         Failure::Status,
     ];
     match random.random_range(0..6) {
-        // A target that refuses may answer all the same, later.
+        // A target that declines a request may still answer later.
         index @ 0..4 => vec![
             (first, Step::Begin),
             (first + ms(1), Step::Fail(early[index])),
--- a/crates/entry/src/tests/control.rs
+++ b/crates/entry/src/tests/fake_control.rs
@@ -1,4 +1,4 @@
-//! A fake of control: claims, strikes, reservations and the view.
+//! A fake of control: claims, strikes, reservations and the fleet view.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 use crate::event::{CallId, Digest};
 use crate::quarantine::TargetInstance;
 
-/// The settings of a run: small bounds, so that they are met.
+/// The settings of a simulation, with limits low enough to be reached.
 pub const SETTINGS: &str = "
 refusing: { queue: 12, caller: 9, quarantine-s: 3600 }
 placing: { concurrency: 3 }
@@ -21,51 +21,49 @@
 services: [{ name: bids }]
 ";
 
-/// Requests that wait on one core at most.
-pub const QUEUE: usize = 12;
+/// Maximum number of requests that wait on one core, as in [`SETTINGS`].
+pub const MAX_QUEUED: usize = 12;
 
-/// Requests of one caller on one core at most.
-pub const CALLER: u32 = 9;
+/// Maximum number of requests of one caller on one core, as in [`SETTINGS`].
+pub const MAX_PER_CALLER: u32 = 9;
 
 /// A fake target with one replica and one service.
 #[derive(Debug, Clone)]
-pub struct Fake {
-    /// Its name.
+pub struct FakeTarget {
     pub name: Name,
-    /// Its life.
+    /// The target's incarnation; it changes when the target dies.
     pub incarnation: u64,
     /// Whether its process runs.
     pub alive: bool,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub open: bool,
-    /// Its replica.
+    /// The id of its replica.
     pub replica: u64,
-    /// The state of the replica.
     pub state: State,
 }
 
-/// Who holds a claim, and what became of it.
+/// The owner of a claim and its recorded outcome.
 #[derive(Debug, Clone)]
-struct Held {
+struct CommittedClaim {
     owner: CallId,
     digest: Digest,
     outcome: Option<Outcome>,
 }
 
-/// Control.
+/// The replicated state of the fake control.
 #[derive(Debug, Default)]
-pub struct Control {
-    claims: BTreeMap<(CallerId, Name), Held>,
+pub struct FakeControl {
+    claims: BTreeMap<(CallerId, Name), CommittedClaim>,
     strikes: BTreeMap<u64, BTreeSet<TargetInstance>>,
     reserved: BTreeMap<TargetInstance, usize>,
-    /// Views published after the first whole one, whose number is 1: 0 stands for a whole.
+    /// Number of views published after the first complete one, whose sequence number is 1.
     sequence: u64,
 }
 
-impl Control {
-    /// Commits a claim, or says why not.
+impl FakeControl {
+    /// Commits a claim, or returns why it cannot.
     pub fn claim(&mut self, owner: CallId, at: (CallerId, Name), digest: Digest) -> Reply {
-        let held = self.claims.entry(at).or_insert(Held {
+        let held = self.claims.entry(at).or_insert(CommittedClaim {
             owner,
             digest,
             outcome: None,
@@ -81,7 +79,7 @@
         }
     }
 
-    /// Commits an outcome; only the claim's owner can.
+    /// Commits an outcome; ignored unless it comes from the claim's owner.
     pub fn record(&mut self, owner: CallId, at: &(CallerId, Name), outcome: Outcome) {
         let Some(held) = self.claims.get_mut(at) else {
             return;
@@ -96,26 +94,26 @@
         }
     }
 
-    /// Counts a strike.
-    pub fn strike(&mut self, fingerprint: u64, life: TargetInstance) -> Change {
+    /// Counts a strike and returns the change to publish.
+    pub fn strike(&mut self, fingerprint: u64, instance: TargetInstance) -> Change {
         let lives = self.strikes.entry(fingerprint).or_default();
-        lives.insert(life);
+        lives.insert(instance);
         strikes(fingerprint, lives)
     }
 
-    /// Reserves a target for one core's suspects.
-    pub fn reserve(&mut self, life: TargetInstance, core: usize) -> bool {
-        *self.reserved.entry(life).or_insert(core) == core
+    /// Reserves a target for one core's suspects; returns whether that core now holds it.
+    pub fn reserve(&mut self, instance: TargetInstance, core: usize) -> bool {
+        *self.reserved.entry(instance).or_insert(core) == core
     }
 
-    /// Ends a reservation.
-    pub fn unreserve(&mut self, life: &TargetInstance, core: usize) {
-        if self.reserved.get(life) == Some(&core) {
-            self.reserved.remove(life);
+    /// Ends a reservation, if this core holds it.
+    pub fn unreserve(&mut self, instance: &TargetInstance, core: usize) {
+        if self.reserved.get(instance) == Some(&core) {
+            self.reserved.remove(instance);
         }
     }
 
-    /// The next view, with these changes.
+    /// Returns the next incremental view, with these changes.
     pub fn changes(&mut self, changes: Vec<Change>) -> View {
         let from = self.sequence + 1;
         self.sequence += 1;
@@ -127,11 +125,11 @@
         }
     }
 
-    /// The whole view.
-    pub fn whole(&self, targets: &[Fake], cores: usize) -> View {
+    /// Returns the complete view.
+    pub fn whole(&self, targets: &[FakeTarget], cores: usize) -> View {
         let mut changes = vec![Change::Settings(1, SETTINGS.into())];
         changes.extend((0..cores).map(host));
-        changes.extend(targets.iter().flat_map(Fake::changes));
+        changes.extend(targets.iter().flat_map(FakeTarget::changes));
         let struck = self.strikes.iter();
         changes.extend(struck.map(|(fingerprint, lives)| strikes(*fingerprint, lives)));
         View {
@@ -143,8 +141,8 @@
     }
 }
 
-impl Fake {
-    /// What control publishes of it.
+impl FakeTarget {
+    /// Returns what control publishes about the target.
     pub fn changes(&self) -> [Change; 2] {
         let target = Target {
             target: self.name.clone(),
@@ -171,12 +169,12 @@
     }
 }
 
-/// The number of strikes, as control publishes it.
+/// Returns the number of strikes, as control publishes it.
 fn strikes(fingerprint: u64, lives: &BTreeSet<TargetInstance>) -> Change {
     Change::Strike(fingerprint, u32::try_from(lives.len()).unwrap_or(u32::MAX))
 }
 
-/// An entry host, as control publishes it.
+/// Returns an entry host, as control publishes it.
 fn host(core: usize) -> Change {
     Change::Entry(Host {
         host: core as u64,
--- a/crates/entry/src/tests/invariants.rs
+++ b/crates/entry/src/tests/invariants.rs
@@ -1,45 +1,47 @@
-//! What must always hold, and that the suite sees when it does not.
+//! Invariants that hold for all random plans, and a check that each injected fault breaks one.
 
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config as Setup, RngAlgorithm, TestRng, TestRunner};
 use strum::IntoEnumIterator;
 
-use super::fleet::Fleet;
-use super::ledger::Ledger;
-use super::plan::{Ask, Kind, Plan, plan};
+use super::plan::{Kind, Plan, PlannedRequest, plan};
+use super::request_log::RequestLog;
+use super::simulation::Simulation;
 use crate::fault::Fault;
 
-/// Plans in one run of the suite, unless `PROPTEST_CASES` says otherwise.
-const CASES: u32 = 300;
+/// Number of plans in one run, unless `PROPTEST_CASES` says otherwise.
+const PLAN_COUNT: u32 = 300;
 
-/// Plans that a planted fault may take until it is seen.
-const TRIES: usize = 400;
+/// Maximum number of plans until an injected fault must be detected.
+const MAX_PLANS_PER_FAULT: usize = 400;
 
-/// Each fault, and the words of the invariant that it breaks.
+/// Each fault, with a part of the message of the invariant that it breaks.
 #[rustfmt::skip]
-const PLANTED: [(Fault, &str); 10] = [
+const FAULT_SYMPTOMS: [(Fault, &str); 10] = [
     (Fault::EndsTwice,       "ended twice"),
-    (Fault::LateTimer,       "and was due"),
-    (Fault::FalseNotRun,     "was sent and is called not run"),
-    (Fault::SendsTwice,      "may not be repeated and was"),
+    (Fault::LateTimer,       "after it was due"),
+    (Fault::FalseNotRun,     "was sent but reported as not run"),
+    (Fault::SendsTwice,      "must not be repeated but was sent again"),
     (Fault::ReleasesSent,    "was sent twice"),
     (Fault::ForgetsStrikes,  "took down"),
-    (Fault::SharesSuspects,  "share"),
-    (Fault::SendsToClosed,   "went to"),
-    (Fault::Unbounded,       "requests wait"),
-    (Fault::TakesOldAttempt, "was not whole"),
+    (Fault::SharesSuspects,  "at the same time"),
+    (Fault::SendsToClosed,   "was sent to"),
+    (Fault::Unbounded,       "requests wait, more than"),
+    (Fault::TakesOldAttempt, "was reported as complete without its terminator"),
 ];
 
-/// The same seed in every run, so that the verdict is the same.
+/// Returns the random generator with a fixed seed, so that every run has the same result.
 fn seed() -> TestRng {
     TestRng::deterministic_rng(RngAlgorithm::ChaCha)
 }
 
-/// The setup of proptest.
+/// Returns the configuration of proptest.
 fn setup() -> Setup {
     let cases = std::env::var("PROPTEST_CASES").ok();
-    let cases = cases.and_then(|cases| cases.parse().ok()).unwrap_or(CASES);
+    let cases = cases
+        .and_then(|cases| cases.parse().ok())
+        .unwrap_or(PLAN_COUNT);
     Setup {
         cases,
         failure_persistence: None,
@@ -49,10 +51,10 @@
 }
 
 #[test]
-fn every_promise_holds() {
+fn all_invariants_hold_for_random_plans() {
     let mut runner = TestRunner::new_with_rng(setup(), seed());
     let verdict = runner.run(&plan(), |plan| {
-        let run = Fleet::run(&plan, None);
+        let run = Simulation::run(&plan, None);
         prop_assert!(run.is_ok(), "{:?}", run);
         Ok(())
     });
@@ -61,10 +63,11 @@
     }
 }
 
-/// One poison request among others that come at once, to one core or several, with time enough.
+/// Generates one poison request among others that arrive at the same time at one or several cores,
+/// with long deadlines.
 fn batch() -> impl Strategy<Value = Plan> {
     (any::<u64>(), 1_usize..4, 3_usize..5, 2_u64..9).prop_map(|(seed, cores, targets, others)| {
-        let ask = |at, kind| Ask {
+        let planned = |at, kind| PlannedRequest {
             at,
             core: usize::try_from(at).unwrap_or_default(),
             kind,
@@ -73,35 +76,35 @@
             caller: u8::try_from(at % 5).unwrap_or_default(),
             leaves: None,
         };
-        let others = (0..others).map(|at| ask(at, Kind::Whole));
+        let others = (0..others).map(|at| planned(at, Kind::Whole));
         Plan {
             seed,
             cores,
             targets,
-            sick: 0,
-            asks: std::iter::once(ask(1, Kind::Poison))
+            failure_percent: 0,
+            requests: std::iter::once(planned(1, Kind::Poison))
                 .chain(others)
                 .collect(),
-            troubles: Vec::new(),
+            disturbances: Vec::new(),
         }
     })
 }
 
-/// How many neighbours of the poison request were not answered in full.
-fn unanswered(ledger: &Ledger) -> usize {
-    let neighbours = ledger
-        .entries
+/// Returns how many other requests were not answered in full.
+fn unanswered_count(request_log: &RequestLog) -> usize {
+    let neighbours = request_log
+        .records
         .values()
-        .filter(|entry| entry.poison.is_none());
-    let left = neighbours.filter(|entry| entry.ends.iter().all(|(_, run)| run.is_some()));
+        .filter(|record| record.poison.is_none());
+    let left = neighbours.filter(|record| record.ends.iter().all(|(_, run)| run.is_some()));
     left.count()
 }
 
 #[test]
-fn the_neighbours_of_a_poison_request_are_all_answered() {
+fn requests_in_flight_with_a_poison_request_are_all_answered() {
     let mut runner = TestRunner::new_with_rng(setup(), seed());
     let verdict = runner.run(&batch(), |plan| {
-        let run = Fleet::run(&plan, None).map(|ledger| unanswered(&ledger));
+        let run = Simulation::run(&plan, None).map(|request_log| unanswered_count(&request_log));
         prop_assert_eq!(run, Ok(0));
         Ok(())
     });
@@ -111,14 +114,14 @@
 }
 
 #[test]
-fn every_planted_fault_is_seen() {
-    assert_eq!(PLANTED.len(), Fault::iter().count());
-    for (fault, words) in PLANTED {
+fn every_injected_fault_breaks_its_invariant() {
+    assert_eq!(FAULT_SYMPTOMS.len(), Fault::iter().count());
+    for (fault, words) in FAULT_SYMPTOMS {
         let mut runner = TestRunner::deterministic();
         let mut seen = Vec::new();
-        for _ in 0..TRIES {
-            let tree = plan().new_tree(&mut runner).expect("a plan");
-            seen.extend(Fleet::run(&tree.current(), Some(fault)).err());
+        for _ in 0..MAX_PLANS_PER_FAULT {
+            let tree = plan().new_tree(&mut runner).expect("a plan is generated");
+            seen.extend(Simulation::run(&tree.current(), Some(fault)).err());
             if seen.last().is_some_and(|seen| seen.contains(words)) {
                 break;
             }
--- a/crates/entry/src/tests/mod.rs
+++ b/crates/entry/src/tests/mod.rs
@@ -1,9 +1,10 @@
-//! A small fleet of cores with fake control and targets in virtual time, and what must always hold.
+//! Simulates a small fleet of cores with fake control and targets in virtual time and checks the
+//! invariants.
 
-mod control;
-mod fleet;
+mod attempt_script;
+mod fake_control;
 mod invariants;
-mod ledger;
-mod outcome;
 mod plan;
-mod traffic;
+mod request_log;
+mod simulation;
+mod targets;
--- a/crates/entry/src/tests/plan.rs
+++ b/crates/entry/src/tests/plan.rs
@@ -1,18 +1,18 @@
-//! What a run is made of, as values that proptest can shrink.
+//! Random plans for a simulation, as values that proptest can shrink.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// What a request asks for.
+/// The kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// A model, answered as a stream.
+    /// A model, with a streamed response.
     Stream,
-    /// A model, answered at once.
+    /// A model, with a response that is not streamed.
     Whole,
-    /// A service call with a key; the number tells equal keys.
+    /// A service call with an idempotency key; equal numbers stand for equal keys.
     Keyed(u8),
-    /// A service call that may not be repeated, without a key.
+    /// A service call without a key that must not be repeated.
     Bare,
     /// A service call that may be repeated.
     Lookup,
@@ -20,31 +20,31 @@
     Poison,
 }
 
-/// A request of a run.
+/// A planned request.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask {
-    /// When it arrives, in milliseconds.
+pub struct PlannedRequest {
+    /// Time of arrival in milliseconds.
     pub at: u64,
-    /// Which core it comes to.
+    /// The core that it arrives at.
     pub core: usize,
-    /// What it asks for.
+    /// The kind of the request.
     pub kind: Kind,
     /// Its deadline in milliseconds.
     pub deadline: u64,
-    /// Whether its class outweighs the other one.
+    /// Whether it is in the class with the higher weight.
     pub urgent: bool,
-    /// Whose it is.
+    /// The number of its caller.
     pub caller: u8,
-    /// When its caller leaves, in milliseconds from its arrival, if it does.
+    /// When its caller leaves, in milliseconds after the arrival, if it does.
     pub leaves: Option<u64>,
 }
 
-/// Something that goes wrong.
+/// A disturbance of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
-    /// A target dies and comes back.
+pub enum Disturbance {
+    /// A target dies and restarts.
     Death(usize),
-    /// A target leaves and comes back.
+    /// A target closes and reopens.
     Leave(usize),
     /// A replica retires and another one becomes ready.
     Retire(usize),
@@ -52,29 +52,29 @@
     Isolated(usize),
     /// A core drains.
     Drain(usize),
-    /// The next view is lost on its way to a core.
+    /// The next view to a core is lost.
     LostView(usize),
 }
 
-/// A run.
+/// The plan of one simulation.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Where the fakes' random choices start.
+    /// Seed of the random choices of the fakes.
     pub seed: u64,
-    /// Cores.
+    /// Number of cores.
     pub cores: usize,
-    /// Targets.
+    /// Number of targets.
     pub targets: usize,
-    /// In 100 attempts, how many end badly by themselves.
-    pub sick: u8,
-    /// Requests.
-    pub asks: Vec<Ask>,
-    /// What goes wrong, and when, in milliseconds.
-    pub troubles: Vec<(u64, Trouble)>,
+    /// Percentage of attempts that fail.
+    pub failure_percent: u8,
+    /// The requests that arrive.
+    pub requests: Vec<PlannedRequest>,
+    /// The disturbances, with their times in milliseconds.
+    pub disturbances: Vec<(u64, Disturbance)>,
 }
 
 /// Time over which requests arrive, in milliseconds.
-const SPAN: u64 = 8_000;
+const ARRIVAL_SPAN_MS: u64 = 8_000;
 
 fn kind() -> impl Strategy<Value = Kind> {
     prop_oneof![
@@ -87,12 +87,12 @@
     ]
 }
 
-fn ask() -> impl Strategy<Value = Ask> {
+fn planned_request() -> impl Strategy<Value = PlannedRequest> {
     let leaves = prop_oneof![5 => Just(None), 1 => (0_u64..2_000).prop_map(Some)];
     let who = (0_usize..4, any::<bool>(), 0_u8..5, leaves);
-    (0..SPAN, kind(), 50_u64..6_000, who).prop_map(|(at, kind, deadline, who)| {
+    (0..ARRIVAL_SPAN_MS, kind(), 50_u64..6_000, who).prop_map(|(at, kind, deadline, who)| {
         let (core, urgent, caller, leaves) = who;
-        Ask {
+        PlannedRequest {
             at,
             core,
             kind,
@@ -104,30 +104,35 @@
     })
 }
 
-fn trouble() -> impl Strategy<Value = (u64, Trouble)> {
+fn disturbance() -> impl Strategy<Value = (u64, Disturbance)> {
     let which = prop_oneof![
-        (0_usize..4).prop_map(Trouble::Death),
-        (0_usize..4).prop_map(Trouble::Leave),
-        (0_usize..4).prop_map(Trouble::Retire),
-        (0_usize..4).prop_map(Trouble::Isolated),
-        (0_usize..4).prop_map(Trouble::Drain),
-        (0_usize..4).prop_map(Trouble::LostView),
+        (0_usize..4).prop_map(Disturbance::Death),
+        (0_usize..4).prop_map(Disturbance::Leave),
+        (0_usize..4).prop_map(Disturbance::Retire),
+        (0_usize..4).prop_map(Disturbance::Isolated),
+        (0_usize..4).prop_map(Disturbance::Drain),
+        (0_usize..4).prop_map(Disturbance::LostView),
     ];
-    (0..SPAN, which)
+    (0..ARRIVAL_SPAN_MS, which)
 }
 
-/// Any run.
+/// Generates any plan.
 pub fn plan() -> impl Strategy<Value = Plan> {
     let sizes = (any::<u64>(), 1_usize..4, 1_usize..5, 0_u8..40);
-    (sizes, vec(ask(), 1..90), vec(trouble(), 0..10)).prop_map(|(sizes, asks, troubles)| {
-        let (seed, cores, targets, sick) = sizes;
-        Plan {
-            seed,
-            cores,
-            targets,
-            sick,
-            asks,
-            troubles,
-        }
-    })
+    (
+        sizes,
+        vec(planned_request(), 1..90),
+        vec(disturbance(), 0..10),
+    )
+        .prop_map(|(sizes, requests, disturbances)| {
+            let (seed, cores, targets, failure_percent) = sizes;
+            Plan {
+                seed,
+                cores,
+                targets,
+                failure_percent,
+                requests,
+                disturbances,
+            }
+        })
 }
--- a/crates/entry/src/tests/fleet.rs
+++ b/crates/entry/src/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! The run of a plan: cores, fake control and fake targets in virtual time.
+//! Simulates several cores with fake control and fake targets in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::control::{CALLER, Control, Fake, QUEUE};
-use super::ledger::{Entry, Ledger, Violation};
-use super::outcome::Step;
-use super::plan::{Ask, Kind, Plan, Trouble};
+use super::attempt_script::Step;
+use super::fake_control::{FakeControl, FakeTarget, MAX_PER_CALLER, MAX_QUEUED};
+use super::plan::{Disturbance, Kind, Plan, PlannedRequest};
+use super::request_log::{RequestLog, RequestRecord, Violation};
 use crate::action::{Action, Destination};
 use crate::config::Config;
 use crate::core::Core;
@@ -19,75 +19,75 @@
 use crate::fault::Fault;
 use crate::quarantine::TargetInstance;
 
-/// A run never takes longer.
-pub(super) const END: Time = Time::from_mins(10);
+/// Time at which a simulation ends at the latest.
+pub(super) const MAX_TIME: Time = Time::from_mins(10);
 
-/// The fingerprint of every poison request.
+/// The fingerprint of every poison request, which takes down each target that runs it.
 pub(super) const POISON: u64 = 666;
 
-/// How long a target is away.
-pub(super) const AWAY: Time = Time::from_millis(700);
+/// How long a target is down, or a core without its lease.
+pub(super) const DOWNTIME: Time = Time::from_millis(700);
 
 /// How long it takes until every core knows of a strike, even if a view is lost.
-const SHARED: Time = Time::from_secs(1);
+const STRIKE_PROPAGATION: Time = Time::from_secs(1);
 
-/// The longest way of a message.
-const WAY: u64 = 30;
+/// Upper limit on the delay of a message, in milliseconds.
+const MAX_DELAY_MS: u64 = 30;
 
-/// Something that will happen.
+/// An event scheduled in virtual time.
 #[derive(Debug, Clone)]
-pub(super) enum Happening {
+pub(super) enum Task {
     Event(usize, Event),
-    Ask(usize),
-    Trouble(Trouble),
+    Arrival(usize),
+    Disturbance(Disturbance),
     Control(usize, Action),
     Step(usize, CallId, Attempt, Step),
-    Back(usize),
-    Beat,
+    Restart(usize),
+    Heartbeat,
 }
 
-/// An attempt that was allowed to write.
+/// An attempt that was allowed to write to its target.
 #[derive(Debug, Clone)]
-pub(super) struct Flight {
+pub(super) struct WritingAttempt {
     pub core: usize,
     pub id: CallId,
     pub attempt: Attempt,
     pub begun: bool,
 }
 
-/// The state of a run.
-pub struct Fleet {
+/// The state of a simulation.
+pub struct Simulation {
     pub(super) plan: Plan,
     pub(super) now: Time,
     pub(super) serial: u64,
-    pub(super) due: BTreeMap<(Time, u64), Happening>,
+    pub(super) due: BTreeMap<(Time, u64), Task>,
     pub(super) cores: Vec<Core>,
-    pub(super) control: Control,
-    pub(super) targets: Vec<Fake>,
-    pub(super) flights: BTreeMap<Name, Vec<Flight>>,
+    pub(super) control: FakeControl,
+    pub(super) targets: Vec<FakeTarget>,
+    pub(super) in_flight: BTreeMap<Name, Vec<WritingAttempt>>,
     pub(super) sends: BTreeMap<(CallId, Attempt), Destination>,
     pub(super) suspects: BTreeSet<(CallId, Attempt)>,
     pub(super) lost_views: Vec<bool>,
-    pub(super) ledger: Ledger,
+    pub(super) request_log: RequestLog,
     pub(super) random: SmallRng,
 }
 
-impl Fleet {
-    /// Runs a plan with a planted fault or without one.
-    pub fn run(plan: &Plan, fault: Option<Fault>) -> Result<Ledger, Violation> {
-        let mut fleet = Self::new(plan, fault);
-        while let Some(at) = fleet.next().filter(|at| *at <= END) {
-            fleet.tick(at)?;
-            fleet.now = at;
-            let due = fleet.due.first_entry().filter(|due| due.key().0 <= at);
+impl Simulation {
+    /// Runs a plan, with an injected fault or without one.
+    pub fn run(plan: &Plan, fault: Option<Fault>) -> Result<RequestLog, Violation> {
+        let mut simulation = Self::new(plan, fault);
+        while let Some(at) = simulation.next().filter(|at| *at <= MAX_TIME) {
+            simulation.tick(at)?;
+            simulation.now = at;
+            let due = simulation.due.first_entry().filter(|due| due.key().0 <= at);
             if let Some(due) = due {
-                let happening = due.remove();
-                fleet.happen(happening)?;
+                let event = due.remove();
+                simulation.handle(event)?;
             }
         }
-        fleet.tick(END)?;
-        fleet.ledger.closes()?;
-        Ok(fleet.ledger)
+        simulation.tick(MAX_TIME)?;
+        simulation.request_log.check_all_ended()?;
+        Ok(simulation.request_log)
     }
 
     fn new(plan: &Plan, fault: Option<Fault>) -> Self {
@@ -98,7 +98,7 @@
             config.fault = fault;
             Core::new(config, Time::ZERO)
         });
-        let targets = (0..plan.targets).map(|index| Fake {
+        let targets = (0..plan.targets).map(|index| FakeTarget {
             name: format!("w{index}").into(),
             incarnation: 1,
             alive: true,
@@ -106,78 +106,78 @@
             replica: index as u64,
             state: State::Ready,
         });
-        let mut fleet = Self {
+        let mut simulation = Self {
             now: Time::ZERO,
             serial: 0,
             due: BTreeMap::new(),
             cores: cores.collect(),
-            control: Control::default(),
+            control: FakeControl::default(),
             targets: targets.collect(),
-            flights: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sends: BTreeMap::new(),
             suspects: BTreeSet::new(),
             lost_views: vec![false; plan.cores],
-            ledger: Ledger::default(),
+            request_log: RequestLog::default(),
             random: SmallRng::seed_from_u64(plan.seed ^ 1),
             plan: plan.clone(),
         };
-        fleet.begin();
-        fleet
+        simulation.schedule_plan();
+        simulation
     }
 
-    /// Plans what is known beforehand.
-    fn begin(&mut self) {
+    /// Schedules what the plan determines in advance.
+    fn schedule_plan(&mut self) {
         for core in 0..self.plan.cores {
             let view = self.control.whole(&self.targets, self.plan.cores);
-            self.at(Time::ZERO, Happening::Event(core, Event::View(view)));
+            self.schedule(Time::ZERO, Task::Event(core, Event::View(view)));
             let lease = Event::Lease {
-                until: END,
+                until: MAX_TIME,
                 version: 1,
             };
-            self.at(Time::ZERO, Happening::Event(core, lease));
+            self.schedule(Time::ZERO, Task::Event(core, lease));
         }
-        for index in 0..self.plan.asks.len() {
-            let at = Duration::from_millis(self.plan.asks[index].at + 1);
-            self.at(at, Happening::Ask(index));
+        for index in 0..self.plan.requests.len() {
+            let at = Duration::from_millis(self.plan.requests[index].at + 1);
+            self.schedule(at, Task::Arrival(index));
         }
-        for (at, trouble) in self.plan.troubles.clone() {
-            self.at(Duration::from_millis(at), Happening::Trouble(trouble));
+        for (at, disturbance) in self.plan.disturbances.clone() {
+            self.schedule(Duration::from_millis(at), Task::Disturbance(disturbance));
         }
-        self.at(Duration::from_millis(500), Happening::Beat);
+        self.schedule(Duration::from_millis(500), Task::Heartbeat);
     }
 
-    pub(super) fn at(&mut self, at: Time, happening: Happening) {
+    pub(super) fn schedule(&mut self, at: Time, event: Task) {
         self.serial += 1;
-        self.due.insert((at, self.serial), happening);
+        self.due.insert((at, self.serial), event);
     }
 
-    pub(super) fn soon(&mut self, happening: Happening) {
-        let way = Duration::from_millis(self.random.random_range(1..WAY));
-        self.at(self.now + way, happening);
+    pub(super) fn schedule_soon(&mut self, event: Task) {
+        let delay = Duration::from_millis(self.random.random_range(1..MAX_DELAY_MS));
+        self.schedule(self.now + delay, event);
     }
 
-    /// When something happens next.
+    /// Returns the time of the next event.
     fn next(&self) -> Option<Time> {
         let wakes = self.cores.iter().filter_map(Core::next_wake);
         let due = self.due.keys().next().map(|(at, _)| *at);
         wakes.chain(due).min().map(|next| next.max(self.now))
     }
 
-    /// Wakes the cores, each at the very time that it asked for.
+    /// Wakes the cores, each at exactly the time that it asked for.
     fn tick(&mut self, until: Time) -> Result<(), Violation> {
         for core in 0..self.cores.len() {
             while let Some(wake) = self.cores[core].next_wake().filter(|wake| *wake <= until) {
                 let before = self.now;
                 self.now = wake.max(before);
                 let actions = self.cores[core].handle(Event::Tick, self.now);
-                self.take(core, actions)?;
+                self.carry_out_all(core, actions)?;
                 let stuck = self.cores[core]
                     .next_wake()
                     .is_some_and(|next| next <= wake);
                 self.now = before;
                 if stuck {
                     return Err(format!(
-                        "core {core} wants to be woken at {wake:?} for ever"
+                        "core {core} asks to be woken at {wake:?} again and again"
                     ));
                 }
             }
@@ -185,91 +185,94 @@
         Ok(())
     }
 
-    fn happen(&mut self, happening: Happening) -> Result<(), Violation> {
-        match happening {
-            Happening::Event(core, event) => self.tell(core, event),
-            Happening::Ask(index) => self.ask(index),
-            Happening::Trouble(trouble) => self.trouble(trouble),
-            Happening::Control(core, action) => {
+    fn handle(&mut self, event: Task) -> Result<(), Violation> {
+        match event {
+            Task::Event(core, event) => self.deliver(core, event),
+            Task::Arrival(index) => self.arrive(index),
+            Task::Disturbance(disturbance) => self.disturbance(disturbance),
+            Task::Control(core, action) => {
                 self.commit(core, action);
                 Ok(())
             }
-            Happening::Step(core, id, attempt, step) => self.step(core, id, attempt, step),
-            Happening::Back(index) => {
+            Task::Step(core, id, attempt, step) => self.step(core, id, attempt, step),
+            Task::Restart(index) => {
                 self.targets[index].alive = true;
                 self.targets[index].open = true;
                 self.publish(index);
                 Ok(())
             }
-            Happening::Beat => {
+            Task::Heartbeat => {
                 self.broadcast(Vec::new());
-                if self.now < END / 2 {
-                    self.at(self.now + Duration::from_millis(500), Happening::Beat);
+                if self.now < MAX_TIME / 2 {
+                    self.schedule(self.now + Duration::from_millis(500), Task::Heartbeat);
                 }
                 Ok(())
             }
         }
     }
 
-    /// Hands an event to a core, and checks its bounds.
-    pub(super) fn tell(&mut self, core: usize, event: Event) -> Result<(), Violation> {
+    /// Hands an event to a core and checks its limits.
+    pub(super) fn deliver(&mut self, core: usize, event: Event) -> Result<(), Violation> {
         if let Event::CallerLeft { id } = event
-            && let Some(entry) = self.ledger.entries.get_mut(&id)
+            && let Some(record) = self.request_log.records.get_mut(&id)
         {
-            entry.left = entry.ends.is_empty();
+            record.left = record.ends.is_empty();
         }
         let actions = self.cores[core].handle(event, self.now);
-        self.take(core, actions)?;
-        if self.cores[core].queue.len() > QUEUE {
-            return Err(format!("{} requests wait", self.cores[core].queue.len()));
+        self.carry_out_all(core, actions)?;
+        if self.cores[core].queue.len() > MAX_QUEUED {
+            return Err(format!(
+                "{} requests wait, more than {MAX_QUEUED}",
+                self.cores[core].queue.len()
+            ));
         }
         for caller in 0..5 {
             let caller: Name = format!("caller-{caller}").into();
-            if self.cores[core].queue.caller_requests(&caller) > CALLER {
-                return Err(format!("{caller} has too many requests"));
+            if self.cores[core].queue.caller_requests(&caller) > MAX_PER_CALLER {
+                return Err(format!("{caller} has more than {MAX_PER_CALLER} requests"));
             }
         }
         Ok(())
     }
 
-    fn ask(&mut self, index: usize) -> Result<(), Violation> {
-        let mut ask = self.plan.asks[index];
-        let core = ask.core % self.plan.cores;
-        if ask.kind == Kind::Poison && !self.may_poison(core) {
-            ask.kind = Kind::Whole;
-            self.plan.asks[index] = ask;
+    fn arrive(&mut self, index: usize) -> Result<(), Violation> {
+        let mut planned = self.plan.requests[index];
+        let core = planned.core % self.plan.cores;
+        if planned.kind == Kind::Poison && !self.may_poison(core) {
+            planned.kind = Kind::Whole;
+            self.plan.requests[index] = planned;
         }
         let id = index as u64;
-        let request = request(id, &ask);
-        let entry = Entry {
-            deadline: self.now + Duration::from_millis(ask.deadline),
+        let request = request(id, &planned);
+        let record = RequestRecord {
+            deadline: self.now + Duration::from_millis(planned.deadline),
             streaming: request.streaming,
-            repeatable: !matches!(ask.kind, Kind::Keyed(_) | Kind::Bare),
+            repeatable: !matches!(planned.kind, Kind::Keyed(_) | Kind::Bare),
             key: request.key.clone(),
-            poison: (ask.kind == Kind::Poison).then_some(core),
-            ..Entry::default()
+            poison: (planned.kind == Kind::Poison).then_some(core),
+            ..RequestRecord::default()
         };
-        self.ledger.entries.insert(id, entry);
-        if let Some(leaves) = ask.leaves {
+        self.request_log.records.insert(id, record);
+        if let Some(leaves) = planned.leaves {
             let at = self.now + Duration::from_millis(leaves);
-            self.at(at, Happening::Event(core, Event::CallerLeft { id }));
+            self.schedule(at, Task::Event(core, Event::CallerLeft { id }));
         }
-        self.tell(core, Event::Arrived(request))
+        self.deliver(core, Event::Arrived(request))
     }
 
-    /// Whether strikes have been shared since the last poison request at another core: its caller
-    /// sends it again only after its answer.
+    /// Whether strikes have been shared since the last poison request at another core: the caller
+    /// of a poison request resends it only after its response.
     fn may_poison(&self, core: usize) -> bool {
-        let mut others = self.ledger.entries.values();
-        others.all(|entry| {
-            let elsewhere = entry.poison.is_some_and(|other| other != core);
-            let shared = |(at, _): &(Time, _)| *at + SHARED < self.now;
-            !elsewhere || entry.ends.iter().any(shared)
+        let mut others = self.request_log.records.values();
+        others.all(|record| {
+            let elsewhere = record.poison.is_some_and(|other| other != core);
+            let shared = |(at, _): &(Time, _)| *at + STRIKE_PROPAGATION < self.now;
+            !elsewhere || record.ends.iter().any(shared)
         })
     }
 
-    /// Does what a core asks for.
-    fn take(&mut self, core: usize, actions: Vec<Action>) -> Result<(), Violation> {
+    /// Carries out the actions of a core.
+    fn carry_out_all(&mut self, core: usize, actions: Vec<Action>) -> Result<(), Violation> {
         for action in actions {
             self.carry_out(core, action)?;
         }
@@ -287,19 +290,19 @@
             } => self.connect(core, id, attempt, to, resume.is_some()),
             Action::Proceed { id, attempt } => self.proceed(core, id, attempt),
             Action::Deliver { id, .. } => {
-                if let Some(entry) = self.ledger.entries.get_mut(&id) {
-                    entry.moved = Some(now);
+                if let Some(record) = self.request_log.records.get_mut(&id) {
+                    record.moved = Some(now);
                 }
                 Ok(())
             }
-            Action::Finish { id, attempt } => self.ledger.finishes(id, attempt, now),
+            Action::Finish { id, attempt } => self.request_log.on_finish(id, attempt, now),
             Action::Refuse { id, refusal } | Action::StreamError { id, refusal } => {
-                self.ledger.ends(id, Some(refusal.run), now)
+                self.request_log.on_end(id, Some(refusal.run), now)
             }
-            Action::Replay { id, .. } => self.ledger.ends(id, None, now),
+            Action::Replay { id, .. } => self.request_log.on_end(id, None, now),
             Action::Cancel { id, attempt, .. } => {
-                for flights in self.flights.values_mut() {
-                    flights.retain(|flight| (flight.id, flight.attempt) != (id, attempt));
+                for in_flight in self.in_flight.values_mut() {
+                    in_flight.retain(|running| (running.id, running.attempt) != (id, attempt));
                 }
                 Ok(())
             }
@@ -308,7 +311,7 @@
             }
             Action::BadSettings { error, .. } => Err(error),
             other => {
-                self.soon(Happening::Control(core, other));
+                self.schedule_soon(Task::Control(core, other));
                 Ok(())
             }
         }
@@ -319,7 +322,7 @@
         self.broadcast(changes);
     }
 
-    /// Sends changes to every core, in order, but for lost ones.
+    /// Sends changes to every core in order, except those whose next view is to be lost.
     fn broadcast(&mut self, changes: Vec<Change>) {
         let view = self.control.changes(changes);
         for core in 0..self.cores.len() {
@@ -327,24 +330,24 @@
                 continue;
             }
             let event = Event::View(view.clone());
-            let way = Duration::from_millis(WAY);
-            self.at(self.now + way, Happening::Event(core, event));
+            let delay = Duration::from_millis(MAX_DELAY_MS);
+            self.schedule(self.now + delay, Task::Event(core, event));
         }
     }
 
-    /// A reply to a claim: it may be lost, late or doubled.
+    /// Sends a reply to a claim, which may be lost, late or duplicated.
     fn reply(&mut self, core: usize, event: Event) {
         let luck = self.random.random_range(0..100);
         if luck < 30 {
             let late = Duration::from_millis(self.random.random_range(100..8_000));
-            self.at(self.now + late, Happening::Event(core, event.clone()));
+            self.schedule(self.now + late, Task::Event(core, event.clone()));
         }
         if luck >= 10 {
-            self.soon(Happening::Event(core, event));
+            self.schedule_soon(Task::Event(core, event));
         }
     }
 
-    /// Control takes a message.
+    /// Handles a message to control.
     fn commit(&mut self, core: usize, action: Action) {
         match action {
             Action::Claim {
@@ -363,7 +366,7 @@
                 outcome,
             } => {
                 self.control.record(id, &(caller, key), outcome);
-                self.soon(Happening::Event(core, Event::Recorded { id }));
+                self.schedule_soon(Task::Event(core, Event::Recorded { id }));
             }
             Action::Strike {
                 fingerprint,
@@ -377,14 +380,14 @@
                 target,
                 incarnation,
             } => {
-                let life: TargetInstance = (target.clone(), incarnation);
-                let granted = self.control.reserve(life, core);
+                let instance: TargetInstance = (target.clone(), incarnation);
+                let granted = self.control.reserve(instance, core);
                 let event = Event::Reserved {
                     target,
                     incarnation,
                     granted,
                 };
-                self.soon(Happening::Event(core, event));
+                self.schedule_soon(Task::Event(core, event));
             }
             Action::Unreserve {
                 target,
@@ -397,35 +400,35 @@
                     .targets
                     .iter()
                     .any(|fake| fake.name == target && fake.alive);
-                self.soon(Happening::Event(core, Event::Probed { target, connected }));
+                self.schedule_soon(Task::Event(core, Event::Probed { target, connected }));
             }
             Action::RequestView { .. } => {
                 let view = self.control.whole(&self.targets, self.plan.cores);
-                let way = Duration::from_millis(WAY);
-                self.at(self.now + way, Happening::Event(core, Event::View(view)));
+                let delay = Duration::from_millis(MAX_DELAY_MS);
+                self.schedule(self.now + delay, Task::Event(core, Event::View(view)));
             }
             _ => {}
         }
     }
 }
 
-/// The request that an ask stands for.
-fn request(id: CallId, ask: &Ask) -> Request {
+/// Returns the request that the plan describes.
+fn request(id: CallId, planned: &PlannedRequest) -> Request {
     let service = |method: &str| What::Service {
         name: "bids".into(),
         method: method.into(),
     };
-    let what = match ask.kind {
+    let what = match planned.kind {
         Kind::Stream | Kind::Whole | Kind::Poison => "report".parse().map(What::Model),
         Kind::Keyed(_) | Kind::Bare => Ok(service("POST")),
         Kind::Lookup => Ok(service("GET")),
     };
-    let caller = format!("caller-{}", ask.caller);
+    let caller = format!("caller-{}", planned.caller);
     let mut request = Request::new(id, caller, what.expect("a model"));
-    request.class = Some(if ask.urgent { "urgent" } else { "patient" }.into());
-    request.deadline = Some(Duration::from_millis(ask.deadline));
-    request.streaming = ask.kind == Kind::Stream;
-    match ask.kind {
+    request.class = Some(if planned.urgent { "urgent" } else { "patient" }.into());
+    request.deadline = Some(Duration::from_millis(planned.deadline));
+    request.streaming = planned.kind == Kind::Stream;
+    match planned.kind {
         Kind::Poison => request.fingerprint = POISON,
         Kind::Keyed(key) => {
             request.caller = "caller-0".into();
--- a/crates/entry/src/tests/traffic.rs
+++ b/crates/entry/src/tests/targets.rs
@@ -1,17 +1,17 @@
-//! What happens to attempts on the fake targets, and what goes wrong with them.
+//! Attempts on the fake targets, and the disturbances of the fleet.
 
 use cornelhitch_types::id::TargetId;
 use cornelhitch_types::view::State;
 use rand::Rng;
 
-use super::fleet::{AWAY, END, Fleet, Flight, Happening, POISON};
-use super::ledger::Violation;
-use super::outcome::{Step, steps};
-use super::plan::{Kind, Trouble};
+use super::attempt_script::{Step, steps};
+use super::plan::{Disturbance, Kind};
+use super::request_log::Violation;
+use super::simulation::{DOWNTIME, MAX_TIME, POISON, Simulation, Task, WritingAttempt};
 use crate::action::Destination;
 use crate::event::{Attempt, CallId, Event, Failure};
 
-impl Fleet {
+impl Simulation {
     pub(super) fn connect(
         &mut self,
         core: usize,
@@ -20,7 +20,7 @@
         to: Destination,
         resumes: bool,
     ) -> Result<(), Violation> {
-        self.allowed(core, id, &to)?;
+        self.check_open(core, id, &to)?;
         let before = self.sends.get(&(id, attempt - 1));
         let same = resumes && before.is_some_and(|before| *before == to);
         let call = self.cores[core].calls.get(&id);
@@ -31,8 +31,8 @@
         if struck && !same {
             self.suspects.insert((id, attempt));
         }
-        let fake = self.targets.iter().find(|fake| fake.name == to.target);
-        let up = fake.is_some_and(|fake| fake.alive && fake.incarnation == to.incarnation);
+        let target = self.targets.iter().find(|fake| fake.name == to.target);
+        let up = target.is_some_and(|target| target.alive && target.incarnation == to.incarnation);
         self.sends.insert((id, attempt), to);
         let event = if up {
             Event::Sent { id, attempt }
@@ -44,16 +44,17 @@
                 failure,
             }
         };
-        self.soon(Happening::Event(core, event));
+        self.schedule_soon(Task::Event(core, event));
         Ok(())
     }
 
-    /// Nothing goes to a closed target or a retiring replica, as far as the core knows.
-    fn allowed(&self, core: usize, id: CallId, to: &Destination) -> Result<(), Violation> {
+    /// Checks that nothing is sent to a closed target or a retiring replica, as far as the core
+    /// knows.
+    fn check_open(&self, core: usize, id: CallId, to: &Destination) -> Result<(), Violation> {
         let fleet_view = &self.cores[core].fleet_view;
         if !fleet_view.is_open(&to.target, to.incarnation) {
             return Err(format!(
-                "request {id} went to the closed target {}",
+                "request {id} was sent to the closed target {}",
                 to.target
             ));
         }
@@ -61,7 +62,9 @@
             .replica
             .is_some_and(|replica| !fleet_view.is_ready(replica))
         {
-            return Err(format!("request {id} went to a replica that is not ready"));
+            return Err(format!(
+                "request {id} was sent to a replica that is not ready"
+            ));
         }
         Ok(())
     }
@@ -72,20 +75,20 @@
         id: CallId,
         attempt: Attempt,
     ) -> Result<(), Violation> {
-        self.ledger.proceeds(id)?;
+        self.request_log.on_proceed(id)?;
         let Some(to) = self.sends.get(&(id, attempt)).cloned() else {
             return Err(format!("attempt {attempt} of request {id} was never sent"));
         };
-        self.allowed(core, id, &to)?;
-        self.alone(id, attempt, &to.target)?;
-        let ask = self.plan.asks[usize::try_from(id).unwrap_or_default()];
-        let poison = ask.kind == Kind::Poison;
-        let streaming = ask.kind == Kind::Stream;
+        self.check_open(core, id, &to)?;
+        self.check_suspect_alone(id, attempt, &to.target)?;
+        let planned = self.plan.requests[usize::try_from(id).unwrap_or_default()];
+        let poison = planned.kind == Kind::Poison;
+        let streaming = planned.kind == Kind::Stream;
         let up = self
             .targets
             .iter()
             .any(|fake| fake.alive && fake.name == to.target && fake.incarnation == to.incarnation);
-        let flight = Flight {
+        let running = WritingAttempt {
             core,
             id,
             attempt,
@@ -93,32 +96,46 @@
         };
         if !up {
             let step = Step::Fail(Failure::Broken);
-            self.soon(Happening::Step(core, id, attempt, step));
+            self.schedule_soon(Task::Step(core, id, attempt, step));
             return Ok(());
         }
-        self.flights.entry(to.target).or_default().push(flight);
-        for (after, step) in steps(poison, streaming, self.plan.sick, &mut self.random) {
-            let happening = Happening::Step(core, id, attempt, step);
-            self.at(self.now + after, happening);
+        self.in_flight.entry(to.target).or_default().push(running);
+        for (after, step) in steps(
+            poison,
+            streaming,
+            self.plan.failure_percent,
+            &mut self.random,
+        ) {
+            let event = Task::Step(core, id, attempt, step);
+            self.schedule(self.now + after, event);
         }
         Ok(())
     }
 
-    /// At most one suspect runs on a target, over all cores; an answer that is continued counts not.
-    fn alone(&self, id: CallId, attempt: Attempt, target: &TargetId) -> Result<(), Violation> {
-        let flights = self.flights.get(target).into_iter().flatten();
+    /// Checks that at most one suspect runs on a target, over all cores. Resumed responses are
+    /// exempt.
+    fn check_suspect_alone(
+        &self,
+        id: CallId,
+        attempt: Attempt,
+        target: &TargetId,
+    ) -> Result<(), Violation> {
+        let in_flight = self.in_flight.get(target).into_iter().flatten();
         let mut others =
-            flights.filter(|flight| self.suspects.contains(&(flight.id, flight.attempt)));
+            in_flight.filter(|running| self.suspects.contains(&(running.id, running.attempt)));
         if !self.suspects.contains(&(id, attempt)) {
             return Ok(());
         }
         match others.next() {
-            Some(other) => Err(format!("suspects {id} and {} share {target}", other.id)),
+            Some(other) => Err(format!(
+                "suspects {id} and {} run on {target} at the same time",
+                other.id
+            )),
             None => Ok(()),
         }
     }
 
-    /// One step of an attempt; late ones come all the same.
+    /// Carries out one step of an attempt; steps of attempts that are already over still happen.
     pub(super) fn step(
         &mut self,
         core: usize,
@@ -136,18 +153,18 @@
         if !up && !matches!(step, Step::Fail(_)) {
             return Ok(());
         }
-        let flights = self.flights.entry(to.target.clone()).or_default();
-        let known = flights
+        let in_flight = self.in_flight.entry(to.target.clone()).or_default();
+        let known = in_flight
             .iter_mut()
-            .find(|flight| (flight.id, flight.attempt) == (id, attempt));
+            .find(|running| (running.id, running.attempt) == (id, attempt));
         let event = match step {
             Step::Begin => {
-                if let Some(flight) = known {
-                    flight.begun = true;
+                if let Some(running) = known {
+                    running.begun = true;
                 }
                 Event::Begun { id, attempt }
             }
-            Step::Move(offset) => {
+            Step::Progress(offset) => {
                 self.moved(core, id, attempt);
                 Event::Progress {
                     id,
@@ -156,14 +173,14 @@
                 }
             }
             Step::End => {
-                flights.retain(|flight| (flight.id, flight.attempt) != (id, attempt));
-                if let Some(entry) = self.ledger.entries.get_mut(&id) {
-                    entry.whole.insert(attempt);
+                in_flight.retain(|running| (running.id, running.attempt) != (id, attempt));
+                if let Some(record) = self.request_log.records.get_mut(&id) {
+                    record.whole.insert(attempt);
                 }
                 Event::Ended { id, attempt }
             }
             Step::Fail(failure) => {
-                flights.retain(|flight| (flight.id, flight.attempt) != (id, attempt));
+                in_flight.retain(|running| (running.id, running.attempt) != (id, attempt));
                 Event::Failed {
                     id,
                     attempt,
@@ -174,8 +191,8 @@
                 if known.is_none() {
                     return Ok(());
                 }
-                let life = (to.target.clone(), to.incarnation);
-                self.ledger.takes_down(POISON, life)?;
+                let instance = (to.target.clone(), to.incarnation);
+                self.request_log.on_target_lost(POISON, instance)?;
                 let index = self.targets.iter().position(|fake| fake.name == to.target);
                 self.die(index.unwrap_or_default());
                 return Ok(());
@@ -183,81 +200,76 @@
         };
         let doubled = self.random.random_range(0..20) == 0;
         if doubled {
-            self.soon(Happening::Event(core, event.clone()));
+            self.schedule_soon(Task::Event(core, event.clone()));
         }
-        self.tell(core, event)
+        self.deliver(core, event)
     }
 
-    /// Notes that the answer of the attempt in progress moved.
+    /// Records that the response of the attempt in progress advanced.
     fn moved(&mut self, core: usize, id: CallId, attempt: Attempt) {
         let call = self.cores[core].calls.get(&id);
         let current = call.is_some_and(|call| call.run(attempt).is_some());
-        if let Some(entry) = self.ledger.entries.get_mut(&id).filter(|_| current) {
-            entry.moved = entry.moved.map(|_| self.now);
+        if let Some(record) = self.request_log.records.get_mut(&id).filter(|_| current) {
+            record.moved = record.moved.map(|_| self.now);
         }
     }
 
-    /// A target dies with everything on it, and comes back in another life.
+    /// Kills a target with everything on it; it restarts with a new incarnation.
     fn die(&mut self, index: usize) {
-        let fake = &mut self.targets[index];
-        if !fake.alive {
+        let target = &mut self.targets[index];
+        if !target.alive {
             return;
         }
-        fake.alive = false;
-        fake.open = false;
-        fake.incarnation += 1;
-        let name = fake.name.clone();
-        for flight in self.flights.remove(&name).unwrap_or_default() {
-            let failure = if flight.begun {
+        target.alive = false;
+        target.open = false;
+        target.incarnation += 1;
+        let name = target.name.clone();
+        for running in self.in_flight.remove(&name).unwrap_or_default() {
+            let failure = if running.begun {
                 Failure::Truncated
             } else {
                 Failure::Broken
             };
             let step = Step::Fail(failure);
-            self.soon(Happening::Step(
-                flight.core,
-                flight.id,
-                flight.attempt,
-                step,
-            ));
+            self.schedule_soon(Task::Step(running.core, running.id, running.attempt, step));
         }
-        self.at(self.now + AWAY, Happening::Back(index));
+        self.schedule(self.now + DOWNTIME, Task::Restart(index));
     }
 
-    pub(super) fn trouble(&mut self, trouble: Trouble) -> Result<(), Violation> {
+    pub(super) fn disturbance(&mut self, disturbance: Disturbance) -> Result<(), Violation> {
         let (cores, targets) = (self.plan.cores, self.plan.targets);
-        match trouble {
-            Trouble::Death(index) => {
+        match disturbance {
+            Disturbance::Death(index) => {
                 self.die(index % targets);
                 Ok(())
             }
-            Trouble::Leave(index) => {
+            Disturbance::Leave(index) => {
                 self.targets[index % targets].open = false;
                 self.publish(index % targets);
-                self.at(self.now + AWAY, Happening::Back(index % targets));
+                self.schedule(self.now + DOWNTIME, Task::Restart(index % targets));
                 Ok(())
             }
-            Trouble::Retire(index) => {
-                let fake = &mut self.targets[index % targets];
-                fake.state = State::Retiring;
+            Disturbance::Retire(index) => {
+                let target = &mut self.targets[index % targets];
+                target.state = State::Retiring;
                 self.publish(index % targets);
                 self.targets[index % targets].replica += 100;
                 self.targets[index % targets].state = State::Ready;
-                self.at(self.now + AWAY, Happening::Back(index % targets));
+                self.schedule(self.now + DOWNTIME, Task::Restart(index % targets));
                 Ok(())
             }
-            Trouble::Isolated(core) => {
+            Disturbance::Isolated(core) => {
                 let core = core % cores;
                 self.cores[core].lease = crate::lease::Lease::default();
                 let lease = Event::Lease {
-                    until: END,
+                    until: MAX_TIME,
                     version: 1,
                 };
-                self.at(self.now + AWAY, Happening::Event(core, lease));
+                self.schedule(self.now + DOWNTIME, Task::Event(core, lease));
                 Ok(())
             }
-            Trouble::Drain(core) => self.tell(core % cores, Event::Drain),
-            Trouble::LostView(core) => {
+            Disturbance::Drain(core) => self.deliver(core % cores, Event::Drain),
+            Disturbance::LostView(core) => {
                 self.lost_views[core % cores] = true;
                 Ok(())
             }
--- a/crates/entry/tests/absent.rs
+++ b/crates/entry/tests/absent.rs
@@ -1,4 +1,4 @@
-//! Requests that nothing will ever answer are refused at once.
+//! Requests that no replica will ever be able to serve are refused at once.
 
 use std::time::Duration;
 
@@ -14,18 +14,18 @@
   - { name: old, bytes: 1000, group: scripts }
 ";
 
-/// One request, what is held, and the refusal that comes at once, if any.
+/// A requested model, a replica that exists, and the refusal, if any.
 struct Row {
     name: &'static str,
     asked: &'static str,
-    /// The model and version of a replica that is there.
+    /// The model and version of the existing replica.
     held: Option<(&'static str, Option<&'static str>)>,
     refused: Option<Reason>,
 }
 
 #[test]
 #[rustfmt::skip]
-fn what_nothing_will_answer_is_refused_at_once() {
+fn unservable_requests_are_refused_at_once() {
     let rows = [
         Row { name: "managed, nothing held", asked: "report", held: None, refused: None },
         Row { name: "the version in force", asked: "report@3", held: None, refused: None },
@@ -48,7 +48,7 @@
     }
 }
 
-/// A core with settings, a lease and perhaps a replica that is loading.
+/// Creates a core with settings, a lease and possibly a replica that is loading.
 fn core(held: Option<(&str, Option<&str>)>) -> Core {
     let mut core = Core::new(Config::new(1), Time::ZERO);
     let mut changes = vec![Change::Settings(1, SETTINGS.into())];
--- a/crates/entry/tests/affinity.rs
+++ b/crates/entry/tests/affinity.rs
@@ -1,10 +1,10 @@
-//! Cache events that come late, doubled and with gaps.
+//! Prefix caches with cache events that are late, duplicated or lost.
 
 use cornelhitch_entry::affinity::PrefixCaches;
 use cornelhitch_types::target::CacheEvent;
 use proptest::prelude::*;
 
-/// An event of the one prefix that the rows look at, or of another one.
+/// Returns an event for a prefix of model `report`.
 fn event(sequence: u64, prefix: u64, held: bool) -> CacheEvent {
     CacheEvent {
         sequence,
@@ -14,7 +14,7 @@
     }
 }
 
-/// Events in the order of their coming, and how many of the two blocks 8, 9 are believed held.
+/// Events in order of arrival, and how many of the two blocks 8 and 9 are expected to be held.
 #[rustfmt::skip]
 fn rows() -> Vec<(&'static str, Vec<CacheEvent>, f64)> {
     vec![
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_order_of_events_is_believed_as_the_table_says() {
+fn cache_events_in_any_order_give_the_expected_blocks() {
     for (name, events, expected) in rows() {
         let mut caches = PrefixCaches::default();
         caches.apply(&"w1".into(), events);
@@ -57,7 +57,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_order_of_coming_does_not_change_what_is_held(
+    fn the_order_of_arrival_does_not_change_what_is_held(
         held in proptest::collection::vec(any::<bool>(), 1..20),
         seed in any::<prop::sample::Index>(),
     ) {
--- a/crates/entry/tests/core.rs
+++ b/crates/entry/tests/core.rs
@@ -1,4 +1,4 @@
-//! The main paths through a core, one event at a time.
+//! The main request paths through a core, one event at a time.
 
 use std::time::Duration;
 
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_idle_model_is_reported_loaded_and_answers() {
+fn a_request_for_an_idle_model_triggers_a_load_and_is_answered() {
     let mut core = core();
     let actions = core.handle(Event::Arrived(report(7)), at(10));
     assert_eq!(actions, [Action::Report]);
@@ -175,14 +175,14 @@
 }
 
 #[test]
-fn a_host_without_a_lease_names_others() {
+fn a_host_without_a_lease_refuses_requests() {
     let mut core = Core::new(Config::new(1), at(0));
     let actions = core.handle(Event::Arrived(report(1)), at(0));
     assert_eq!(refused(&actions), Some((Reason::Isolated, Run::NotRun)));
 }
 
 #[test]
-fn a_dump_can_be_written_as_json() {
+fn the_dump_serializes_to_json() {
     let mut core = core();
     core.handle(Event::Arrived(report(7)), at(10));
     let text = serde_json::to_string(&core.dump()).expect("a dump");
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_load_that_takes_too_long_is_told_at_once() {
+fn a_request_that_cannot_wait_for_a_load_is_refused_at_once() {
     let mut core = core();
     let changes = vec![target("w1", &[]), replica(4, "w1", State::Loading)];
     core.handle(view(1, 2, changes), at(0));
@@ -201,7 +201,7 @@
         panic!("{actions:?}");
     };
     assert_eq!((refusal.reason, refusal.run), (Reason::Late, Run::NotRun));
-    // The replica is ready 3.9 s after the request came.
+    // The replica is ready 3.9 s after the request arrived.
     assert_eq!(refusal.retry_after, Some(at(3_900)));
     let mut patient = report(8);
     patient.deadline = Some(at(9_000));
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_struck_fingerprint_is_refused_until_an_operator_releases_it() {
+fn a_quarantined_fingerprint_is_refused_until_an_operator_releases_it() {
     let mut core = core();
     let ready = vec![target("w1", &[]), replica(4, "w1", State::Ready)];
     core.handle(view(1, 2, ready), at(0));
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn classes_go_before_one_another_and_the_last_is_shed() {
+fn a_full_queue_sheds_the_request_that_is_last_in_turn() {
     let settings = SETTINGS.to_owned() + "refusing: { queue: 2 }\n";
     let mut core = core();
     core.handle(
@@ -249,7 +249,7 @@
     };
     assert_eq!(ask(1, "review", 1), None);
     assert_eq!(ask(2, "review", 2), None);
-    // The later review goes, not the preview that came last.
+    // The later review request is shed, not the preview request that arrived last.
     assert_eq!(ask(3, "preview", 3), Some((2, Reason::Overloaded)));
     assert_eq!(ask(4, "preview", 4), Some((1, Reason::Overloaded)));
     assert_eq!(ask(5, "none", 5), Some((5, Reason::Malformed)));
--- a/crates/entry/tests/entries.rs
+++ b/crates/entry/tests/entries.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when it asks where to connect.
+//! The entry hosts that a caller is told to connect to.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,6 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// How long an answer may be kept.
 const MAX_AGE: Duration = Duration::from_secs(10);
 
 fn address(host: u64) -> SocketAddr {
@@ -19,7 +18,7 @@
     )
 }
 
-/// A host of one of three regions with two zones each.
+/// Returns a host in one of three regions with two zones each.
 fn host(host: u64, load: u32, draining: bool) -> Host {
     let (region, zone) = (host % 3, host % 6);
     Host {
@@ -34,7 +33,7 @@
     }
 }
 
-fn whence() -> Whence {
+fn location() -> Whence {
     Whence {
         region: "r0".into(),
         zone: "z0".into(),
@@ -51,7 +50,7 @@
     ) {
         let hosts: Vec<Host> = (0..).zip(hosts).map(|(id, (load, draining))| host(id, load, draining)).collect();
         let known: Vec<&Host> = hosts.iter().collect();
-        let answer = answer(&known, &whence(), MAX_AGE, &mut SmallRng::seed_from_u64(seed));
+        let answer = answer(&known, &location(), MAX_AGE, &mut SmallRng::seed_from_u64(seed));
         let open = hosts.iter().filter(|host| !host.draining).count();
         prop_assert_eq!(answer.addresses.len(), open.min(4));
         prop_assert!(answer.max_age <= MAX_AGE && answer.max_age >= MAX_AGE.mul_f64(0.7));
@@ -71,7 +70,7 @@
 }
 
 #[test]
-fn callers_are_spread_and_the_busy_host_leads_seldom() {
+fn callers_are_spread_and_a_busy_host_never_leads() {
     let hosts: Vec<Host> = (0..9)
         .map(|id| host(id, if id == 3 { 500 } else { 10 }, false))
         .collect();
@@ -79,11 +78,12 @@
     let mut random = SmallRng::seed_from_u64(1);
     let mut leads = [0_u32; 9];
     for _ in 0..900 {
-        let first = answer(&known, &whence(), MAX_AGE, &mut random).addresses[0];
+        let first = answer(&known, &location(), MAX_AGE, &mut random).addresses[0];
         let index = hosts.iter().position(|host| host.address == first);
         leads[index.expect("a known host")] += 1;
     }
-    // Two choices among three hosts of the region: the busy one never leads.
+    // Each answer picks the less busy of two out of three hosts in the region, so the busy one
+    // never leads.
     assert_eq!(leads[3], 0, "{leads:?}");
     assert!(leads[0] > 200 && leads[6] > 200, "{leads:?}");
 }
--- a/crates/entry/tests/faults.rs
+++ b/crates/entry/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Fault tables: what goes wrong with an attempt, a claim or the way to control, and what follows.
+//! Tables of failures of attempts, claims and control, and how a core handles them.
 
 use std::time::Duration;
 
@@ -18,81 +18,80 @@
 services: [{ name: bids }]
 ";
 
-/// How far an attempt has come when it fails.
+/// How far an attempt has got when it fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Reach {
+enum Progress {
     Unsent,
     Sent,
     Begun,
 }
-use Reach::{Begun, Sent, Unsent};
+use Progress::{Begun, Sent, Unsent};
 
-/// What a request asks for.
+/// The kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ask {
+enum RequestKind {
     Model,
     Lookup,
     Bid,
 }
-use Ask::{Bid, Lookup, Model};
+use RequestKind::{Bid, Lookup, Model};
 
-/// What follows.
+/// How a core handles a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Then {
-    /// Another attempt, from the beginning.
-    Again,
-    /// Another attempt that continues from what the caller has.
+enum Handling {
+    /// Another attempt from the beginning.
+    Retry,
+    /// Another attempt that resumes after what the caller has.
     Resume,
     /// A refusal.
     Refused(Reason, Run),
-    /// An error at the end of an answer that had begun.
+    /// An error that ends a response that had begun.
     Broken,
 }
-use Then::{Again, Refused, Resume};
+use Handling::{Refused, Resume, Retry};
 
-const UNKNOWN: Then = Refused(Reason::TargetFailed, Run::Unknown);
+const UNKNOWN: Handling = Refused(Reason::TargetFailed, Run::Unknown);
 
-/// What is asked, how far it has come, how it fails, and what follows.
+/// The kind of request, how far it got, how it fails, and what follows.
 #[rustfmt::skip]
-const ATTEMPTS: [(Ask, Reach, Failure, Then); 33] = [
-    (Model,  Unsent, Connect,   Again),
-    (Model,  Unsent, Refused_,  Again),
-    (Model,  Sent,   Connect,   Again),
-    (Model,  Sent,   Refused_,  Again),
-    (Model,  Sent,   Broken,    Again),
-    (Model,  Sent,   Crossed,   Again),
-    (Model,  Sent,   Truncated, Again),
-    (Model,  Sent,   Status,    Again),
+const FAILURE_TABLE: [(RequestKind, Progress, Failure, Handling); 33] = [
+    (Model,  Unsent, Connect,   Retry),
+    (Model,  Unsent, DECLINED,  Retry),
+    (Model,  Sent,   Connect,   Retry),
+    (Model,  Sent,   DECLINED,  Retry),
+    (Model,  Sent,   Broken,    Retry),
+    (Model,  Sent,   Crossed,   Retry),
+    (Model,  Sent,   Truncated, Retry),
+    (Model,  Sent,   Status,    Retry),
     (Model,  Begun,  Broken,    Resume),
     (Model,  Begun,  Crossed,   Resume),
     (Model,  Begun,  Truncated, Resume),
     (Model,  Begun,  Status,    Resume),
-    (Model,  Begun,  Refused_,  Resume),
-    (Lookup, Unsent, Connect,   Again),
-    (Lookup, Sent,   Broken,    Again),
-    (Lookup, Sent,   Crossed,   Again),
-    (Lookup, Sent,   Truncated, Again),
-    (Lookup, Sent,   Status,    Again),
-    (Lookup, Begun,  Truncated, Then::Broken),
-    (Lookup, Begun,  Crossed,   Then::Broken),
-    (Bid,    Unsent, Connect,   Again),
-    (Bid,    Unsent, Refused_,  Again),
-    (Bid,    Unsent, Broken,    Again),
+    (Model,  Begun,  DECLINED,  Resume),
+    (Lookup, Unsent, Connect,   Retry),
+    (Lookup, Sent,   Broken,    Retry),
+    (Lookup, Sent,   Crossed,   Retry),
+    (Lookup, Sent,   Truncated, Retry),
+    (Lookup, Sent,   Status,    Retry),
+    (Lookup, Begun,  Truncated, Handling::Broken),
+    (Lookup, Begun,  Crossed,   Handling::Broken),
+    (Bid,    Unsent, Connect,   Retry),
+    (Bid,    Unsent, DECLINED,  Retry),
+    (Bid,    Unsent, Broken,    Retry),
     (Bid,    Sent,   Connect,   UNKNOWN),
-    (Bid,    Sent,   Refused_,  UNKNOWN),
+    (Bid,    Sent,   DECLINED,  UNKNOWN),
     (Bid,    Sent,   Broken,    UNKNOWN),
     (Bid,    Sent,   Crossed,   UNKNOWN),
     (Bid,    Sent,   Truncated, UNKNOWN),
     (Bid,    Sent,   Status,    UNKNOWN),
-    (Bid,    Begun,  Truncated, Then::Broken),
-    (Bid,    Begun,  Crossed,   Then::Broken),
-    (Bid,    Begun,  Broken,    Then::Broken),
-    (Bid,    Begun,  Status,    Then::Broken),
+    (Bid,    Begun,  Truncated, Handling::Broken),
+    (Bid,    Begun,  Crossed,   Handling::Broken),
+    (Bid,    Begun,  Broken,    Handling::Broken),
+    (Bid,    Begun,  Status,    Handling::Broken),
 ];
 
-/// The failure that shares its name with an outcome of the tables.
-#[allow(non_upper_case_globals)]
-const Refused_: Failure = Failure::Refused;
+/// An alias, since the plain name is taken by an outcome in the tables.
+const DECLINED: Failure = Failure::Refused;
 
 fn at(ms: u64) -> Time {
     Duration::from_millis(ms)
@@ -125,7 +124,7 @@
     })
 }
 
-/// A core before two targets, each with a replica and the service.
+/// Creates a core with two targets, each with a replica and the service.
 fn core() -> Core {
     let mut core = Core::new(Config::new(1), at(0));
     let changes = vec![
@@ -152,38 +151,38 @@
     core.handle(Event::View(view), at(0))
 }
 
-fn request(id: u64, ask: Ask) -> Request {
+fn request(id: u64, kind: RequestKind) -> Request {
     let service = |method: &str| What::Service {
         name: "bids".into(),
         method: method.into(),
     };
-    let what = match ask {
+    let what = match kind {
         Model => What::Model(Reference::base("report")),
         Lookup => service("GET"),
         Bid => service("POST"),
     };
     let mut request = Request::new(id, "dealer", what);
-    request.streaming = ask == Model;
+    request.streaming = kind == Model;
     request.deadline = Some(at(10_000));
     request
 }
 
-/// What the actions say of a request, if anything.
-fn then(actions: &[Action]) -> Option<Then> {
+/// Returns how the actions handle the request, if they do.
+fn handling(actions: &[Action]) -> Option<Handling> {
     actions.iter().find_map(|action| match action {
-        Action::Send { resume: None, .. } => Some(Again),
+        Action::Send { resume: None, .. } => Some(Retry),
         Action::Send {
             resume: Some(_), ..
         } => Some(Resume),
         Action::Refuse { refusal, .. } => Some(Refused(refusal.reason, refusal.run)),
-        Action::StreamError { .. } => Some(Then::Broken),
+        Action::StreamError { .. } => Some(Handling::Broken),
         _ => None,
     })
 }
 
-/// Wakes the core until it does something for the request.
-fn wait(core: &mut Core, mut actions: Vec<Action>) -> Option<Then> {
-    while then(&actions).is_none() {
+/// Grants reservations and wakes the core until it handles the request.
+fn run_until_handled(core: &mut Core, mut actions: Vec<Action>) -> Option<Handling> {
+    while handling(&actions).is_none() {
         let wake = core.next_wake()?;
         actions = core.handle(Event::Tick, wake);
         let grants = actions.iter().filter_map(|action| match action {
@@ -203,20 +202,20 @@
             actions.extend(core.handle(event, wake));
         }
     }
-    then(&actions)
+    handling(&actions)
 }
 
 #[test]
-fn each_failure_of_an_attempt_leads_where_the_table_says() {
-    for row @ (ask, reach, failure, expected) in ATTEMPTS {
+fn each_failure_is_handled_as_the_table_says() {
+    for row @ (kind, progress, failure, expected) in FAILURE_TABLE {
         let mut core = core();
         let (id, attempt) = (7, 1);
-        let actions = core.handle(Event::Arrived(request(id, ask)), at(1));
-        assert_eq!(then(&actions), Some(Again), "{row:?}");
-        if reach != Unsent {
+        let actions = core.handle(Event::Arrived(request(id, kind)), at(1));
+        assert_eq!(handling(&actions), Some(Retry), "{row:?}");
+        if progress != Unsent {
             core.handle(Event::Sent { id, attempt }, at(2));
         }
-        if reach == Begun {
+        if progress == Begun {
             core.handle(Event::Begun { id, attempt }, at(3));
             let offset = 5;
             core.handle(
@@ -249,15 +248,19 @@
                 actions.extend(core.handle(event, at(6)));
             }
         }
-        assert_eq!(wait(&mut core, actions), Some(expected), "{row:?}");
+        assert_eq!(
+            run_until_handled(&mut core, actions),
+            Some(expected),
+            "{row:?}"
+        );
     }
 }
 
-/// What control answers to a claim, and what the caller gets.
+/// Control's reply to a claim, and what the caller gets.
 #[rustfmt::skip]
-fn claims() -> Vec<(Reply, Option<Then>)> {
+fn claim_table() -> Vec<(Reply, Option<Handling>)> {
     vec![
-        (Reply::Granted,                       Some(Again)),
+        (Reply::Granted,                       Some(Retry)),
         (Reply::InProgress,                    Some(Refused(Reason::InProgress, Run::Unknown))),
         (Reply::Unknown,                       Some(UNKNOWN)),
         (Reply::Mismatch,                      Some(Refused(Reason::Mismatch, Run::NotRun))),
@@ -274,8 +277,8 @@
 }
 
 #[test]
-fn each_reply_to_a_claim_leads_where_the_table_says() {
-    for (reply, expected) in claims() {
+fn each_claim_reply_is_handled_as_the_table_says() {
+    for (reply, expected) in claim_table() {
         let mut core = core();
         let id = 7;
         let actions = core.handle(Event::Arrived(keyed(id)), at(1));
@@ -288,7 +291,7 @@
             reply: reply.clone(),
         };
         let actions = core.handle(claimed, at(2));
-        assert_eq!(then(&actions), expected, "{reply:?}");
+        assert_eq!(handling(&actions), expected, "{reply:?}");
         let replays = actions
             .iter()
             .any(|action| matches!(action, Action::Replay { .. }));
@@ -306,26 +309,29 @@
 }
 
 #[test]
-fn a_grant_that_comes_after_the_refusal_is_given_back_each_time() {
+fn late_grants_are_released_each_time() {
     let mut core = core();
     let id = 7;
     core.handle(Event::Arrived(keyed(id)), at(1));
     let actions = core.handle(Event::Tick, at(10_000));
-    assert_eq!(then(&actions), Some(Refused(Reason::Expired, Run::NotRun)));
+    assert_eq!(
+        handling(&actions),
+        Some(Refused(Reason::Expired, Run::NotRun))
+    );
     assert!(releases(&actions));
     core.handle(Event::Recorded { id }, at(10_050));
     for ms in [10_100, 10_200] {
         let reply = Reply::Granted;
         let actions = core.handle(Event::Claimed { id, reply }, at(ms));
         assert!(
-            releases(&actions) && then(&actions).is_none(),
+            releases(&actions) && handling(&actions).is_none(),
             "{actions:?}"
         );
     }
 }
 
 #[test]
-fn a_bid_goes_on_after_its_deadline_so_that_its_outcome_is_recorded() {
+fn an_unrepeatable_request_runs_past_its_deadline_to_record_its_outcome() {
     let mut core = core();
     let (id, attempt) = (7, 1);
     core.handle(Event::Arrived(keyed(id)), at(1));
@@ -333,7 +339,10 @@
     core.handle(Event::Claimed { id, reply }, at(2));
     core.handle(Event::Sent { id, attempt }, at(3));
     let actions = core.handle(Event::Tick, at(10_001));
-    assert_eq!(then(&actions), Some(Refused(Reason::Expired, Run::Unknown)));
+    assert_eq!(
+        handling(&actions),
+        Some(Refused(Reason::Expired, Run::Unknown))
+    );
     assert!(
         !actions
             .iter()
@@ -349,7 +358,7 @@
 }
 
 #[test]
-fn an_answer_at_the_wrong_time_reaches_nobody() {
+fn events_of_old_attempts_are_ignored() {
     let mut core = core();
     let id = 7;
     core.handle(Event::Arrived(request(id, Model)), at(1));
@@ -388,7 +397,7 @@
 }
 
 #[test]
-fn a_gap_in_the_view_asks_for_the_whole_and_bad_settings_are_reported() {
+fn a_view_gap_requests_the_complete_view_and_invalid_settings_are_reported() {
     let mut core = core();
     let actions = view(&mut core, 5, 6, Vec::new());
     assert_eq!(actions, [Action::RequestView { from: 1 }]);
@@ -400,11 +409,11 @@
     );
     assert_eq!(core.settings(), 1);
     assert!(view(&mut core, 0, 1, Vec::new()).is_empty());
-    assert!(then(&core.handle(Event::Arrived(request(9, Model)), at(9))).is_some());
+    assert!(handling(&core.handle(Event::Arrived(request(9, Model)), at(9))).is_some());
 }
 
 #[test]
-fn a_target_that_closes_while_it_is_connected_to_gets_no_byte() {
+fn a_target_that_closes_during_connect_receives_no_request() {
     let mut core = core();
     let (id, attempt) = (7, 1);
     let actions = core.handle(Event::Arrived(request(id, Bid)), at(1));
@@ -414,17 +423,17 @@
     view(&mut core, 1, 2, vec![Change::TargetGone(to.target.clone())]);
     let actions = core.handle(Event::Sent { id, attempt }, at(2));
     assert!(matches!(actions[0], Action::Cancel { .. }), "{actions:?}");
-    assert_eq!(then(&actions), Some(Again));
+    assert_eq!(handling(&actions), Some(Retry));
 }
 
 #[test]
-fn a_drain_serves_for_the_max_age_then_closes_and_ends_when_all_has_ended() {
+fn a_draining_host_accepts_requests_for_max_age_and_ends_after_the_last_one() {
     let mut core = core();
     let (id, attempt) = (7, 1);
     assert!(core.handle(Event::Drain, at(0)).is_empty());
     assert!(core.draining());
     let actions = core.handle(Event::Arrived(request(id, Model)), at(9_000));
-    assert_eq!(then(&actions), Some(Again));
+    assert_eq!(handling(&actions), Some(Retry));
     core.handle(Event::Sent { id, attempt }, at(9_001));
     core.handle(Event::Begun { id, attempt }, at(9_002));
     assert_eq!(
@@ -432,7 +441,10 @@
         [Action::CloseListener]
     );
     let actions = core.handle(Event::Arrived(request(8, Model)), at(10_001));
-    assert_eq!(then(&actions), Some(Refused(Reason::Draining, Run::NotRun)));
+    assert_eq!(
+        handling(&actions),
+        Some(Refused(Reason::Draining, Run::NotRun))
+    );
     let actions = core.handle(Event::Ended { id, attempt }, at(12_000));
     assert_eq!(actions, [Action::Finish { id, attempt }, Action::Drained]);
 }
--- a/crates/entry/tests/outlook.rs
+++ b/crates/entry/tests/outlook.rs
@@ -1,4 +1,4 @@
-//! Requests for models that no target has near, or that are being loaded.
+//! Requests for models that no target has stored nearby, or that are being loaded.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const SETTINGS: &str = "models: [{ name: report, bytes: 1000 }]";
 
-/// A core with settings and a lease.
+/// Creates a core with settings and a lease.
 fn core() -> Core {
     let mut core = Core::new(Config::new(1), Time::ZERO);
     view(&mut core, 0, vec![Change::Settings(1, SETTINGS.into())]);
@@ -18,7 +18,7 @@
     core
 }
 
-/// Publishes changes after the view at `from`.
+/// Publishes changes that follow the view at `from`.
 fn view(core: &mut Core, from: u64, changes: Vec<Change>) -> Vec<Action> {
     let view = View {
         term: 1,
@@ -29,7 +29,7 @@
     core.handle(Event::View(view), Time::from_millis(10))
 }
 
-/// A request that waits for 4 s at most arrives.
+/// Sends a request with a deadline of 4 s.
 fn arrive(core: &mut Core, id: u64) -> Vec<Action> {
     let what = What::Model("report".parse().expect("a reference"));
     let mut request = Request::new(id, "dealer", what);
@@ -37,7 +37,7 @@
     core.handle(Event::Arrived(request), Time::from_millis(20))
 }
 
-/// The refusal among some actions.
+/// Returns the first refusal among the actions.
 fn refusal(actions: &[Action]) -> Option<&Refusal> {
     actions.iter().find_map(|action| match action {
         Action::Refuse { refusal, .. } => Some(refusal),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_request_that_only_the_store_could_serve_too_late_is_refused_at_once() {
+fn a_request_is_refused_at_once_if_a_load_from_the_store_takes_too_long() {
     let mut core = core();
     view(&mut core, 1, vec![Change::Outlook("report".into(), 10_200)]);
     let actions = arrive(&mut core, 7);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_request_that_waits_is_refused_once_nothing_can_come_in_time() {
+fn a_waiting_request_is_refused_once_the_load_cannot_finish_in_time() {
     let mut core = core();
     assert!(refusal(&arrive(&mut core, 7)).is_none());
     view(&mut core, 1, vec![loading(10_200)]);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_model_that_came_near_is_waited_for_again() {
+fn requests_wait_again_once_a_model_is_stored_nearby() {
     let mut core = core();
     view(&mut core, 1, vec![Change::Outlook("report".into(), 10_200)]);
     assert!(refusal(&arrive(&mut core, 7)).is_some());
@@ -94,9 +94,9 @@
     assert!(refusal(&arrive(&mut core, 8)).is_none());
 }
 
-/// A refused request is demand all the same: control fetches the model for those to come.
+/// Control loads the model for later requests, so a refused one must count as well.
 #[test]
-fn a_refused_request_is_reported() {
+fn a_refused_request_counts_as_demand() {
     let mut core = core();
     view(&mut core, 1, vec![Change::Outlook("report".into(), 10_200)]);
     arrive(&mut core, 7);
--- a/crates/entry/tests/preferred.rs
+++ b/crates/entry/tests/preferred.rs
@@ -1,4 +1,4 @@
-//! Which replica gets prompts that share their first parts, over several entry hosts.
+//! Routing of prompts that share their first part, over several entry hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,17 +11,17 @@
 
 const SETTINGS: &str = "models: [{ name: report, bytes: 1000 }]";
 
-/// Entry hosts, replicas, shared parts, and requests of each host for each part.
+/// Numbers of entry hosts, replicas, shared prompt parts, and requests of each host for each part.
 const HOSTS: u64 = 8;
 const REPLICAS: u64 = 4;
 const PARTS: u64 = 24;
 const REQUESTS: u64 = 3;
 
-/// Tokens of a shared part and of a whole prompt.
+/// Number of tokens of a shared part, and of a whole prompt.
 const SHARED: u32 = 6_300;
 const WHOLE: u32 = 9_190;
 
-/// A replica on a worker of its own.
+/// Returns a replica on a worker of its own.
 fn replica(number: u64) -> [Change; 2] {
     let name = format!("w{number}");
     let target = Target {
@@ -48,7 +48,7 @@
     [Change::Target(target), Change::Replica(replica)]
 }
 
-/// A host that knows some replicas, listed from one of them on.
+/// Creates a host that knows these replicas, in an order that depends on its number.
 fn host(number: u64, replicas: &[u64]) -> Core {
     let config = Config::new(number).place("perth", "a").seed(number);
     let mut core = Core::new(config, Time::ZERO);
@@ -69,7 +69,7 @@
     core
 }
 
-/// Sends a request with a shared part, lets it be answered, and returns the target.
+/// Sends and answers a request with a shared part; returns its target.
 fn send(core: &mut Core, id: u64, part: u64) -> String {
     let what = What::Model("report".parse().expect("a reference"));
     let mut request = Request::new(id, "dealer", what);
@@ -96,7 +96,7 @@
     sent.expect("a send")
 }
 
-/// The targets of each shared part.
+/// Returns the targets that each shared part was sent to.
 fn targets(hosts: &mut [Core]) -> BTreeMap<u64, BTreeSet<String>> {
     let mut targets: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
     let mut id = 0;
@@ -112,8 +112,8 @@
     targets
 }
 
-/// The load is that of a busy model: many shared parts, few requests of each at any one host. Where
-/// each host chose for itself, every worker would have to read every part, more than it can keep.
+/// Guards against hosts that choose independently: with many shared parts and few requests for each
+/// part at any one host, every worker would prefill every part, more than its cache can hold.
 #[test]
 fn hosts_send_prompts_that_share_a_part_to_the_same_replica() {
     let all: Vec<u64> = (1..=REPLICAS).collect();
@@ -126,9 +126,8 @@
     assert_eq!(used.len() as u64, REPLICAS, "every replica gets some parts");
 }
 
-/// When a replica is gone, only its own parts move.
 #[test]
-fn few_parts_move_when_a_replica_goes() {
+fn only_the_parts_of_a_removed_replica_move() {
     let with: Vec<u64> = (1..=REPLICAS).collect();
     let before = targets(&mut [host(1, &with)]);
     let after = targets(&mut [host(1, &with[1..])]);
--- a/crates/entry/tests/repeats/judge.rs
+++ b/crates/entry/tests/repeats/budget_checker.rs
@@ -1,47 +1,49 @@
-//! Whether the repeats that targets saw are within what all entry hosts may make together.
+//! Checks the retries that targets received against the budget of all entry hosts together.
 
 use std::collections::BTreeMap;
 
 use cornelhitch_types::id::Time;
 
-/// The window over which repeats are counted; it slides.
+/// The sliding window over which retries are counted.
 pub const WINDOW: Time = Time::from_secs(10);
-/// Repeats that each request of a service allows.
+/// Retries allowed per request of a service.
 pub const RATIO: f64 = 0.2;
-/// Repeats that are allowed besides.
+/// Additional retries allowed per window.
 pub const SLACK: u32 = 58;
 
-/// What was seen of one service.
+/// What was observed for one service.
 #[derive(Debug, Default)]
-struct Seen {
+struct Observed {
     requests: Vec<Time>,
     repeats: Vec<Time>,
 }
 
-/// What was seen of all services.
+/// Checks the retries of all services.
 #[derive(Debug, Default)]
-pub struct Judge(BTreeMap<&'static str, Seen>);
+pub struct BudgetChecker(BTreeMap<&'static str, Observed>);
 
-impl Judge {
-    /// A caller sent a request.
+impl BudgetChecker {
+    /// Records a request that a caller sent.
     pub fn request(&mut self, service: &'static str, at: Time) {
         self.0.entry(service).or_default().requests.push(at);
     }
 
-    /// A target got a request that a target had got before.
+    /// Records that a target received a request that some target had received before.
     pub fn repeat(&mut self, service: &'static str, at: Time) {
         self.0.entry(service).or_default().repeats.push(at);
     }
 
-    /// Repeats of a service so far.
+    /// Returns the number of retries of a service so far.
     pub fn repeats(&self, service: &str) -> usize {
-        self.0.get(service).map_or(0, |seen| seen.repeats.len())
+        self.0
+            .get(service)
+            .map_or(0, |observed| observed.repeats.len())
     }
 
-    /// The worst window of each service that is over its budget, in words.
-    pub fn faults(&self) -> Vec<String> {
-        let worst = self.0.iter().filter_map(|(service, seen)| {
-            let windows = seen.repeats.iter().map(|from| seen.window(*from));
+    /// Returns a description of the worst window of each service that exceeds its budget.
+    pub fn violations(&self) -> Vec<String> {
+        let worst = self.0.iter().filter_map(|(service, observed)| {
+            let windows = observed.repeats.iter().map(|from| observed.window(*from));
             let over = windows.filter(|window| f64::from(window.repeats) > window.allowed);
             let worst = over.max_by_key(|window| window.repeats)?;
             Some(format!("{service}: {worst:?}"))
@@ -59,9 +61,9 @@
     allowed: f64,
 }
 
-impl Seen {
-    /// The window that begins at a time. Requests count in it, in the one before and in the one half a
-    /// window before, whichever has most.
+impl Observed {
+    /// Returns the window that begins at `from`. Its allowance is based on the largest number of
+    /// requests in this window, the one before and the one half a window earlier.
     fn window(&self, from: Time) -> Window {
         let starts = [
             from,
@@ -78,7 +80,7 @@
     }
 }
 
-/// How many times lie in the window that begins at a time.
+/// Returns how many times lie in the window that begins at `from`.
 fn count(times: &[Time], from: Time) -> u32 {
     let in_it = times
         .iter()
@@ -87,15 +89,20 @@
 }
 
 #[test]
-fn the_judge_finds_one_repeat_too_many() {
+fn the_checker_detects_one_retry_too_many() {
     for (more, broken) in [(0, false), (1, true)] {
-        let mut judge = Judge::default();
+        let mut checker = BudgetChecker::default();
         for at in 0..100 {
-            judge.request("booking", Time::from_millis(at * 99));
+            checker.request("booking", Time::from_millis(at * 99));
         }
         for at in 0..u64::from(SLACK) + 20 + more {
-            judge.repeat("booking", Time::from_secs(2) + Time::from_millis(at));
+            checker.repeat("booking", Time::from_secs(2) + Time::from_millis(at));
         }
-        assert_eq!(!judge.faults().is_empty(), broken, "{:?}", judge.faults());
+        assert_eq!(
+            !checker.violations().is_empty(),
+            broken,
+            "{:?}",
+            checker.violations()
+        );
     }
 }
--- a/crates/entry/tests/repeats/world.rs
+++ b/crates/entry/tests/repeats/simulation.rs
@@ -1,4 +1,4 @@
-//! Several entry hosts, the leader that tells them of one another, and targets that turn requests away.
+//! Simulates entry hosts, the leader that lists them, and targets that decline requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,38 +13,38 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::judge::{Judge, RATIO, SLACK, WINDOW};
+use crate::budget_checker::{BudgetChecker, RATIO, SLACK, WINDOW};
 
-/// The services, the first with most requests.
+/// The services; the first one has the most requests.
 pub const SERVICES: [&str; 2] = ["engines", "booking"];
-/// Targets of each service.
+/// Number of targets of each service.
 const TARGETS: usize = 4;
-/// Time of one step.
+/// Duration of one simulation step.
 pub const STEP: Time = Time::from_millis(10);
-/// Time between two renewals of a host.
+/// Time between two lease renewals of a host.
 const RENEWAL: Time = Time::from_millis(500);
-/// How long a host may act on a lease, and how long the leader counts it.
+/// How long a host may use a lease, and how long the leader lists it.
 const LEASE: Time = Time::from_secs(4);
-const GUARDED: Time = Time::from_millis(4_400);
-/// Time of an attempt at a target.
+const LISTED: Time = Time::from_millis(4_400);
+/// Duration of an attempt at a target.
 const ATTEMPT: Time = Time::from_millis(20);
-/// The number of the host at position 0.
+/// The number of the host at index 0.
 const FIRST: HostId = 100;
 
-/// How one service is asked and answers.
+/// The request rate and failure rates of one service.
 #[derive(Debug, Clone, Copy)]
 pub struct Traffic {
-    /// Requests of one host in a second.
+    /// Requests per second at each host.
     pub rate: f64,
-    /// The part of the sends that targets decline.
+    /// Fraction of the sends that targets decline.
     pub declined: f64,
-    /// The part of the sends for which no connection stands.
-    pub unreached: f64,
+    /// Fraction of the sends for which no connection can be established.
+    pub unreachable: f64,
 }
 
 /// One send of one request.
 #[derive(Debug)]
-struct Flight {
+struct PendingSend {
     at: Time,
     id: u64,
     attempt: Attempt,
@@ -52,78 +52,78 @@
     sent: bool,
 }
 
-/// One life of an entry host.
+/// One incarnation of an entry host.
 struct Host {
     core: Core,
-    flights: Vec<Flight>,
-    seen: BTreeSet<u64>,
+    sends: Vec<PendingSend>,
+    observed: BTreeSet<u64>,
     renewed: Time,
 }
 
-/// The leader's word on one host.
+/// The leader's record of one host.
 #[derive(Debug, Clone, Copy)]
-struct Grant {
+struct ListedHost {
     incarnation: u64,
     until: Time,
 }
 
-/// All of it.
-pub struct World {
+/// The state of the simulation.
+pub struct Simulation {
     pub now: Time,
-    pub judge: Judge,
+    pub checker: BudgetChecker,
     pub traffic: [Traffic; 2],
     random: SmallRng,
     hosts: Vec<Option<Host>>,
-    /// Hosts that neither reach the leader nor hear of it.
-    cut: BTreeSet<usize>,
-    /// Hosts that callers ask, where they do not ask all.
-    asked: Option<Vec<usize>>,
+    /// Hosts that can neither reach the leader nor hear from it.
+    partitioned: BTreeSet<usize>,
+    /// Hosts that callers use, if not all.
+    used_hosts: Option<Vec<usize>>,
     term: u64,
     sequence: u64,
-    grants: BTreeMap<usize, Grant>,
+    listed_hosts: BTreeMap<usize, ListedHost>,
     published: Vec<(usize, u64)>,
-    lives: u64,
-    next: u64,
+    incarnations: u64,
+    last_number: u64,
 }
 
-impl World {
-    /// Hosts that all start now.
+impl Simulation {
+    /// Creates a simulation in which all hosts start now.
     pub fn new(hosts: usize, traffic: [Traffic; 2], seed: u64) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: Time::from_secs(100),
-            judge: Judge::default(),
+            checker: BudgetChecker::default(),
             traffic,
             random: SmallRng::seed_from_u64(seed),
             hosts: (0..hosts).map(|_| None).collect(),
-            cut: BTreeSet::new(),
-            asked: None,
+            partitioned: BTreeSet::new(),
+            used_hosts: None,
             term: 1,
             sequence: 1,
-            grants: BTreeMap::new(),
+            listed_hosts: BTreeMap::new(),
             published: Vec::new(),
-            lives: 0,
-            next: 1,
+            incarnations: 0,
+            last_number: 1,
         };
-        (0..hosts).for_each(|at| world.start(at));
-        world
+        (0..hosts).for_each(|at| simulation.start(at));
+        simulation
     }
 
-    /// The number of positions for hosts.
+    /// Returns the number of hosts, running or not.
     pub fn len(&self) -> usize {
         self.hosts.len()
     }
 
-    /// Adds hosts that do not run.
+    /// Adds hosts that do not run yet.
     pub fn add(&mut self, count: usize) {
         self.hosts.extend((0..count).map(|_| None));
     }
 
-    /// Starts a host, with nothing known.
+    /// Starts a host with no prior state, if it is not running.
     pub fn start(&mut self, at: usize) {
         if self.hosts[at].is_some() {
             return;
         }
-        self.lives += 1;
+        self.incarnations += 1;
         let serving = Serving {
             isolated: Isolated::Serve,
             strikes: 3,
@@ -134,25 +134,25 @@
             ..Serving::default()
         };
         let config = Config::new(number(at))
-            .incarnation(self.lives)
+            .incarnation(self.incarnations)
             .place("perth", "a")
             .serving(serving);
         let wait = Time::from_millis(self.random.random_range(0..300));
         let renewed = self.now.saturating_sub(RENEWAL) + wait;
         self.hosts[at] = Some(Host {
             core: Core::new(config, self.now),
-            flights: Vec::new(),
-            seen: BTreeSet::new(),
+            sends: Vec::new(),
+            observed: BTreeSet::new(),
             renewed,
         });
     }
 
-    /// Ends a host at once.
+    /// Kills a host.
     pub fn kill(&mut self, at: usize) {
         self.hosts[at] = None;
     }
 
-    /// Ends and starts all hosts.
+    /// Restarts all hosts.
     pub fn restart_all(&mut self) {
         for at in 0..self.len() {
             self.kill(at);
@@ -160,66 +160,67 @@
         }
     }
 
-    /// Cuts a host off from the leader, or joins it again.
-    pub fn cut(&mut self, at: usize, cut: bool) {
-        if cut {
-            self.cut.insert(at);
+    /// Partitions a host from the leader, or reconnects it.
+    pub fn set_partitioned(&mut self, at: usize, partitioned: bool) {
+        if partitioned {
+            self.partitioned.insert(at);
         } else {
-            self.cut.remove(&at);
+            self.partitioned.remove(&at);
         }
     }
 
-    /// All callers turn to some hosts.
-    pub fn turn_to(&mut self, hosts: &[usize]) {
-        self.asked = Some(hosts.to_vec());
+    /// Directs all callers to some of the hosts.
+    pub fn direct_callers_to(&mut self, hosts: &[usize]) {
+        self.used_hosts = Some(hosts.to_vec());
     }
 
-    /// Another host leads, and has heard of nobody yet.
-    pub fn elect(&mut self) {
+    /// Elects another leader, which has not heard from any host yet.
+    pub fn elect_leader(&mut self) {
         self.term += 1;
         self.sequence = 1;
-        self.grants.clear();
+        self.listed_hosts.clear();
         self.published.clear();
     }
 
-    /// Lets time pass.
+    /// Advances the simulation.
     pub fn run(&mut self, length: Time) {
         let until = self.now + length;
         while self.now < until {
             self.now += STEP;
-            self.lead();
+            self.run_leader();
             for at in 0..self.len() {
-                self.ask(at);
-                self.attempts(at);
-                self.tell(at, Event::Tick);
+                self.send_requests(at);
+                self.advance_attempts(at);
+                self.deliver(at, Event::Tick);
             }
         }
     }
 
-    /// The leader takes renewals and tells all hosts of changes.
-    fn lead(&mut self) {
+    /// Lets the leader process renewals and publish changes of the list of hosts.
+    fn run_leader(&mut self) {
         for at in 0..self.len() {
             let Some(host) = self.hosts[at].as_mut() else {
                 continue;
             };
-            if self.cut.contains(&at) || host.renewed + RENEWAL > self.now {
+            if self.partitioned.contains(&at) || host.renewed + RENEWAL > self.now {
                 continue;
             }
             host.renewed = self.now;
             let (until, version) = (self.now + LEASE, 1);
-            let grant = Grant {
-                incarnation: self.lives,
-                until: self.now + GUARDED,
+            let listed_host = ListedHost {
+                incarnation: self.incarnations,
+                until: self.now + LISTED,
             };
-            let known = self.grants.insert(at, grant).is_some();
+            let known = self.listed_hosts.insert(at, listed_host).is_some();
             if !known {
                 self.sequence += 1;
             }
-            self.tell(at, Event::Lease { until, version });
+            self.deliver(at, Event::Lease { until, version });
         }
         let now = self.now;
-        self.grants.retain(|_, grant| grant.until >= now);
-        let listed = self.grants.iter();
+        self.listed_hosts
+            .retain(|_, listed_host| listed_host.until >= now);
+        let listed = self.listed_hosts.iter();
         let listed: Vec<(usize, u64)> = listed.map(|(at, it)| (*at, it.incarnation)).collect();
         let changed = listed.iter().map(|it| it.0).collect::<Vec<_>>()
             != self.published.iter().map(|it| it.0).collect::<Vec<_>>();
@@ -232,20 +233,20 @@
                 continue;
             };
             let behind = host.core.seen() < (self.term, self.sequence);
-            if behind && !self.cut.contains(&at) && self.grants.contains_key(&at) {
+            if behind && !self.partitioned.contains(&at) && self.listed_hosts.contains_key(&at) {
                 let view = self.view();
-                self.tell(at, Event::View(view));
+                self.deliver(at, Event::View(view));
             }
         }
     }
 
-    /// The whole view.
+    /// Returns the complete view.
     fn view(&self) -> View {
         let settings = Change::Settings(1, "models: []".into());
-        let hosts = self.grants.iter().map(|(at, grant)| {
+        let hosts = self.listed_hosts.iter().map(|(at, listed_host)| {
             Change::Entry(entry::Host {
                 host: number(*at),
-                incarnation: grant.incarnation,
+                incarnation: listed_host.incarnation,
                 address: ([10, 0, 0, 1], 80).into(),
                 region: "perth".into(),
                 zone: "a".into(),
@@ -281,46 +282,46 @@
         }
     }
 
-    /// Callers ask a host.
-    fn ask(&mut self, at: usize) {
+    /// Lets callers send requests to a host.
+    fn send_requests(&mut self, at: usize) {
         if self.hosts[at].is_none() {
             return;
         }
-        let share = match &self.asked {
-            Some(asked) if !asked.contains(&at) => return,
-            Some(asked) => {
+        let share = match &self.used_hosts {
+            Some(used_hosts) if !used_hosts.contains(&at) => return,
+            Some(used_hosts) => {
                 f64::from(u32::try_from(self.len()).expect("few"))
-                    / f64::from(u32::try_from(asked.len()).expect("few"))
+                    / f64::from(u32::try_from(used_hosts.len()).expect("few"))
             }
             None => 1.0,
         };
         for (service, name) in SERVICES.into_iter().enumerate() {
             let chance = self.traffic[service].rate * STEP.as_secs_f64() * share;
             if self.random.random::<f64>() < chance {
-                self.next += 1;
-                self.judge.request(name, self.now);
-                let request = request(self.next, service);
-                self.tell(at, Event::Arrived(request));
+                self.last_number += 1;
+                self.checker.request(name, self.now);
+                let request = request(self.last_number, service);
+                self.deliver(at, Event::Arrived(request));
             }
         }
     }
 
-    /// Attempts go on.
-    fn attempts(&mut self, at: usize) {
+    /// Advances the attempts of a host.
+    fn advance_attempts(&mut self, at: usize) {
         let Some(host) = self.hosts[at].as_mut() else {
             return;
         };
         let now = self.now;
-        let due = host.flights.extract_if(.., |flight| flight.at <= now);
-        let due: Vec<Flight> = due.collect();
-        for flight in due {
-            let (id, attempt) = (flight.id, flight.attempt);
-            let traffic = self.traffic[flight.service];
-            if flight.sent {
+        let due = host.sends.extract_if(.., |send| send.at <= now);
+        let due: Vec<PendingSend> = due.collect();
+        for send in due {
+            let (id, attempt) = (send.id, send.attempt);
+            let traffic = self.traffic[send.service];
+            if send.sent {
                 let declined = self.random.random::<f64>() < traffic.declined;
                 if declined {
                     let failure = Failure::Refused;
-                    self.tell(
+                    self.deliver(
                         at,
                         Event::Failed {
                             id,
@@ -329,12 +330,12 @@
                         },
                     );
                 } else {
-                    self.tell(at, Event::Begun { id, attempt });
-                    self.tell(at, Event::Ended { id, attempt });
+                    self.deliver(at, Event::Begun { id, attempt });
+                    self.deliver(at, Event::Ended { id, attempt });
                 }
-            } else if self.random.random::<f64>() < traffic.unreached {
+            } else if self.random.random::<f64>() < traffic.unreachable {
                 let failure = Failure::Connect;
-                self.tell(
+                self.deliver(
                     at,
                     Event::Failed {
                         id,
@@ -343,13 +344,13 @@
                     },
                 );
             } else {
-                self.tell(at, Event::Sent { id, attempt });
+                self.deliver(at, Event::Sent { id, attempt });
             }
         }
     }
 
-    /// Tells a host something and carries out what it says.
-    fn tell(&mut self, at: usize, event: Event) {
+    /// Hands an event to a host and carries out its actions.
+    fn deliver(&mut self, at: usize, event: Event) {
         let now = self.now;
         let Some(host) = self.hosts[at].as_mut() else {
             return;
@@ -364,7 +365,7 @@
                         .iter()
                         .position(|service| to.target.starts_with(service))
                         .expect("a target of a service");
-                    host.flights.push(Flight {
+                    host.sends.push(PendingSend {
                         at: now + STEP,
                         id,
                         attempt,
@@ -375,10 +376,10 @@
                 Action::Proceed { id, attempt } => {
                     let at = now + ATTEMPT;
                     let service = service_of(id);
-                    if !host.seen.insert(id) {
-                        self.judge.repeat(SERVICES[service], now);
+                    if !host.observed.insert(id) {
+                        self.checker.repeat(SERVICES[service], now);
                     }
-                    host.flights.push(Flight {
+                    host.sends.push(PendingSend {
                         at,
                         id,
                         attempt,
@@ -387,8 +388,8 @@
                     });
                 }
                 Action::Cancel { id, attempt, .. } => {
-                    host.flights
-                        .retain(|flight| (flight.id, flight.attempt) != (id, attempt));
+                    host.sends
+                        .retain(|send| (send.id, send.attempt) != (id, attempt));
                 }
                 Action::Probe { target, .. } => probed.push(target),
                 _ => {}
@@ -396,22 +397,22 @@
         }
         for target in probed {
             let connected = true;
-            self.tell(at, Event::Probed { target, connected });
+            self.deliver(at, Event::Probed { target, connected });
         }
     }
 }
 
-/// The number of the host at a position.
+/// Returns the number of the host at an index.
 fn number(at: usize) -> HostId {
     FIRST + HostId::try_from(at).expect("few hosts")
 }
 
-/// Requests of the second service have odd numbers behind the shift.
+/// Returns the service of a request: ids of the second service are odd.
 fn service_of(id: u64) -> usize {
     usize::from(id & 1 == 1)
 }
 
-/// A request that may run again.
+/// Returns a repeatable request.
 fn request(number: u64, service: usize) -> Request {
     let what = What::Service {
         name: SERVICES[service].into(),
--- a/crates/entry/tests/routed.rs
+++ b/crates/entry/tests/routed.rs
@@ -1,4 +1,4 @@
-//! Requests that a table of routes leads to a service: where they go, and what may run again.
+//! Requests that arrive through a route: where they are sent and when they are retried.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,12 +15,11 @@
 
 const SETTINGS: &str = "models: []";
 
-/// A time of the tests.
 fn at(ms: u64) -> Time {
     Time::from_millis(ms)
 }
 
-/// A target of the service in a zone.
+/// Returns a target of the service in a zone.
 fn target(name: &str, zone: &str, open: bool) -> Change {
     Change::Target(Target {
         target: name.into(),
@@ -36,14 +35,14 @@
     })
 }
 
-/// A core in zone a that knows some targets.
+/// Creates a core in zone `a` that knows these targets.
 fn core(targets: Vec<Change>) -> Core {
     core_with(targets, Serving::default())
 }
 
-/// The same, which shares its retries with other hosts where the settings say so.
+/// Creates a core in zone `a` with these serving settings, which may share the retry budget.
 fn core_with(targets: Vec<Change>, serving: Serving) -> Core {
-    // Routed requests name no body that could be told apart, so nothing is kept from targets.
+    // The bodies of routed requests cannot be told apart, so quarantine is off.
     let serving = Serving {
         quarantine: false,
         strikes: 3,
@@ -64,11 +63,11 @@
     core
 }
 
-fn two() -> Core {
+fn core_with_two_targets() -> Core {
     core(vec![target("w1", "a", true), target("w2", "a", true)])
 }
 
-/// A request of the service that may run at two targets, if it may run twice at all.
+/// Returns a request for the service, which may run on two targets if it is repeatable.
 fn request(repeatable: bool) -> Request {
     let what = What::Service {
         name: "auction".into(),
@@ -88,7 +87,7 @@
     request
 }
 
-/// The target of the send among some actions, with its attempt.
+/// Returns the target and the attempt of the first send among the actions.
 fn send(actions: &[Action]) -> Option<(String, u32)> {
     actions.iter().find_map(|action| match action {
         Action::Send { attempt, to, .. } => Some((to.target.to_string(), *attempt)),
@@ -96,7 +95,7 @@
     })
 }
 
-/// The refusal among some actions.
+/// Returns the first refusal among the actions.
 fn refusal(actions: &[Action]) -> Option<&Refusal> {
     actions.iter().find_map(|action| match action {
         Action::Refuse { refusal, .. } => Some(refusal),
@@ -104,8 +103,8 @@
     })
 }
 
-/// Lets a request arrive and be sent; returns the first target.
-fn sent(core: &mut Core, request: Request) -> String {
+/// Sends a request and returns its first target.
+fn send_first(core: &mut Core, request: Request) -> String {
     let actions = core.handle(Event::Arrived(request), at(10));
     let (target, attempt) = send(&actions).expect("a send");
     core.handle(Event::Sent { id: 7, attempt }, at(11));
@@ -122,9 +121,9 @@
 }
 
 #[test]
-fn what_may_run_again_goes_to_another_target() {
-    let mut core = two();
-    let first = sent(&mut core, request(true));
+fn a_repeatable_request_is_retried_on_another_target() {
+    let mut core = core_with_two_targets();
+    let first = send_first(&mut core, request(true));
     let actions = fail(&mut core, 1, Failure::Broken, 50);
     let (second, attempt) = send(&actions).unwrap_or_else(|| panic!("{actions:?}"));
     assert_ne!(first, second);
@@ -132,9 +131,9 @@
 }
 
 #[test]
-fn what_may_not_run_again_is_told_as_unknown() {
-    let mut core = two();
-    sent(&mut core, request(false));
+fn an_unrepeatable_request_fails_with_outcome_unknown() {
+    let mut core = core_with_two_targets();
+    send_first(&mut core, request(false));
     let actions = fail(&mut core, 1, Failure::Broken, 50);
     assert_eq!(send(&actions), None);
     let refusal = refusal(&actions).expect("a refusal");
@@ -144,17 +143,17 @@
     );
 }
 
-/// Nothing of the request reached a target, or the target says that it did not run it.
+/// Either nothing of the request reached a target, or the target declares that it did not run it.
 #[test]
-fn what_has_not_run_goes_to_another_target_in_any_case() {
-    let mut connecting = two();
+fn a_request_that_did_not_run_is_always_retried_on_another_target() {
+    let mut connecting = core_with_two_targets();
     let actions = connecting.handle(Event::Arrived(request(false)), at(10));
     assert!(send(&actions).is_some());
     let actions = fail(&mut connecting, 1, Failure::Connect, 50);
     assert!(send(&actions).is_some(), "{actions:?}");
     for failure in [Failure::Refused, Failure::Absent] {
-        let mut core = two();
-        let first = sent(&mut core, request(false));
+        let mut core = core_with_two_targets();
+        let first = send_first(&mut core, request(false));
         let mut actions = fail(&mut core, 1, failure, 50);
         actions.extend(core.handle(Event::Tick, at(200)));
         let (second, _) = send(&actions).expect("another attempt");
@@ -169,32 +168,32 @@
         target("w2", "a", true),
         target("w3", "a", true),
     ]);
-    sent(&mut core, request(true));
+    send_first(&mut core, request(true));
     assert!(send(&fail(&mut core, 1, Failure::Broken, 50)).is_some());
     core.handle(Event::Sent { id: 7, attempt: 2 }, at(51));
     let actions = fail(&mut core, 2, Failure::Broken, 90);
     assert_eq!(send(&actions), None);
     assert_eq!(
-        refusal(&actions).map(|it| it.reason),
+        refusal(&actions).map(|refusal| refusal.reason),
         Some(Reason::TargetFailed)
     );
 }
 
-/// A target that does not begin within three quarters of the objective.
+/// The target does not begin its response within three quarters of the latency objective.
 #[test]
-fn a_slow_target_is_left_where_the_request_may_run_again() {
-    let mut again = two();
-    let first = sent(&mut again, request(true));
-    let mut actions = again.handle(Event::Tick, at(11 + 310));
-    actions.extend(again.handle(Event::Tick, at(11 + 410)));
+fn a_repeatable_request_is_retried_if_its_target_is_slow() {
+    let mut repeatable = core_with_two_targets();
+    let first = send_first(&mut repeatable, request(true));
+    let mut actions = repeatable.handle(Event::Tick, at(11 + 310));
+    actions.extend(repeatable.handle(Event::Tick, at(11 + 410)));
     let cancelled = actions
         .iter()
         .any(|action| matches!(action, Action::Cancel { .. }));
     let (second, _) = send(&actions).unwrap_or_else(|| panic!("{actions:?}"));
     assert!(cancelled && first != second, "{actions:?}");
-    let mut once = two();
-    sent(&mut once, request(false));
-    let actions = once.handle(Event::Tick, at(11 + 310));
+    let mut unrepeatable = core_with_two_targets();
+    send_first(&mut unrepeatable, request(false));
+    let actions = unrepeatable.handle(Event::Tick, at(11 + 310));
     assert!(
         send(&actions).is_none() && refusal(&actions).is_none(),
         "{actions:?}"
@@ -202,9 +201,9 @@
 }
 
 #[test]
-fn a_request_is_answered_by_the_limit_of_its_route() {
-    let mut core = two();
-    sent(&mut core, request(false));
+fn a_request_expires_at_the_limit_of_its_route() {
+    let mut core = core_with_two_targets();
+    send_first(&mut core, request(false));
     let early = core.handle(Event::Tick, at(10 + 3_900));
     assert!(refusal(&early).is_none(), "{early:?}");
     let actions = core.handle(Event::Tick, at(10 + 4_001));
@@ -216,13 +215,13 @@
 }
 
 #[test]
-fn a_target_that_leaves_gets_nothing_new() {
+fn a_closed_target_gets_no_requests() {
     let mut core = core(vec![target("w1", "a", false), target("w2", "b", true)]);
-    assert_eq!(sent(&mut core, request(true)), "w2");
+    assert_eq!(send_first(&mut core, request(true)), "w2");
 }
 
 #[test]
-fn the_own_zone_goes_first_while_it_has_room() {
+fn targets_in_the_same_zone_are_preferred() {
     let targets = || {
         vec![
             target("w1", "b", true),
@@ -242,8 +241,14 @@
     }
 }
 
-/// Sends a number of requests and lets each be answered; returns how many each target got.
-fn answered(core: &mut Core, ids: std::ops::Range<u64>, ms: u64, failing: &str) -> [usize; 2] {
+/// Sends requests and answers each; returns how many each target got. Targets named in `failing`
+/// answer with errors.
+fn send_and_answer(
+    core: &mut Core,
+    ids: std::ops::Range<u64>,
+    ms: u64,
+    failing: &str,
+) -> [usize; 2] {
     let mut got = [0, 0];
     for id in ids {
         let mut request = request(false);
@@ -267,35 +272,35 @@
     got
 }
 
-/// Seen as incident `inc-4894` of the swancoop site: one of three workers answered 500 all day. It
-/// was as quick as any other and got its share of the requests that may not run again.
+/// Guards against a target that answers every request with status 500, as quickly as a healthy one,
+/// and thereby keeps its full share of requests that cannot be retried.
 #[test]
-fn a_target_that_answers_with_errors_is_left_out_while_another_is_well() {
-    let mut core = two();
-    let first = answered(&mut core, 100..160, 10, "w1");
+fn a_failing_target_is_avoided_while_another_is_healthy() {
+    let mut core = core_with_two_targets();
+    let first = send_and_answer(&mut core, 100..160, 10, "w1");
     assert!(first[0] < 6, "{first:?}");
-    // It is tried again when its errors are some time ago, and found well.
-    let later = answered(&mut core, 200..260, 60_000, "");
+    // It is tried again some time after its last error, and is healthy then.
+    let later = send_and_answer(&mut core, 200..260, 60_000, "");
     assert!(later[0] > 10, "{later:?}");
 }
 
 #[test]
-fn targets_that_all_answer_with_errors_are_all_used() {
-    let mut core = two();
-    let got = answered(&mut core, 100..160, 10, "w1 w2");
+fn all_targets_are_used_if_all_are_failing() {
+    let mut core = core_with_two_targets();
+    let got = send_and_answer(&mut core, 100..160, 10, "w1 w2");
     assert!(got.iter().all(|requests| *requests > 10), "{got:?}");
 }
 
-/// One request may be the cause of its own error.
+/// The error may be caused by the request itself.
 #[test]
-fn a_single_error_leaves_no_target_out() {
-    let mut core = two();
-    answered(&mut core, 100..101, 10, "w1 w2");
-    let got = answered(&mut core, 200..260, 20, "");
+fn a_single_error_does_not_mark_a_target_as_failing() {
+    let mut core = core_with_two_targets();
+    send_and_answer(&mut core, 100..101, 10, "w1 w2");
+    let got = send_and_answer(&mut core, 200..260, 20, "");
     assert!(got.iter().all(|requests| *requests > 10), "{got:?}");
 }
 
-/// A table with a service that runs models.
+/// Returns a route table with a service that runs models.
 fn table(version: u64) -> Change {
     let model = route::Model {
         name: "report".into(),
@@ -328,7 +333,7 @@
     }))
 }
 
-/// A request of a route that leads to a model with an adapter.
+/// Returns a routed request for a model with an adapter.
 fn model_request(id: u64) -> Request {
     let mut request = request(false);
     request.id = id;
@@ -340,7 +345,7 @@
 }
 
 #[test]
-fn what_a_route_let_in_stays_when_other_settings_come_into_force() {
+fn routed_requests_survive_a_settings_change() {
     let mut core = core(vec![table(1), target("w1", "a", false)]);
     let mut actions = core.handle(Event::Arrived(request(true)), at(10));
     actions.extend(core.handle(Event::Arrived(model_request(8)), at(10)));
@@ -356,9 +361,9 @@
     assert_eq!(core.load(), 2, "both still wait");
 }
 
-/// What the settings list is theirs to take away.
+/// A request that did not come through a route depends on the settings.
 #[test]
-fn what_the_settings_let_in_goes_when_they_no_longer_have_it() {
+fn a_waiting_request_is_refused_when_the_settings_drop_its_service() {
     let mut core = core(vec![]);
     let view = |from, version, text: &str| {
         Event::View(View {
@@ -380,9 +385,10 @@
     assert_eq!(refusal.reason, Reason::Unknown);
 }
 
-/// The answer to a question that left before the newest change came, over another link.
+/// Such a view is the reply to a request sent before the newest change arrived over another
+/// connection. It must not be discarded, since it also holds newer changes.
 #[test]
-fn a_farewell_in_a_view_that_begins_before_what_is_known_is_not_missed() {
+fn a_view_that_overlaps_known_changes_is_applied() {
     let mut core = core(vec![target("w1", "a", true), target("w2", "a", true)]);
     let mut tell = |from, to, changes| {
         let term = 1;
@@ -398,14 +404,14 @@
     let first = target("w2", "a", true);
     assert_eq!(tell(1, 2, vec![first.clone()]), (1, 2));
     assert_eq!(tell(1, 3, vec![first, target("w1", "a", false)]), (1, 3));
-    // What brings nothing new changes nothing.
+    // A view with nothing new is ignored.
     assert_eq!(tell(1, 2, vec![target("w2", "a", false)]), (1, 3));
-    assert_eq!(sent(&mut core, request(true)), "w2");
+    assert_eq!(send_first(&mut core, request(true)), "w2");
 }
 
-/// The load: targets turn away what they get, and the budget of retries is spent.
+/// Targets decline all requests and the retry budget is spent.
 #[test]
-fn what_no_retry_comes_for_in_time_is_refused_at_once_with_when_to_come_back() {
+fn a_request_without_retry_budget_is_refused_early_with_retry_after() {
     let serving = Serving {
         retry_window_ms: 10e3,
         ..Serving::default()
--- a/crates/entry/tests/share.rs
+++ b/crates/entry/tests/share.rs
@@ -1,27 +1,28 @@
-//! Hosts that share a target do not flood it, whatever they know of each other.
+//! Hosts that share a target do not overload it, whatever they know of one another.
 
 use cornelhitch_entry::route::Place;
 use cornelhitch_entry::share::{Report, Sharers, Shares};
 
-/// Requests that the target answers at once.
+/// Number of requests that the target serves concurrently.
 const CAPACITY: u32 = 16;
 
-/// What nine hosts, three of them near, believe of a target without requests.
+/// What nine hosts, three of them in the target's region, know of an idle target.
 struct Row {
     name: &'static str,
-    /// Hosts that are believed to have work.
+    /// Number of hosts that are believed to have requests.
     busy: u32,
-    /// Requests that each host has there when the report comes.
+    /// Number of requests that each host has there when the report arrives.
     own: u32,
-    /// The most that all hosts together may send there.
+    /// Maximum number of requests that all hosts together may send there.
     most: u32,
 }
 
 #[test]
-fn nine_hosts_together_send_little_more_than_fits() {
-    // Equal parts are rounded up, and each host may have one: 3 times 4, 6 times 1.
+fn hosts_together_barely_exceed_the_capacity_of_a_target() {
+    // Initial shares are rounded up, and each far host may send one request: 3 times 4 and 6 times
+    // 1.
     let parts = 18;
-    // Growth is rounded up too, by one request a host at the most.
+    // Growth is rounded up too, by at most one request per host.
     let rows = [
         Row {
             name: "no report yet, nobody busy",
@@ -61,7 +62,7 @@
                     busy: row.busy,
                     is_near: host < 3,
                 };
-                let mut table = Shares::default();
+                let mut limits = Shares::default();
                 let report = Report {
                     running: row.own * 9,
                     queued: 0,
@@ -69,8 +70,8 @@
                     capacity: CAPACITY,
                     sharers,
                 };
-                table.apply_report(&place, report);
-                table.limit(&place, CAPACITY, sharers)
+                limits.apply_report(&place, report);
+                limits.limit(&place, CAPACITY, sharers)
             })
             .sum();
         assert!(total <= row.most, "{}: {total}", row.name);
