--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -100,8 +100,9 @@
         )
     }
 
-    /// Cancels an attempt that has not begun to respond, if another target can run the request.
-    /// Returns `false` if this does not apply to the request.
+    /// Cancels an attempt that has not begun to respond and retries it, if another target can run the
+    /// request; else checks again after the same time. Returns `false` if the request cannot be
+    /// retried, or its response has begun or is overdue.
     pub(crate) fn retry_slow_target(&mut self, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -247,7 +247,7 @@
     }
 
     /// Returns the entry hosts that a caller at this location should connect to.
-    pub fn entries(&mut self, whence: &Whence) -> Entries {
+    pub fn entries(&mut self, location: &Whence) -> Entries {
         let load = self.load();
         let draining = self.drain.is_leaving();
         if let Some(own) = self.fleet_view.hosts.get_mut(&self.config.host) {
@@ -256,19 +256,19 @@
         }
         let hosts: Vec<_> = self.fleet_view.hosts.values().collect();
         let max_age = Time::from_millis(self.config.serving.max_age_ms);
-        entries::answer(&hosts, whence, max_age, &mut self.random)
+        entries::answer(&hosts, location, max_age, &mut self.random)
     }
 
     /// Returns the nearest entry hosts, for a caller that may connect to any of the addresses
     /// given.
     #[must_use]
-    pub fn nearest(&self, whence: &Whence) -> Entries {
+    pub fn nearest(&self, location: &Whence) -> Entries {
         let own = self.config.host;
         let leaves = self.drain.is_leaving();
         let open = self.fleet_view.hosts.values();
         let open = open.filter(|host| !(host.draining || (host.host == own && leaves)));
         let max_age = Time::from_millis(self.config.serving.max_age_ms);
-        entries::nearest(&open.collect::<Vec<_>>(), whence, max_age)
+        entries::nearest(&open.collect::<Vec<_>>(), location, max_age)
     }
 
     /// Whether this host accepts requests: it has a route table and a view of the fleet, and is not
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -19,9 +19,8 @@
 use crate::route::{Candidate, Place};
 use crate::share::Sharers;
 
-/// Number of requests at the head of a lane that are considered at once. They are searched further
-/// only while there is capacity left, which means that those before wait for an adapter or a target
-/// of their own.
+/// Number of requests at the head of a lane that are considered first. The rest is searched only while
+/// there is capacity left, because those before wait for an adapter or a target of their own.
 const SCAN_LIMIT: usize = 64;
 
 /// Interval at which requests that are held back by the retry budget are tried again.
--- a/crates/entry/src/entries.rs
+++ b/crates/entry/src/entries.rs
@@ -12,13 +12,13 @@
 
 /// Maximum fraction by which the age of an answer is randomly shortened, so that callers do not all
 /// come back at the same time.
-const JITTER: f64 = 0.3;
+const MAX_AGE_JITTER: f64 = 0.3;
 
 /// Maximum number of addresses in one answer.
-const LIMIT: usize = 4;
+const MAX_ADDRESSES: usize = 4;
 
 /// How many more requests a host in the caller's zone may have and still be preferred.
-const NEAR: u32 = 64;
+const ZONE_BONUS: u32 = 64;
 
 /// The entry hosts for a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -55,31 +55,31 @@
 #[must_use]
 pub fn answer(
     hosts: &[&Host],
-    whence: &Whence,
+    location: &Whence,
     max_age: Duration,
     random: &mut SmallRng,
 ) -> Entries {
     let open = hosts.iter().filter(|host| !host.draining);
     let mut ranked: Vec<(bool, u32, u64, SocketAddr)> = open
         .map(|host| {
-            let abroad = host.region != whence.region;
-            let near = host.zone == whence.zone;
-            let load = host.load + if near { 0 } else { NEAR };
-            (abroad, load, random.random(), host.address)
+            let other_region = host.region != location.region;
+            let same_zone = host.zone == location.zone;
+            let load = host.load + if same_zone { 0 } else { ZONE_BONUS };
+            (other_region, load, random.random(), host.address)
         })
         .collect();
-    ranked.sort_by_key(|(abroad, _, draw, _)| (*abroad, *draw));
-    lead(&mut ranked);
+    ranked.sort_by_key(|(other_region, _, draw, _)| (*other_region, *draw));
+    put_less_busy_first(&mut ranked);
     let addresses = ranked.into_iter().map(|(_, _, _, address)| address);
-    let spread = 1.0 - JITTER * random.random::<f64>();
+    let spread = 1.0 - MAX_AGE_JITTER * random.random::<f64>();
     Entries {
-        addresses: addresses.take(LIMIT).collect(),
+        addresses: addresses.take(MAX_ADDRESSES).collect(),
         max_age: max_age.mul_f64(spread),
     }
 }
 
 /// Swaps the first two hosts if both are in the same tier and the second is less busy.
-fn lead(ranked: &mut [(bool, u32, u64, SocketAddr)]) {
+fn put_less_busy_first(ranked: &mut [(bool, u32, u64, SocketAddr)]) {
     let [first, second, ..] = ranked else {
         return;
     };
@@ -91,10 +91,10 @@
 
 /// Returns the hosts nearest to a caller: those of its zone, else of its region, else all.
 #[must_use]
-pub fn nearest(hosts: &[&Host], whence: &Whence, max_age: Duration) -> Entries {
+pub fn nearest(hosts: &[&Host], location: &Whence, max_age: Duration) -> Entries {
     let tiers: [&dyn Fn(&Host) -> bool; 3] = [
-        &|host| host.zone == whence.zone,
-        &|host| host.region == whence.region,
+        &|host| host.zone == location.zone,
+        &|host| host.region == location.region,
         &|_| true,
     ];
     let mut tiers = tiers.iter().map(|is_near| {
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -173,8 +173,7 @@
     Truncated,
     /// The target answered with a server error.
     Status,
-    /// A response did not begin in time, or no part of it arrived for
-    /// [`crate::attempt::STALL_TIMEOUT`].
+    /// The response did not begin in time, or no part of it arrived for the stall timeout.
     Stalled,
 }
 
--- a/crates/entry/src/quarantine.rs
+++ b/crates/entry/src/quarantine.rs
@@ -165,7 +165,7 @@
         let free = self
             .slots
             .iter()
-            .filter(|(_, reservation)| matches!(reservation, Reservation::Held { running } if *running < width));
+            .filter(|(_, held)| matches!(held, Reservation::Held { running } if *running < width));
         free.map(|(instance, _)| instance.clone()).collect()
     }
 
--- a/crates/entry/src/route.rs
+++ b/crates/entry/src/route.rs
@@ -182,15 +182,15 @@
     fn sample_candidates(&mut self, candidates: &[Candidate]) -> Vec<usize> {
         let count = candidates.len();
         let mut drawn = sample(&mut self.random, count, self.samples.min(count)).into_vec();
-        drawn.extend(best(candidates, |candidate| -candidate.cached));
-        drawn.extend(best(candidates, |candidate| candidate.distance_ms));
+        drawn.extend(min_index(candidates, |candidate| -candidate.cached));
+        drawn.extend(min_index(candidates, |candidate| candidate.distance_ms));
         drawn
     }
 }
 
 /// Returns the index of the candidate with the smallest `figure`, or `None` if it is the same for
 /// all.
-fn best(candidates: &[Candidate], figure: impl Fn(&Candidate) -> f64) -> Option<usize> {
+fn min_index(candidates: &[Candidate], figure: impl Fn(&Candidate) -> f64) -> Option<usize> {
     let first = figure(candidates.first()?);
     if candidates
         .iter()
--- a/crates/entry/src/tests/fake_control.rs
+++ b/crates/entry/src/tests/fake_control.rs
@@ -126,7 +126,7 @@
     }
 
     /// Returns the complete view.
-    pub fn whole(&self, targets: &[FakeTarget], cores: usize) -> View {
+    pub fn complete_view(&self, targets: &[FakeTarget], cores: usize) -> View {
         let mut changes = vec![Change::Settings(1, SETTINGS.into())];
         changes.extend((0..cores).map(host));
         changes.extend(targets.iter().flat_map(FakeTarget::changes));
--- a/crates/entry/src/tests/request_log.rs
+++ b/crates/entry/src/tests/request_log.rs
@@ -33,7 +33,7 @@
     /// When and how it ended; `None` for a complete response.
     pub ends: Vec<(Time, Option<Run>)>,
     /// Attempts whose terminator arrived.
-    pub whole: BTreeSet<Attempt>,
+    pub terminated: BTreeSet<Attempt>,
 }
 
 /// What happened to all requests.
@@ -106,7 +106,7 @@
     /// Records that a response is reported as complete.
     pub fn on_finish(&mut self, id: CallId, attempt: Attempt, now: Time) -> Result<(), Violation> {
         let record = self.records.get(&id);
-        if !record.is_some_and(|record| record.whole.contains(&attempt)) {
+        if !record.is_some_and(|record| record.terminated.contains(&attempt)) {
             return Err(format!(
                 "attempt {attempt} of request {id} was reported as complete without its terminator"
             ));
--- a/crates/entry/src/tests/simulation.rs
+++ b/crates/entry/src/tests/simulation.rs
@@ -128,7 +128,7 @@
     /// Schedules what the plan determines in advance.
     fn schedule_plan(&mut self) {
         for core in 0..self.plan.cores {
-            let view = self.control.whole(&self.targets, self.plan.cores);
+            let view = self.control.complete_view(&self.targets, self.plan.cores);
             self.schedule(Time::ZERO, Task::Event(core, Event::View(view)));
             let lease = Event::Lease {
                 until: MAX_TIME,
@@ -403,7 +403,7 @@
                 self.schedule_soon(Task::Event(core, Event::Probed { target, connected }));
             }
             Action::RequestView { .. } => {
-                let view = self.control.whole(&self.targets, self.plan.cores);
+                let view = self.control.complete_view(&self.targets, self.plan.cores);
                 let delay = Duration::from_millis(MAX_DELAY_MS);
                 self.schedule(self.now + delay, Task::Event(core, Event::View(view)));
             }
--- a/crates/entry/src/tests/targets.rs
+++ b/crates/entry/src/tests/targets.rs
@@ -175,7 +175,7 @@
             Step::End => {
                 in_flight.retain(|running| (running.id, running.attempt) != (id, attempt));
                 if let Some(record) = self.request_log.records.get_mut(&id) {
-                    record.whole.insert(attempt);
+                    record.terminated.insert(attempt);
                 }
                 Event::Ended { id, attempt }
             }
--- a/crates/entry/src/updates.rs
+++ b/crates/entry/src/updates.rs
@@ -63,7 +63,7 @@
                     .set_published(fingerprint, strikes, self.now);
                 self.refuse_quarantined(fingerprint);
             }
-            Change::Settings(version, text) => self.settings_changed(version, &text),
+            Change::Settings(version, text) => self.apply_settings(version, &text),
             Change::Table(table) => self.catalogue.adopt_table(table),
             Change::Outlook(model, ms) => self.fleet_view.set_load_outlook(model, ms),
         }
@@ -94,7 +94,7 @@
             .fleet_view
             .targets
             .get(&id)
-            .is_some_and(|it| it.view.slots.is_some())
+            .is_some_and(|target| target.view.slots.is_some())
         {
             return;
         }
@@ -170,7 +170,7 @@
     }
 
     /// Applies newer settings; reports them to the owner if they are invalid.
-    fn settings_changed(&mut self, version: Version, text: &Name) {
+    fn apply_settings(&mut self, version: Version, text: &Name) {
         if version <= self.catalogue.version {
             return;
         }
--- a/crates/entry/tests/share.rs
+++ b/crates/entry/tests/share.rs
@@ -21,32 +21,32 @@
 fn hosts_together_barely_exceed_the_capacity_of_a_target() {
     // Initial shares are rounded up, and each far host may send one request: 3 times 4 and 6 times
     // 1.
-    let parts = 18;
+    let initial_shares = 18;
     // Growth is rounded up too, by at most one request per host.
     let rows = [
         Row {
             name: "no report yet, nobody busy",
             busy: 0,
             own: 0,
-            most: parts,
+            most: initial_shares,
         },
         Row {
             name: "a burst of first requests: who is busy is not known yet",
             busy: 1,
             own: 0,
-            most: parts,
+            most: initial_shares,
         },
         Row {
             name: "all known to be busy",
             busy: 9,
             own: 0,
-            most: parts,
+            most: initial_shares,
         },
         Row {
             name: "all busy with one request each",
             busy: 9,
             own: 1,
-            most: parts + 9,
+            most: initial_shares + 9,
         },
     ];
     for row in rows {
