--- a/crates/entry/tests/routed.rs
+++ b/crates/entry/tests/routed.rs
@@ -273,7 +273,8 @@
 }
 
 /// Guards against a target that answers every request with status 500, as quickly as a healthy one,
-/// and thereby keeps its full share of requests that cannot be retried.
+/// and thereby keeps its full share of requests that cannot be retried
+/// (incident inc-4894, one worker of three).
 #[test]
 fn a_failing_target_is_avoided_while_another_is_healthy() {
     let mut core = core_with_two_targets();
