--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -96,14 +96,13 @@
         }
         let limit = self.catalogue.fleet.refusing.caller;
         if self.queue.caller_requests(&request.caller) >= limit {
-            let detail =
-                format!("the caller has reached its limit of {limit} requests on this host");
+            let detail = format!("a caller may have {limit} requests here");
             return refuse(Reason::Limited, &detail)
                 .map(|rejection| rejection.after(Duration::from_secs(1)));
         }
         let bound = self.catalogue.fleet.refusing.queue as usize;
         if request.key.is_some() && self.claiming >= bound {
-            let detail = "too many requests are waiting for their idempotency claims";
+            let detail = "too many requests wait for their claims";
             let rejection = refuse(Reason::Overloaded, detail);
             return rejection.map(|rejection| rejection.after(Duration::from_secs(1)));
         }
@@ -140,7 +139,7 @@
             return None;
         }
         if other {
-            let detail = format!("{what}: this version is not in force and no worker holds it");
+            let detail = format!("{what}: this version is not in force and nothing holds it");
             return Some(Rejection::not_run(Reason::Unknown, &detail));
         }
         if !model.managed {
@@ -249,10 +248,7 @@
             return None;
         }
         let wait = start.saturating_sub(self.now);
-        let detail = format!(
-            "the request could not start for another {} ms, too late for its deadline",
-            wait.as_millis()
-        );
+        let detail = format!("it could not start before {} ms", wait.as_millis());
         Some(Rejection::not_run(Reason::Late, &detail).after(wait))
     }
 
@@ -390,9 +386,7 @@
         let latency = self.latencies.get(&call.key);
         let start =
             estimate::earliest_start(supply, latency, self.queue.waiting(&call.key), self.now);
-        let detail = format!(
-            "the queue limit of {bound} requests is reached and this request is last in turn"
-        );
+        let detail = format!("{bound} requests wait here that are nearer to being met");
         let rejection = Rejection {
             run,
             ..Rejection::not_run(Reason::Overloaded, &detail)
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -292,14 +292,13 @@
         let next = retry_policy::next(repeatable || self.has_fault(Fault::SendsTwice), sent, begun);
         let exhausted = self.calls.get(&id).is_some_and(Call::attempts_exhausted);
         match next {
-            NextStep::Retry | NextStep::Resume if exhausted => self.fail_call(
-                id,
-                "the request failed on as many targets as its route allows",
-            ),
+            NextStep::Retry | NextStep::Resume if exhausted => {
+                self.fail_call(id, "every target failed")
+            }
             NextStep::Elsewhere | NextStep::Retry => self.requeue(id, backoff(failure, attempt)),
-            NextStep::Resume if service => self.fail_call(id, "the response was truncated"),
+            NextStep::Resume if service => self.fail_call(id, "the answer broke off"),
             NextStep::Resume => self.resume(id, &run, failure),
-            NextStep::Unknown => self.fail_call(id, "the target failed after the request was sent"),
+            NextStep::Unknown => self.fail_call(id, "the target failed after it was sent"),
         }
     }
 
@@ -384,7 +383,7 @@
             return;
         };
         if call.attempts >= MAX_ATTEMPTS {
-            self.fail_call(id, "the maximum number of attempts failed");
+            self.fail_call(id, "every attempt failed");
             return;
         }
         call.stage = Stage::Waiting;
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -111,7 +111,7 @@
     ReplyStep { reply: ReplyKind::Granted, next: NextStep::Wait },
     ReplyStep { reply: ReplyKind::Recorded, next: NextStep::Replay },
     refuse(ReplyKind::InProgress, Reason::InProgress, Run::Unknown, RESEND_RETRY_AFTER, "the same request is in progress"),
-    refuse(ReplyKind::Unknown, Reason::TargetFailed, Run::Unknown, None, "the same request was sent and its outcome is unknown"),
+    refuse(ReplyKind::Unknown, Reason::TargetFailed, Run::Unknown, None, "the same request was sent and its outcome is not known"),
     refuse(ReplyKind::Mismatch, Reason::Mismatch, Run::NotRun, None, "the key was used with another body"),
     refuse(ReplyKind::Forgotten, Reason::Forgotten, Run::Unknown, None, "the outcome of this key is no longer kept"),
     refuse(ReplyKind::Unavailable, Reason::Unavailable, Run::NotRun, RESEND_RETRY_AFTER, "control cannot commit the claim now"),
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -339,11 +339,11 @@
                 .get(&id)
                 .is_some_and(|call| call.progress == Progress::Unsent);
             if unsent {
-                let detail = "targets declined the request and the retry budget is spent";
+                let detail = "targets turned it away, and no more retries may be made now";
                 let rejection = Rejection::not_run(Reason::Overloaded, detail);
                 self.refuse(id, rejection.after(wait.min(MAX_BUDGET_WAIT)));
             } else {
-                self.fail_call(id, "the target failed and the retry budget is spent");
+                self.fail_call(id, "the target failed, and no more retries may be made now");
             }
         }
     }
--- a/crates/entry/src/finish.rs
+++ b/crates/entry/src/finish.rs
@@ -305,14 +305,8 @@
             return;
         };
         let (run, detail) = match call.progress {
-            Progress::Unsent => (
-                Run::NotRun,
-                "the deadline passed before the request was sent to a target",
-            ),
-            Progress::Sent => (
-                Run::Unknown,
-                "the deadline passed before the target answered",
-            ),
+            Progress::Unsent => (Run::NotRun, "the deadline came while it waited"),
+            Progress::Sent => (Run::Unknown, "the deadline came before the answer"),
             Progress::Begun => (Run::Unknown, "the answer cancelled coming"),
         };
         let rejection = Rejection {
--- a/crates/entry/src/updates.rs
+++ b/crates/entry/src/updates.rs
@@ -198,10 +198,7 @@
         let mut unknown: Vec<CallId> = unknown.map(|call| call.request.id).collect();
         unknown.sort_unstable();
         for id in unknown {
-            let rejection = Rejection::not_run(
-                Reason::Unknown,
-                "the settings no longer list the requested model or service",
-            );
+            let rejection = Rejection::not_run(Reason::Unknown, "the settings no longer have it");
             self.refuse(id, rejection);
         }
     }
