--- a/crates/quorum/examples/commits.rs
+++ b/crates/quorum/examples/commits.rs
@@ -12,7 +12,7 @@
 use cornelhitch_quorum::disk::{Disk, Done, Owner, Writer};
 use cornelhitch_quorum::log::{Entry, Payload};
 use cornelhitch_quorum::prelude::*;
-use cornelhitch_quorum::store::{Ballot, Record};
+use cornelhitch_quorum::store::{HardState, Record};
 
 const VOTERS: u64 = 3;
 
@@ -111,7 +111,7 @@
     if disk.recovered().entries.is_empty() {
         let peers: Vec<Peer> = (0..VOTERS).map(|id| Peer { id, incarnation: 1 }).collect();
         let seeded = Recovered::seeded(disk.recovered().identity, &Membership::of(&peers));
-        let mut records = vec![Record::Ballot(seeded.ballot)];
+        let mut records = vec![Record::HardState(seeded.hard_state)];
         records.extend(seeded.entries.into_iter().map(Record::Entry));
         disk.append(&records).expect("room on the disk");
     }
@@ -134,7 +134,7 @@
         for (member, queue) in (0..VOTERS).zip(queues) {
             let disk = open(folder, member);
             let config = Config {
-                compact_entries: u64::MAX,
+                snapshot_threshold_entries: u64::MAX,
                 ..Config::default()
             };
             let core = Core::new(config, disk.recovered(), member, start.elapsed());
@@ -232,12 +232,12 @@
         payload: Payload::Data(data.clone()),
     };
     let lineage = 1;
-    let ballot = Record::Ballot(Ballot {
+    let hard_state = Record::HardState(HardState {
         term: 1,
-        vote: None,
+        voted_for: None,
         lineage,
     });
-    disk.append(&[ballot]).expect("room on the disk");
+    disk.append(&[hard_state]).expect("room on the disk");
     let records: Vec<Record> = (1..=entries)
         .map(|index| Record::Entry(entry(index)))
         .collect();
--- a/crates/quorum/src/action.rs
+++ b/crates/quorum/src/action.rs
@@ -1,4 +1,4 @@
-//! What a core asks its owner to do.
+//! Actions that a [`Core`](crate::core::Core) asks its owner to execute.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -9,88 +9,94 @@
 use crate::status::Role;
 use crate::store::Batch;
 
-/// What a core asks its owner to do, in order.
+/// An action for the owner of a [`Core`](crate::core::Core), to be executed in the order returned.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Write and sync a batch, after those before it; then report `Persisted`.
+    /// Write and sync a batch after all earlier ones, then report
+    /// [`Event::Persisted`](crate::event::Event::Persisted).
     Persist(Batch),
-    /// Send a message; it may be lost.
+    /// Send a message. Delivery is not required to be reliable.
     Send {
-        /// The addressee.
+        /// The recipient.
         to: MemberId,
-        /// The message.
+        /// The message to send.
         message: Envelope,
     },
-    /// Apply a committed entry to the owner's state.
+    /// Apply a committed entry to the owner's state machine.
     Apply(Entry),
-    /// Replace the owner's state by a snapshot.
+    /// Replace the owner's state machine with a snapshot.
     Restore(Snapshot),
-    /// The log has grown: answer with [`Event::Snapshot`](crate::event::Event::Snapshot).
+    /// Take a snapshot, because the log has grown past the threshold, and pass it in as
+    /// [`Event::Snapshot`](crate::event::Event::Snapshot).
     NeedSnapshot,
-    /// A proposal, barrier or change is over without success.
+    /// A proposal, barrier or membership change failed.
     Rejected {
-        /// The owner's number for it.
+        /// The owner's request ID.
         id: RequestId,
-        /// Why.
+        /// Why the request failed.
         reason: Reason,
-        /// Who leads, as far as known.
+        /// The leader, if known.
         leader: Option<MemberId>,
     },
-    /// A read of the owner's state now sees all that was committed before the barrier.
+    /// A barrier has completed: a read of the owner's state now reflects everything committed
+    /// before it.
     BarrierDone {
-        /// The owner's number for it.
+        /// The owner's request ID.
         id: RequestId,
     },
-    /// A change of the members is committed.
+    /// A membership change is committed.
     Changed {
-        /// The owner's number for it.
+        /// The owner's request ID.
         id: RequestId,
     },
-    /// A member without a group asks this leader to be admitted.
+    /// A member that belongs to no group asks this leader to admit it.
     Joining(Peer),
-    /// The role, term or leader has changed.
+    /// This member's role or term, or the known leader, has changed.
     Role {
         /// This member's role.
         role: Role,
-        /// Its term.
+        /// This member's term.
         term: Term,
-        /// Who leads, as far as known.
+        /// The leader, if known.
         leader: Option<MemberId>,
     },
 }
 
-/// A committed entry for the owner. Entries without a payload for the owner are left out, so
-/// indexes grow and may have gaps.
+/// A committed entry for the owner. Entries that carry no owner payload are skipped, so indexes
+/// increase but may have gaps.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its position in the log.
+    /// Position in the log.
     pub index: Index,
-    /// The term of the leader that wrote it.
+    /// Term of the leader that appended the entry.
     pub term: Term,
-    /// What was proposed.
+    /// The proposed payload.
     pub payload: Bytes,
-    /// The owner's number, if it was proposed here in this life of the process.
+    /// The owner's request ID, if the entry was proposed on this member since the process started.
     pub id: Option<RequestId>,
 }
 
-/// Why a request was not done.
+/// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// This member does not lead; nothing was done.
+    /// This member is not the leader; the request had no effect.
     NotLeader,
-    /// Too much is under way, or another change is; nothing was done.
+    /// Too many uncommitted bytes are in flight, or another membership change is in progress; the
+    /// request had no effect.
     Busy,
-    /// The payload is larger than a message may be; nothing was done.
+    /// The payload exceeds the maximum message size; the request had no effect.
     TooLarge,
-    /// Another entry was committed in its place; it never takes effect.
+    /// Another entry was committed at the proposal's index; the proposal never takes effect.
     Superseded,
-    /// It may have taken effect: the state or leadership came from elsewhere meanwhile.
+    /// The request may have taken effect: its outcome was lost through a change of leader, an
+    /// installed snapshot or the removal of this member.
     Unknown,
-    /// The change does not fit the members: an unknown member, a known member under another
-    /// incarnation, or the last voter.
+    /// The change is not valid for the current membership: the member is unknown, it is known under
+    /// another incarnation, or it is the last voter.
     Invalid,
-    /// The learner made no progress for too long.
+    /// The learner made no progress, or a quorum of the new membership did not respond, within the
+    /// catch-up timeout.
     Stalled,
 }
--- a/crates/quorum/src/config.rs
+++ b/crates/quorum/src/config.rs
@@ -1,18 +1,19 @@
-//! What a member is told when it starts.
+//! Configuration of a member.
 
 use std::time::Duration;
 
 use crate::id::MemberId;
 
-/// Largest difference between the rate of a member's monotonic clock and real time, in millionths.
+/// Largest tolerated deviation of a member's monotonic clock rate from real time, in parts per
+/// million.
 ///
-/// Leases are exclusive as long as every clock runs between 0.99 and 1.01 seconds per second.
-/// Quartz clocks stay under 0.0002; time adjustment by NTP adds at most 0.0005.
+/// Leases are exclusive as long as every clock advances between 0.99 and 1.01 seconds per second.
+/// Quartz oscillators deviate by less than 0.0002 and NTP slewing adds at most 0.0005.
 pub const DRIFT_PPM: u32 = 10_000;
 
 const MILLION: u32 = 1_000_000;
 
-/// Settings of one member.
+/// Configuration of one member.
 ///
 /// ```
 /// use cornelhitch_quorum::config::Config;
@@ -23,48 +24,53 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Members to ask for admission while this one belongs to no group.
+    /// Members to ask for admission while this member belongs to no group.
     pub peers: Vec<MemberId>,
-    /// Whether this member founds the group if its disk is empty and no peer belongs to one.
+    /// Whether this member bootstraps the group if its storage is empty and no peer belongs to a
+    /// group.
     pub founder: bool,
-    /// Silence of the leader after which a member asks for votes, at least; at most twice this.
-    /// Nobody grants a vote within this time of hearing a leader.
+    /// Election timeout: a member campaigns after hearing no leader for a random time between this
+    /// value and twice it. No member grants a vote within this time of hearing from a leader.
     pub election: Duration,
-    /// Time between two messages of the leader to the same member.
+    /// Interval between heartbeats to each member.
     pub heartbeat: Duration,
-    /// A disk that takes longer than this for one batch counts as sick.
-    pub stall: Duration,
-    /// Time from a failed batch to the next attempt.
-    pub retry: Duration,
-    /// Longest time without progress that a change of members waits for a learner.
-    pub catch_up: Duration,
-    /// Largest sum of payload bytes in one message.
-    pub message_bytes: usize,
-    /// Messages with entries under way to one member at a time.
-    pub inflight: usize,
-    /// Largest sum of payload bytes that are proposed and not committed.
-    pub uncommitted_bytes: usize,
-    /// Largest sum of payload bytes kept while the disk is sick.
-    pub unsynced_bytes: usize,
-    /// Entries after the snapshot that make the core ask for the next one.
-    pub compact_entries: u64,
-    /// Entries kept in memory before the snapshot, for members that are a little behind.
+    /// A disk that needs longer than this to write one batch counts as unhealthy.
+    pub stall_timeout: Duration,
+    /// Delay between a failed write and the next attempt.
+    pub write_retry_delay: Duration,
+    /// Longest time that a membership change waits without progress for a learner to catch up or
+    /// for a quorum to respond.
+    pub catch_up_timeout: Duration,
+    /// Maximum total payload per message, in bytes.
+    pub max_message_bytes: usize,
+    /// Maximum number of unacknowledged messages with entries per member.
+    pub max_inflight_messages: usize,
+    /// Maximum total payload of uncommitted proposals, in bytes.
+    pub max_uncommitted_bytes: usize,
+    /// Maximum total payload of unsynced entries held in memory while the disk is unhealthy, in
+    /// bytes.
+    pub max_unsynced_bytes: usize,
+    /// Number of entries applied since the last snapshot after which the core requests a new one.
+    pub snapshot_threshold_entries: u64,
+    /// Number of entries kept in memory before the snapshot, so that slightly lagging members do
+    /// not need the snapshot.
     pub trailing_entries: u64,
-    /// Largest snapshot that is accepted from a leader, in bytes.
-    pub snapshot_bytes: u64,
-    /// Whether a leader answers reads by its lease; else a quorum is asked each time, which holds
-    /// also where the monotonic clock stands still while a process is suspended.
+    /// Maximum size of a snapshot accepted from a leader, in bytes.
+    pub max_snapshot_bytes: u64,
+    /// Whether a leader serves reads under its lease. Otherwise each read is confirmed by a quorum,
+    /// which is also safe where the monotonic clock stops while the process is suspended.
     pub lease_reads: bool,
-    /// A fault put in on purpose, for the tests that show that the checks can fail.
+    /// A fault to inject, for tests that verify that the invariant checks detect it.
     #[doc(hidden)]
     pub fault: Option<Fault>,
 }
 
 impl Config {
-    /// How long a lease lasts from the sending of the heartbeat that a quorum answered.
+    /// Duration of a lease, counted from the sending of the heartbeat that a quorum answered.
     ///
-    /// With clock rates in `1 ± d`, a voter's promise lasts at least `election / (1 + d)` and a
-    /// lease at most `lease / (1 - d)` of real time, so `lease = election * (1 - 2d)` is safe.
+    /// With clock rates in `1 ± d`, a voter withholds its vote for at least `election / (1 + d)`
+    /// and a lease lasts at most `lease / (1 - d)` of real time, so `lease = election * (1 - 2d)`
+    /// is safe.
     #[must_use]
     pub fn lease(&self) -> Duration {
         if self.fault == Some(Fault::LongLease) {
@@ -81,42 +87,43 @@
             founder: false,
             election: Duration::from_millis(800),
             heartbeat: Duration::from_millis(150),
-            stall: Duration::from_secs(2),
-            retry: Duration::from_millis(500),
-            catch_up: Duration::from_mins(1),
-            message_bytes: 256 * 1024,
-            inflight: 16,
-            uncommitted_bytes: 16 * 1024 * 1024,
-            unsynced_bytes: 16 * 1024 * 1024,
-            compact_entries: 10_000,
+            stall_timeout: Duration::from_secs(2),
+            write_retry_delay: Duration::from_millis(500),
+            catch_up_timeout: Duration::from_mins(1),
+            max_message_bytes: 256 * 1024,
+            max_inflight_messages: 16,
+            max_uncommitted_bytes: 16 * 1024 * 1024,
+            max_unsynced_bytes: 16 * 1024 * 1024,
+            snapshot_threshold_entries: 10_000,
             trailing_entries: 1_000,
-            snapshot_bytes: 256 * 1024 * 1024,
+            max_snapshot_bytes: 256 * 1024 * 1024,
             lease_reads: true,
             fault: None,
         }
     }
 }
 
-/// Faults for the tests: each breaks one rule, and the schedules must notice.
+/// Faults for fault-injection tests. Each violates one invariant, and the simulation must detect
+/// it.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumIter, strum::Display)]
 pub enum Fault {
-    /// Votes more than once in a term.
+    /// Votes for several candidates in one term.
     VoteTwice,
     /// Acknowledges entries and votes before they are synced.
     AckBeforeSync,
-    /// Counts a commit without asking a quorum.
+    /// Commits entries that only the leader has synced.
     CommitAlone,
-    /// Holds a lease for longer than voters promise.
+    /// Holds a lease for longer than voters withhold their votes.
     LongLease,
-    /// Forgets at a restart that it may have heard a leader just before.
+    /// Grants votes right after a restart, although it may have heard from a leader just before.
     ForgetPromise,
-    /// Answers barriers from what this member has, leader or not.
+    /// Completes barriers from local state without checking leadership.
     StaleBarrier,
-    /// Applies entries again that the snapshot holds already.
+    /// Labels snapshots one entry too low, so that an entry is applied twice.
     ApplyTwice,
-    /// Takes votes and acknowledgements of any incarnation.
+    /// Accepts votes and acknowledgements from any incarnation of a member.
     AnyIncarnation,
-    /// Writes a change of members before the one before it is committed.
+    /// Appends a membership change before the previous one is committed.
     ManyChanges,
 }
--- a/crates/quorum/src/core.rs
+++ b/crates/quorum/src/core.rs
@@ -1,15 +1,15 @@
-//! One member of a group, without clock, socket or disk.
+//! The Raft state machine of one member, without clock, network or disk access.
 //!
-//! The rules are Raft's: D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus
-//! Algorithm" (USENIX ATC 2014), and D. Ongaro, "Consensus: Bridging Theory and Practice" (doctoral
-//! thesis, Stanford 2014): pre-vote §9.6, check-quorum and leases §6.4, single-server changes of
-//! members §4, snapshots §5, pipelined appends §10.2.
+//! It implements Raft as described in D. Ongaro and J. Ousterhout, "In Search of an Understandable
+//! Consensus Algorithm" (USENIX ATC 2014), and D. Ongaro, "Consensus: Bridging Theory and Practice"
+//! (doctoral thesis, Stanford 2014): pre-vote §9.6, check-quorum and leases §6.4, single-server
+//! membership changes §4, snapshots §5, pipelined `AppendEntries` §10.2.
 
 mod apply;
 mod barrier;
 mod change;
 mod election;
-mod follow;
+mod follower;
 mod persist;
 mod progress;
 mod replicate;
@@ -27,68 +27,70 @@
 use crate::event::Event;
 use crate::id::{Incarnation, Index, MemberId, Peer, RequestId, Term, Time};
 use crate::log::{Log, Payload};
-use crate::member::{History, Membership};
+use crate::member::{Membership, MembershipHistory};
 use crate::message::Envelope;
 use crate::status::{Lease, Role, Status};
-use crate::store::{Ballot, Identity, Recovered};
+use crate::store::{HardState, Identity, Recovered};
 
 use barrier::Barrier;
-use persist::Disk;
+use persist::WriteQueue;
 use progress::Progress;
-use transfer::Incoming;
+use transfer::IncomingSnapshot;
 
-/// One member of a group.
+/// The Raft state machine of one member of a group.
 ///
-/// Its owner gives it events and the time, and carries out the actions that it returns.
+/// Its owner passes in events and the current time and executes the returned actions.
 #[derive(Debug)]
 pub struct Core {
     config: Config,
     identity: Identity,
     rng: SmallRng,
     now: Time,
-    ballot: Ballot,
+    hard_state: HardState,
     log: Log,
-    members: History,
+    memberships: MembershipHistory,
     role: Role,
     leader: Option<Peer>,
     commit: Index,
     applied: Index,
-    /// Agrees with the leader of this term up to here.
-    held: Index,
-    /// The latest stamp of the leader of this term.
-    heard_stamp: Time,
-    /// Grants no vote before this time.
-    promised_until: Time,
+    /// Last index, in memory, known to match the log of the leader of this term.
+    accepted_index: Index,
+    /// The latest stamp received from the leader of this term.
+    leader_stamp: Time,
+    /// No vote is granted before this time, so that the lease of a leader that this member
+    /// acknowledged stays exclusive.
+    votes_withheld_until: Time,
     election_at: Time,
     votes: BTreeSet<MemberId>,
-    outside: BTreeSet<MemberId>,
-    /// State of a leader.
+    without_group: BTreeSet<MemberId>,
+    /// Replication progress of the other members; only on a leader.
     progress: BTreeMap<MemberId, Progress>,
     heartbeat_at: Time,
     leader_since: Time,
-    first_of_term: Index,
+    term_start_index: Index,
     stamp: Time,
     barriers: VecDeque<Barrier>,
-    change: Option<change::Pending>,
-    disk: Disk,
-    /// Messages to be sent once a batch is synced.
-    waiting: VecDeque<(u64, Envelope)>,
+    pending_change: Option<change::PendingChange>,
+    writes: WriteQueue,
+    /// Messages to send once the batch with the given token is synced.
+    awaiting_sync: VecDeque<(u64, Envelope)>,
     proposals: BTreeMap<Index, (Term, RequestId)>,
-    uncommitted: usize,
-    incoming: Option<Incoming>,
-    /// The last entry with a payload for the owner, or the snapshot that it was given.
+    uncommitted_bytes: usize,
+    incoming_snapshot: Option<IncomingSnapshot>,
+    /// Index of the last entry or snapshot handed to the owner.
     owner_index: Index,
-    /// The last entry applied when the owner was asked for a snapshot.
-    asked_at: Option<Index>,
-    announced: Option<(Role, Term, Option<MemberId>)>,
+    /// Last applied index at the time the owner was asked for a snapshot; `None` if no request is
+    /// pending.
+    snapshot_requested_at: Option<Index>,
+    reported_role: Option<(Role, Term, Option<MemberId>)>,
     dropped: u64,
     actions: Vec<Action>,
 }
 
-/// The seed of a member's random choices.
+/// Derives the seed for a member's randomized election timeouts.
 ///
-/// Members may start at the same microsecond, when power comes back, and then have the same
-/// incarnation. With equal seeds they would time out together and split every vote.
+/// Members that start in the same microsecond, for example when power returns, have equal
+/// incarnations. With equal seeds they would time out together and split every vote.
 ///
 /// ```
 /// use cornelhitch_quorum::core::seed;
@@ -105,89 +107,91 @@
 }
 
 impl Core {
-    /// A member that goes on from what its store holds. `seed` spreads elections; give each
-    /// member and each start another one.
+    /// Creates a member from the content of its store. `seed` randomizes election timeouts and
+    /// should differ between members and between restarts.
     #[must_use]
     pub fn new(config: Config, recovered: Recovered, seed: u64, now: Time) -> Self {
         let Recovered {
             identity,
-            ballot,
+            hard_state,
             snapshot,
             entries,
         } = recovered;
-        let mut members = History::default();
+        let mut memberships = MembershipHistory::default();
         let mut actions = Vec::new();
         if let Some(snapshot) = &snapshot {
-            members.push(snapshot.index, snapshot.membership.clone());
+            memberships.push(snapshot.index, snapshot.membership.clone());
             actions.push(Action::Restore(snapshot.clone()));
         }
         for entry in &entries {
             if let Payload::Membership(membership) = &entry.payload {
-                members.push(entry.index, membership.clone());
+                memberships.push(entry.index, membership.clone());
             }
         }
         let log = Log::new(snapshot, entries);
         let mut core = Self {
-            promised_until: now + config.election,
+            votes_withheld_until: now + config.election,
             election_at: now,
             identity,
             rng: SmallRng::seed_from_u64(seed),
             now,
-            ballot,
-            members,
+            hard_state,
+            memberships,
             role: Role::Follower,
             leader: None,
             commit: log.snapshot_index(),
             applied: log.snapshot_index(),
-            held: log.snapshot_index(),
-            heard_stamp: Time::ZERO,
+            accepted_index: log.snapshot_index(),
+            leader_stamp: Time::ZERO,
             votes: BTreeSet::new(),
-            outside: BTreeSet::new(),
+            without_group: BTreeSet::new(),
             progress: BTreeMap::new(),
             heartbeat_at: now,
             leader_since: now,
-            first_of_term: 0,
+            term_start_index: 0,
             stamp: Time::ZERO,
             barriers: VecDeque::new(),
-            change: None,
-            disk: Disk::new(log.last()),
-            waiting: VecDeque::new(),
+            pending_change: None,
+            writes: WriteQueue::new(log.last()),
+            awaiting_sync: VecDeque::new(),
             proposals: BTreeMap::new(),
-            uncommitted: 0,
-            incoming: None,
+            uncommitted_bytes: 0,
+            incoming_snapshot: None,
             owner_index: log.snapshot_index(),
-            asked_at: None,
-            announced: None,
+            snapshot_requested_at: None,
+            reported_role: None,
             dropped: 0,
             actions,
             log,
             config,
         };
-        core.after_start();
+        core.schedule_first_election();
         core
     }
 
-    /// A member that had a group keeps the promise that it may have made just before the restart,
-    /// also if it is the only voter now: the leader that removed itself may hold a lease.
-    fn after_start(&mut self) {
-        if self.faulty(Fault::ForgetPromise) {
-            self.promised_until = self.now;
+    /// Schedules the first election. A restarted member withholds its vote for one election
+    /// timeout, since it may have acknowledged a leader just before the restart. This also applies
+    /// to a sole voter: a leader that removed itself may still hold a lease.
+    fn schedule_first_election(&mut self) {
+        if self.has_fault(Fault::ForgetPromise) {
+            self.votes_withheld_until = self.now;
         }
         if self.is_sole_voter() {
-            self.election_at = self.promised_until;
+            self.election_at = self.votes_withheld_until;
         } else if !self.membership().is_empty() {
             self.postpone_election();
         }
     }
 
-    /// Takes an event and returns what to do, in order. Batches for the disk come first, so that
-    /// they stay in order when an owner gives the next event while it carries out the rest.
+    /// Processes an event and returns the resulting actions in order. `Persist` actions come first,
+    /// so that batches stay ordered even if the owner passes in the next event while it executes
+    /// the other actions.
     pub fn handle(&mut self, event: Event, now: Time) -> Vec<Action> {
         self.handle_all([event], now)
     }
 
-    /// Takes several events that are there at once; cheaper than one by one, since entries that
-    /// are proposed together go to the disk and to the members together.
+    /// Processes several events together. This is cheaper than one by one, because proposals in the
+    /// same call are written and replicated together.
     pub fn handle_all(
         &mut self,
         events: impl IntoIterator<Item = Event>,
@@ -196,7 +200,7 @@
         self.now = self.now.max(now);
         self.run_timers();
         for event in events {
-            self.take(event);
+            self.dispatch(event);
         }
         self.flush();
         let mut actions = std::mem::take(&mut self.actions);
@@ -204,7 +208,7 @@
         actions
     }
 
-    fn take(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         match event {
             Event::Tick => {}
             Event::Receive { from, message } => self.receive(from, message),
@@ -212,13 +216,13 @@
             Event::Persisted { token } => self.on_persisted(token),
             Event::PersistFailed { token } => self.on_persist_failed(token),
             Event::Change { id, change } => self.on_change(id, change),
-            Event::Snapshot { index, data } => self.on_snapshot(index, data),
+            Event::Snapshot { index, data } => self.on_owner_snapshot(index, data),
             Event::Barrier { id } => self.on_barrier(id),
         }
     }
 
     fn run_timers(&mut self) {
-        self.check_disk();
+        self.check_writes();
         match self.role {
             Role::Leader => self.check_quorum(),
             _ if self.now >= self.election_at => self.on_election_timeout(),
@@ -229,49 +233,49 @@
     fn flush(&mut self) {
         if self.role == Role::Leader {
             self.advance_commit();
-            self.drive_change();
+            self.advance_change();
             self.replicate();
-            self.retire_if_removed();
+            self.step_down_if_removed();
         }
         self.apply_committed();
-        self.answer_barriers();
-        self.ask_snapshot();
-        self.announce();
-        self.stage_batch();
+        self.complete_barriers();
+        self.request_snapshot();
+        self.report_role();
+        self.submit_staged();
     }
 
-    /// The time at which the core wants the next [`Event::Tick`], if nothing comes before.
+    /// The time by which the core needs an [`Event::Tick`] if no other event occurs earlier.
     #[must_use]
     pub fn next_wake(&self) -> Time {
         let own = match self.role {
             Role::Leader => self.heartbeat_at.min(self.quorum_deadline()),
             _ => self.election_at,
         };
-        self.disk
+        self.writes
             .deadline(&self.config)
-            .map_or(own, |disk| own.min(disk))
+            .map_or(own, |deadline| own.min(deadline))
     }
 
-    /// The right to decide alone, if this member has it at `now`.
+    /// Returns the leader lease if this member holds one at `now`.
     ///
-    /// Leases of two members never overlap in real time while clocks keep to
-    /// [`DRIFT_PPM`](crate::config::DRIFT_PPM). The check holds for the moment of `now`: a
-    /// process that stops between the check and its act for longer than the rest of the lease
-    /// acts too late, so check right before the act.
+    /// Leases of two members never overlap in real time while clock rates stay within
+    /// [`DRIFT_PPM`](crate::config::DRIFT_PPM). The result is valid at `now` only: a process that
+    /// is paused between the check and the protected action may act after the lease has expired, so
+    /// check immediately before acting.
     #[must_use]
     pub fn lease(&self, now: Time) -> Option<Lease> {
-        let committed = self.commit >= self.first_of_term;
+        let committed = self.commit >= self.term_start_index;
         if self.role != Role::Leader || !committed {
             return None;
         }
         let until = self.quorum_stamp(now)? + self.config.lease();
         (now < until).then_some(Lease {
-            term: self.ballot.term,
+            term: self.hard_state.term,
             until,
         })
     }
 
-    /// What the member shows of itself.
+    /// Returns the member's current status.
     #[must_use]
     pub fn status(&self) -> Status {
         let matched = self
@@ -283,24 +287,24 @@
             cluster: self.identity.cluster,
             group: self.identity.group,
             peer: self.identity.peer,
-            lineage: self.ballot.lineage,
+            lineage: self.hard_state.lineage,
             role: self.role,
-            term: self.ballot.term,
+            term: self.hard_state.term,
             leader: self.leader.map(|peer| peer.id),
             commit: self.commit,
             applied: self.applied,
             last: self.log.last(),
-            durable: self.disk.durable,
+            durable: self.writes.durable,
             snapshot: self.log.snapshot_index(),
             members: self.membership().clone(),
             matched,
             silent: self.silent(),
-            disk_sick: self.disk.sick(),
+            disk_unhealthy: self.writes.is_unhealthy(),
             dropped: self.dropped,
         }
     }
 
-    /// How long each other member has not answered this leader.
+    /// Returns how long each other member has not responded to this leader.
     fn silent(&self) -> BTreeMap<MemberId, Time> {
         let members = self.progress.iter();
         let silent = members.map(|(id, progress)| {
@@ -310,14 +314,14 @@
         silent.collect()
     }
 
-    /// The entry at `index`, for checks in tests.
+    /// The entry at `index`, if in memory; for invariant checks in tests.
     #[doc(hidden)]
     #[must_use]
     pub fn entry(&self, index: Index) -> Option<&crate::log::Entry> {
         self.log.entry(index)
     }
 
-    fn faulty(&self, fault: Fault) -> bool {
+    fn has_fault(&self, fault: Fault) -> bool {
         self.config.fault == Some(fault)
     }
 
@@ -326,10 +330,10 @@
     }
 
     fn membership(&self) -> &Membership {
-        self.members.latest()
+        self.memberships.latest()
     }
 
-    /// Whether this life of the disk counts in quorums.
+    /// Whether this member is a voter under its current incarnation.
     fn is_voter(&self) -> bool {
         let members = self.membership();
         members.is_voter(self.me().id) && members.admits(self.me())
@@ -339,12 +343,16 @@
         self.is_voter() && self.membership().quorum() == 1
     }
 
-    fn announce(&mut self) {
-        let state = (self.role, self.ballot.term, self.leader.map(|peer| peer.id));
-        if self.announced == Some(state) {
+    fn report_role(&mut self) {
+        let state = (
+            self.role,
+            self.hard_state.term,
+            self.leader.map(|peer| peer.id),
+        );
+        if self.reported_role == Some(state) {
             return;
         }
-        self.announced = Some(state);
+        self.reported_role = Some(state);
         let (role, term, leader) = state;
         self.actions.push(Action::Role { role, term, leader });
     }
--- a/crates/quorum/src/core/apply.rs
+++ b/crates/quorum/src/core/apply.rs
@@ -1,4 +1,4 @@
-//! Committed entries on their way to the owner, and answers to what it asked.
+//! Delivery of committed entries to the owner and completion of its requests.
 
 use super::Core;
 use crate::action::{Action, Entry, Reason};
@@ -22,7 +22,7 @@
             term,
             payload,
         } = entry;
-        let id = self.settle(index, term);
+        let id = self.resolve_proposal(index, term);
         if let Payload::Data(payload) = payload {
             self.owner_index = index;
             self.actions.push(Action::Apply(Entry {
@@ -34,8 +34,9 @@
         }
     }
 
-    /// The proposal that became the committed entry; one that another entry replaced is over.
-    pub(super) fn settle(&mut self, index: Index, term: Term) -> Option<RequestId> {
+    /// Returns the request ID of the proposal that became the committed entry. If another entry was
+    /// committed at the proposal's index, rejects the proposal as superseded.
+    pub(super) fn resolve_proposal(&mut self, index: Index, term: Term) -> Option<RequestId> {
         let (proposed, id) = self.proposals.remove(&index)?;
         if proposed == term {
             return Some(id);
--- a/crates/quorum/src/core/barrier.rs
+++ b/crates/quorum/src/core/barrier.rs
@@ -1,4 +1,5 @@
-//! Reads that see all that was committed before them (Ongaro's thesis §6.4).
+//! Linearizable reads: barriers confirmed by a quorum or a lease (`ReadIndex` in Ongaro's thesis,
+//! §6.4).
 
 use super::Core;
 use crate::action::{Action, Reason};
@@ -6,25 +7,25 @@
 use crate::id::{Index, RequestId, Time};
 use crate::status::Role;
 
-/// A read that waits.
+/// A pending linearizable read.
 #[derive(Debug)]
 pub(super) struct Barrier {
     pub(super) id: RequestId,
-    /// A quorum must answer a later stamp, unless there is a lease.
+    /// Without a lease, a quorum must have echoed a stamp later than this one.
     stamp: Time,
-    /// The owner's state must hold this entry.
+    /// Read index: this entry must be applied first.
     index: Index,
 }
 
 impl Core {
     pub(super) fn on_barrier(&mut self, id: RequestId) {
-        if self.faulty(Fault::StaleBarrier) {
+        if self.has_fault(Fault::StaleBarrier) {
             return self.actions.push(Action::BarrierDone { id });
         }
         if self.role != Role::Leader {
             return self.reject(id, Reason::NotLeader);
         }
-        let index = self.commit.max(self.first_of_term);
+        let index = self.commit.max(self.term_start_index);
         let stamp = self.next_stamp();
         self.barriers.push_back(Barrier { id, stamp, index });
         if !self.reads_by_lease() {
@@ -32,13 +33,13 @@
         }
     }
 
-    /// Whether this leader needs to ask nobody before a read.
+    /// Whether this leader may serve reads under its lease without asking a quorum.
     fn reads_by_lease(&self) -> bool {
         self.config.lease_reads && self.lease(self.now).is_some()
     }
 
-    /// Answers the barriers that may be read behind now.
-    pub(super) fn answer_barriers(&mut self) {
+    /// Completes the barriers whose conditions are met.
+    pub(super) fn complete_barriers(&mut self) {
         let leased = self.reads_by_lease();
         let heard = self.quorum_stamp(Time::MAX).unwrap_or_default();
         while let Some(barrier) = self.barriers.front() {
--- a/crates/quorum/src/core/change.rs
+++ b/crates/quorum/src/core/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the members, one at a time (Ongaro's thesis §4).
+//! Single-server membership changes, one at a time (Ongaro's thesis §4).
 
 use super::Core;
 use crate::action::{Action, Reason};
@@ -6,38 +6,39 @@
 use crate::event::Change;
 use crate::id::{MemberId, Peer, RequestId, Time};
 use crate::log::Payload;
-use crate::member::{Membership, Standing};
+use crate::member::{MemberKind, Membership};
 use crate::status::Role;
 
-/// A change that is under way.
+/// A membership change in progress.
 #[derive(Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingChange {
     pub(super) id: RequestId,
     change: Change,
     since: Time,
 }
 
-/// What brings a change further.
+/// The next step of a membership change.
 #[derive(Debug, PartialEq, Eq)]
-enum Step {
-    /// Nothing is left to do.
+enum ChangeStep {
+    /// The change is complete.
     Done,
-    /// Put this membership into the log.
+    /// Append this membership to the log.
     Write(Membership),
-    /// Make the learner a voter once it is caught up.
+    /// Promote the learner to voter once it has caught up.
     Promote(Peer),
-    /// The change does not fit the members.
+    /// The change is not valid for the membership.
     Invalid,
 }
 
 impl Change {
-    /// The next step from `members`; the same for a change asked again half way.
-    fn step(self, members: &Membership) -> Step {
+    /// Returns the next step from `members`. Depends on the membership alone, so a repeated change
+    /// resumes where the earlier one stopped.
+    fn next_step(self, members: &Membership) -> ChangeStep {
         match self {
             Change::Add(peer) => add(members, peer),
             Change::Promote(id) => match members.peer(id) {
                 Some(peer) => promote(members, peer),
-                None => Step::Invalid,
+                None => ChangeStep::Invalid,
             },
             Change::Remove(id) => remove(members, id),
             Change::Replace { old, new } => replace(members, old, new),
@@ -45,49 +46,49 @@
     }
 }
 
-fn add(members: &Membership, peer: Peer) -> Step {
+fn add(members: &Membership, peer: Peer) -> ChangeStep {
     match members.get(&peer.id) {
-        None => Step::Write(members.with(peer, Standing::Learner)),
-        Some(member) if member.incarnation == peer.incarnation => Step::Done,
-        Some(_) => Step::Invalid,
+        None => ChangeStep::Write(members.with(peer, MemberKind::Learner)),
+        Some(member) if member.incarnation == peer.incarnation => ChangeStep::Done,
+        Some(_) => ChangeStep::Invalid,
     }
 }
 
-fn promote(members: &Membership, peer: Peer) -> Step {
+fn promote(members: &Membership, peer: Peer) -> ChangeStep {
     if members.is_voter(peer.id) {
-        Step::Done
+        ChangeStep::Done
     } else {
-        Step::Promote(peer)
+        ChangeStep::Promote(peer)
     }
 }
 
-fn remove(members: &Membership, id: MemberId) -> Step {
-    let left = members.without(id);
+fn remove(members: &Membership, id: MemberId) -> ChangeStep {
+    let remaining = members.without(id);
     match members.contains_key(&id) {
-        false => Step::Done,
-        true if left.voters().next().is_none() => Step::Invalid,
-        true => Step::Write(left),
+        false => ChangeStep::Done,
+        true if remaining.voters().next().is_none() => ChangeStep::Invalid,
+        true => ChangeStep::Write(remaining),
     }
 }
 
-/// The new member becomes a voter before the old one leaves, except where both have one id.
-fn replace(members: &Membership, old: MemberId, new: Peer) -> Step {
+/// The new member becomes a voter before the old one is removed, except when both have the same ID.
+fn replace(members: &Membership, old: MemberId, new: Peer) -> ChangeStep {
     let stale = members.contains_key(&new.id) && !members.admits(new);
     if stale {
         return if old == new.id {
             remove(members, old)
         } else {
-            Step::Invalid
+            ChangeStep::Invalid
         };
     }
     if !members.admits(new) {
         return add(members, new);
     }
     if !members.is_voter(new.id) {
-        return Step::Promote(new);
+        return ChangeStep::Promote(new);
     }
     if old == new.id {
-        Step::Done
+        ChangeStep::Done
     } else {
         remove(members, old)
     }
@@ -98,87 +99,93 @@
         if self.role != Role::Leader {
             return self.reject(id, Reason::NotLeader);
         }
-        if self.change.is_some() {
+        if self.pending_change.is_some() {
             return self.reject(id, Reason::Busy);
         }
-        self.change = Some(Pending {
+        self.pending_change = Some(PendingChange {
             id,
             change,
             since: self.now,
         });
     }
 
-    /// Takes the next step of the change under way, once the membership before it is committed
-    /// and so is an entry of this term: without the latter, two leaders could each change another
-    /// committed membership (Ongaro, raft-dev, July 2015).
-    pub(super) fn drive_change(&mut self) {
-        let settled = self.members_settled();
-        if !settled && !self.faulty(Fault::ManyChanges) {
+    /// Performs the next step of the change in progress once both the previous membership and an
+    /// entry of this term are committed. Without the latter, two leaders could each change a
+    /// different committed membership (Ongaro, raft-dev, July 2015).
+    pub(super) fn advance_change(&mut self) {
+        let committed = self.membership_committed();
+        if !committed && !self.has_fault(Fault::ManyChanges) {
             return;
         }
-        let Some(pending) = &self.change else { return };
+        let Some(pending) = &self.pending_change else {
+            return;
+        };
         let (id, since) = (pending.id, pending.since);
-        match pending.change.step(self.membership()) {
-            Step::Done => {
-                self.change = None;
+        match pending.change.next_step(self.membership()) {
+            ChangeStep::Done => {
+                self.pending_change = None;
                 self.actions.push(Action::Changed { id });
             }
-            Step::Invalid => {
-                self.change = None;
+            ChangeStep::Invalid => {
+                self.pending_change = None;
                 self.reject(id, Reason::Invalid);
             }
-            Step::Write(members) => self.write_when_live(id, since, members),
-            Step::Promote(peer) => self.promote_when_ready(id, since, peer),
+            ChangeStep::Write(members) => self.append_if_quorum_responsive(id, since, members),
+            ChangeStep::Promote(peer) => self.promote_if_caught_up(id, since, peer),
         }
     }
 
-    fn members_settled(&self) -> bool {
-        self.commit >= self.first_of_term.max(self.members.latest_index())
+    fn membership_committed(&self) -> bool {
+        self.commit >= self.term_start_index.max(self.memberships.latest_index())
     }
 
-    /// A leader that removed itself leads until the removal is committed.
-    pub(super) fn retire_if_removed(&mut self) {
-        if self.members_settled() && !self.membership().admits(self.me()) {
-            self.become_follower(self.ballot.term);
-            self.forget_proposals(self.log.last());
+    /// A leader that removed itself steps down once the removal is committed.
+    pub(super) fn step_down_if_removed(&mut self) {
+        if self.membership_committed() && !self.membership().admits(self.me()) {
+            self.become_follower(self.hard_state.term);
+            self.fail_unresolved_proposals(self.log.last());
         }
     }
 
-    fn write_members(&mut self, members: Membership) {
-        self.write(Payload::Membership(members));
-        self.track_members();
+    fn append_membership(&mut self, members: Membership) {
+        self.append_entry(Payload::Membership(members));
+        self.update_tracked_members();
     }
 
-    /// A change that leaves no quorum of members that answer waits for one.
-    fn write_when_live(&mut self, id: RequestId, since: Time, members: Membership) {
-        let live = members.voters().filter(|id| self.is_live(*id)).count();
-        if live >= members.quorum() {
-            return self.write_members(members);
+    /// Appends a membership if a quorum of its voters is responsive; otherwise keeps waiting until
+    /// the catch-up timeout.
+    fn append_if_quorum_responsive(&mut self, id: RequestId, since: Time, members: Membership) {
+        let responsive = members
+            .voters()
+            .filter(|id| self.is_responsive(*id))
+            .count();
+        if responsive >= members.quorum() {
+            return self.append_membership(members);
         }
-        if self.now >= since + self.config.catch_up {
-            self.change = None;
+        if self.now >= since + self.config.catch_up_timeout {
+            self.pending_change = None;
             self.reject(id, Reason::Stalled);
         }
     }
 
-    fn is_live(&self, id: MemberId) -> bool {
+    fn is_responsive(&self, id: MemberId) -> bool {
         let stamp = self.progress.get(&id).and_then(|progress| progress.stamp);
         let heard = stamp.is_some_and(|at| at + self.config.election > self.now);
         heard || id == self.me().id
     }
 
-    /// A learner becomes a voter when it has synced all that is committed.
-    fn promote_when_ready(&mut self, id: RequestId, since: Time, peer: Peer) {
+    /// Promotes a learner to voter once it has synced every committed entry.
+    fn promote_if_caught_up(&mut self, id: RequestId, since: Time, peer: Peer) {
         let Some(progress) = self.progress.get(&peer.id) else {
             return;
         };
         let advanced_at = progress.advanced_at.max(since);
         if progress.durable >= self.commit {
-            let members = self.membership().with(peer, Standing::Voter);
-            return self.write_when_live(id, advanced_at, members);
+            let members = self.membership().with(peer, MemberKind::Voter);
+            return self.append_if_quorum_responsive(id, advanced_at, members);
         }
-        if self.now >= advanced_at + self.config.catch_up {
-            self.change = None;
+        if self.now >= advanced_at + self.config.catch_up_timeout {
+            self.pending_change = None;
             self.reject(id, Reason::Stalled);
         }
     }
--- a/crates/quorum/src/core/election.rs
+++ b/crates/quorum/src/core/election.rs
@@ -1,4 +1,4 @@
-//! Elections, and how a member finds its group.
+//! Leader elections, joining a group and bootstrapping one.
 
 use std::collections::BTreeSet;
 
@@ -10,104 +10,105 @@
 use crate::id::{Incarnation, MemberId, Peer, Term, Time};
 use crate::log::Payload;
 use crate::member::Membership;
-use crate::message::{Message, Vote, Voted};
+use crate::message::{Message, RequestVote, VoteResponse};
 use crate::status::Role;
-use crate::store::Ballot;
+use crate::store::HardState;
 
-/// The term in which a group is founded.
+/// Term of the entry that bootstraps a group.
 const FIRST_TERM: Term = 1;
 
 impl Core {
-    /// Puts the next election off by one to two election time-outs.
+    /// Schedules the next election in one to two election timeouts.
     pub(super) fn postpone_election(&mut self) {
-        let spread = self.rng.random_range(0.0..1.0);
-        self.election_at = self.now + self.config.election.mul_f64(1.0 + spread);
+        let jitter = self.rng.random_range(0.0..1.0);
+        self.election_at = self.now + self.config.election.mul_f64(1.0 + jitter);
     }
 
-    /// Puts the next attempt off by a quarter to three quarters of an election time-out: votes
-    /// that were split need another attempt, and no promise stands against it any more.
+    /// Schedules the next attempt in a quarter to three quarters of an election timeout: after a
+    /// split vote no voter withholds its vote for a leader any more, so the retry may come sooner.
     fn retry_election(&mut self) {
-        let spread = self.rng.random_range(0.25..0.75);
-        self.election_at = self.now + self.config.election.mul_f64(spread);
+        let jitter = self.rng.random_range(0.25..0.75);
+        self.election_at = self.now + self.config.election.mul_f64(jitter);
     }
 
-    /// Follows in `term`, which is not before this member's.
+    /// Becomes a follower in `term`, which must not be lower than the current term.
     pub(super) fn become_follower(&mut self, term: Term) {
-        if term > self.ballot.term {
-            self.set_ballot(Ballot {
+        if term > self.hard_state.term {
+            self.set_hard_state(HardState {
                 term,
-                vote: None,
-                ..self.ballot
+                voted_for: None,
+                ..self.hard_state
             });
-            self.held = self.commit;
-            self.heard_stamp = Time::ZERO;
+            self.accepted_index = self.commit;
+            self.leader_stamp = Time::ZERO;
         }
         if self.role == Role::Leader {
-            self.leave_leadership();
+            self.clear_leader_state();
         }
         self.role = Role::Follower;
         self.leader = None;
     }
 
-    /// What a leader owes: its requests are over, and it votes for nobody while its lease may
-    /// still be relied on.
-    fn leave_leadership(&mut self) {
+    /// Clears leader state: fails pending barriers and changes, and withholds votes while the lease
+    /// may still be relied upon.
+    fn clear_leader_state(&mut self) {
         self.leader = None;
-        self.held = self.commit;
-        self.heard_stamp = Time::ZERO;
+        self.accepted_index = self.commit;
+        self.leader_stamp = Time::ZERO;
         self.progress.clear();
-        self.uncommitted = 0;
-        self.promised_until = self.now + self.config.election;
+        self.uncommitted_bytes = 0;
+        self.votes_withheld_until = self.now + self.config.election;
         self.postpone_election();
         for barrier in std::mem::take(&mut self.barriers) {
             self.reject(barrier.id, Reason::NotLeader);
         }
-        if let Some(pending) = self.change.take() {
+        if let Some(pending) = self.pending_change.take() {
             self.reject(pending.id, Reason::Unknown);
         }
     }
 
     pub(super) fn on_election_timeout(&mut self) {
-        if self.role == Role::Candidate && self.disk.busy() {
+        if self.role == Role::Candidate && self.writes.has_pending() {
             return self.retry_election();
         }
         self.postpone_election();
         self.leader = None;
         self.role = Role::Follower;
         if self.membership().is_empty() {
-            return self.look_for_group();
+            return self.join_or_bootstrap();
         }
-        if !self.may_lead() || self.disk.sick() {
-            return self.ask_to_join();
+        if !self.may_campaign() || self.writes.is_unhealthy() {
+            return self.send_join_requests();
         }
         self.role = Role::PreCandidate;
         self.votes = [self.me().id].into();
         self.retry_election();
         for peer in self.other_voters() {
-            let message = self.vote(true);
-            let term = self.ballot.term + 1;
+            let message = self.vote_request(true);
+            let term = self.hard_state.term + 1;
             self.send_in_term(peer.id, Some(peer.incarnation), term, message);
         }
-        self.ask_to_join();
+        self.send_join_requests();
         self.count_votes();
     }
 
-    /// Tells those who may lead that this member hears no leader: it may have been removed while
-    /// it was away, and then has to be admitted again.
-    fn ask_to_join(&mut self) {
+    /// Sends a join request to all known members and peers, since this member hears from no leader:
+    /// it may have been removed while it was offline and must then be admitted again.
+    fn send_join_requests(&mut self) {
         let me = self.me().id;
         let known = self.membership().keys().copied();
         let all: BTreeSet<MemberId> = known.chain(self.config.peers.iter().copied()).collect();
         for id in all.into_iter().filter(|id| *id != me) {
-            self.send_in_term(id, None, self.ballot.term, Message::Join);
+            self.send_in_term(id, None, self.hard_state.term, Message::Join);
         }
     }
 
-    /// A voter may lead, and so may one whose removal is in its log and not known to be committed:
-    /// the others may need it until then. Its own vote does not count (Ongaro's thesis §4.2.2).
-    fn may_lead(&self) -> bool {
-        let latest = self.members.latest_index();
-        let before = self.members.at(latest.saturating_sub(1));
+    /// Whether this member may campaign: it is a voter, or its removal is in its log but not known
+    /// to be committed. In the latter case the others may need it until then, but its own vote does
+    /// not count (Ongaro's thesis §4.2.2).
+    fn may_campaign(&self) -> bool {
+        let latest = self.memberships.latest_index();
+        let before = self.memberships.at(latest.saturating_sub(1));
         let leaving = latest > self.commit && before.is_voter(self.me().id);
         self.is_voter() || (leaving && before.admits(self.me()))
     }
@@ -122,10 +123,10 @@
             .collect()
     }
 
-    fn vote(&self, pre: bool) -> Message {
+    fn vote_request(&self, pre_vote: bool) -> Message {
         let (last_index, last_term) = (self.log.last(), self.log.last_term());
-        Message::Vote(Vote {
-            pre,
+        Message::RequestVote(RequestVote {
+            pre_vote,
             last_index,
             last_term,
         })
@@ -147,26 +148,27 @@
         }
     }
 
-    /// Asks for votes once its own is synced: a member that forgot its candidacy could else be
-    /// elected in the same term with fewer entries.
+    /// Starts a real election. Vote requests are sent only after this member's own vote is synced:
+    /// a member that forgot its candidacy could otherwise be elected in the same term with fewer
+    /// entries.
     fn campaign(&mut self) {
-        let term = self.ballot.term + 1;
+        let term = self.hard_state.term + 1;
         self.role = Role::Candidate;
         self.votes.clear();
-        self.set_ballot(Ballot {
+        self.set_hard_state(HardState {
             term,
-            vote: Some(self.me()),
-            ..self.ballot
+            voted_for: Some(self.me()),
+            ..self.hard_state
         });
-        self.held = self.commit;
-        self.heard_stamp = Time::ZERO;
+        self.accepted_index = self.commit;
+        self.leader_stamp = Time::ZERO;
         for peer in self.other_voters() {
-            let message = self.vote(false);
+            let message = self.vote_request(false);
             let envelope = self.envelope(peer.id, Some(peer.incarnation), term, message);
             self.send_after_sync(envelope);
         }
-        let own = Message::Voted(Voted {
-            pre: false,
+        let own = Message::VoteResponse(VoteResponse {
+            pre_vote: false,
             granted: true,
         });
         let me = self.me();
@@ -174,67 +176,82 @@
         self.send_after_sync(envelope);
     }
 
-    pub(super) fn on_vote(&mut self, from: Peer, term: Term, lineage: Incarnation, vote: Vote) {
-        if self.ballot.lineage == 0 || lineage == 0 {
+    pub(super) fn on_request_vote(
+        &mut self,
+        from: Peer,
+        term: Term,
+        lineage: Incarnation,
+        request: RequestVote,
+    ) {
+        if self.hard_state.lineage == 0 || lineage == 0 {
             return;
         }
-        let promised = self.now < self.promised_until || self.role == Role::Leader;
-        let current = (vote.last_term, vote.last_index) >= (self.log.last_term(), self.log.last());
-        let able = current && !promised && !self.disk.sick();
-        if vote.pre {
-            let granted = able && term > self.ballot.term;
-            return self.answer_pre_vote(from, term, granted);
+        let withheld = self.now < self.votes_withheld_until || self.role == Role::Leader;
+        let log_up_to_date =
+            (request.last_term, request.last_index) >= (self.log.last_term(), self.log.last());
+        let eligible = log_up_to_date && !withheld && !self.writes.is_unhealthy();
+        if request.pre_vote {
+            let granted = eligible && term > self.hard_state.term;
+            return self.respond_to_pre_vote(from, term, granted);
         }
-        if promised {
+        if withheld {
             return;
         }
-        if term > self.ballot.term {
+        if term > self.hard_state.term {
             self.become_follower(term);
         }
-        let free = self.ballot.vote.is_none_or(|v| v == from) || self.faulty(Fault::VoteTwice);
-        let granted = able && free && term == self.ballot.term;
+        let vote_available =
+            self.hard_state.voted_for.is_none_or(|v| v == from) || self.has_fault(Fault::VoteTwice);
+        let granted = eligible && vote_available && term == self.hard_state.term;
         if granted {
-            self.give_vote(from);
+            self.grant_vote(from);
         }
-        let message = Message::Voted(Voted {
-            pre: false,
+        let message = Message::VoteResponse(VoteResponse {
+            pre_vote: false,
             granted,
         });
-        let own_term = self.ballot.term;
+        let own_term = self.hard_state.term;
         let envelope = self.envelope(from.id, Some(from.incarnation), own_term, message);
         self.send_after_sync(envelope);
     }
 
-    fn give_vote(&mut self, to: Peer) {
-        if self.ballot.vote != Some(to) {
-            self.set_ballot(Ballot {
-                vote: Some(to),
-                ..self.ballot
+    fn grant_vote(&mut self, to: Peer) {
+        if self.hard_state.voted_for != Some(to) {
+            self.set_hard_state(HardState {
+                voted_for: Some(to),
+                ..self.hard_state
             });
         }
         self.postpone_election();
     }
 
-    fn answer_pre_vote(&mut self, from: Peer, asked: Term, granted: bool) {
-        let term = if granted { asked } else { self.ballot.term };
-        let message = Message::Voted(Voted { pre: true, granted });
+    fn respond_to_pre_vote(&mut self, from: Peer, requested_term: Term, granted: bool) {
+        let term = if granted {
+            requested_term
+        } else {
+            self.hard_state.term
+        };
+        let message = Message::VoteResponse(VoteResponse {
+            pre_vote: true,
+            granted,
+        });
         self.send_in_term(from.id, Some(from.incarnation), term, message);
     }
 
-    pub(super) fn on_voted(&mut self, from: Peer, term: Term, voted: Voted) {
-        if !voted.granted {
-            if term > self.ballot.term {
+    pub(super) fn on_vote_response(&mut self, from: Peer, term: Term, response: VoteResponse) {
+        if !response.granted {
+            if term > self.hard_state.term {
                 self.become_follower(term);
             }
             return;
         }
-        let (role, asked) = if voted.pre {
-            (Role::PreCandidate, self.ballot.term + 1)
+        let (role, expected_term) = if response.pre_vote {
+            (Role::PreCandidate, self.hard_state.term + 1)
         } else {
-            (Role::Candidate, self.ballot.term)
+            (Role::Candidate, self.hard_state.term)
         };
-        let known = self.membership().admits(from) || self.faulty(Fault::AnyIncarnation);
-        if self.role == role && term == asked && known {
+        let known = self.membership().admits(from) || self.has_fault(Fault::AnyIncarnation);
+        if self.role == role && term == expected_term && known {
             self.votes.insert(from.id);
             self.count_votes();
         }
@@ -245,50 +262,51 @@
         self.leader = Some(self.me());
         self.leader_since = self.now;
         self.heartbeat_at = self.now;
-        self.uncommitted = 0;
+        self.uncommitted_bytes = 0;
         self.progress.clear();
-        self.track_members();
-        self.first_of_term = self.write(Payload::Empty);
+        self.update_tracked_members();
+        self.term_start_index = self.append_entry(Payload::Empty);
     }
 
-    /// Asks to be admitted; a founder with an empty disk founds the group once every peer has
-    /// said that it belongs to none.
-    fn look_for_group(&mut self) {
-        self.ask_to_join();
-        self.found_if_new();
+    /// Requests admission, and bootstraps the group if this member is allowed to and every peer has
+    /// reported that it belongs to no group.
+    fn join_or_bootstrap(&mut self) {
+        self.send_join_requests();
+        self.bootstrap_if_allowed();
     }
 
     pub(super) fn on_join(&mut self, from: Peer) {
-        let outside = self.membership().is_empty();
+        let without_group = self.membership().is_empty();
         if self.role == Role::Leader && !self.membership().admits(from) {
             self.actions.push(Action::Joining(from));
         }
-        self.send(from, Message::Outside(outside));
+        self.send(from, Message::NoGroup(without_group));
     }
 
-    pub(super) fn on_outside(&mut self, from: Peer, outside: bool) {
-        if outside {
-            self.outside.insert(from.id);
+    pub(super) fn on_no_group(&mut self, from: Peer, without_group: bool) {
+        if without_group {
+            self.without_group.insert(from.id);
         } else {
-            self.outside.remove(&from.id);
+            self.without_group.remove(&from.id);
         }
-        self.found_if_new();
+        self.bootstrap_if_allowed();
     }
 
-    fn found_if_new(&mut self) {
+    fn bootstrap_if_allowed(&mut self) {
         let me = self.me();
         let (term, lineage) = (FIRST_TERM, me.incarnation.max(1));
-        let asked = |id: &MemberId| *id == me.id || self.outside.contains(id);
-        let new = self.membership().is_empty() && [0, lineage].contains(&self.ballot.lineage);
-        if !new || !self.config.founder || !self.config.peers.iter().all(asked) {
+        let confirmed = |id: &MemberId| *id == me.id || self.without_group.contains(id);
+        let uninitialized =
+            self.membership().is_empty() && [0, lineage].contains(&self.hard_state.lineage);
+        if !uninitialized || !self.config.founder || !self.config.peers.iter().all(confirmed) {
             return;
         }
-        self.set_ballot(Ballot {
+        self.set_hard_state(HardState {
             term,
-            vote: Some(me),
+            voted_for: Some(me),
             lineage,
         });
-        self.write(Payload::Membership(Membership::of(&[me])));
+        self.append_entry(Payload::Membership(Membership::of(&[me])));
         self.election_at = self.now;
     }
 }
--- a/crates/quorum/src/core/persist.rs
+++ b/crates/quorum/src/core/persist.rs
@@ -1,4 +1,4 @@
-//! What is on its way to the disk, and the messages that wait for it.
+//! Records being written to disk, and messages that wait for them to be synced.
 
 use std::collections::VecDeque;
 
@@ -8,25 +8,25 @@
 use crate::id::{Index, Time, Token};
 use crate::message::{Envelope, Message};
 use crate::status::Role;
-use crate::store::{Ballot, Batch, Record};
+use crate::store::{Batch, HardState, Record};
 
-/// Records that are not known to be synced.
+/// A submitted batch that is not known to be synced.
 #[derive(Debug)]
-struct Pending {
+struct PendingBatch {
     token: Token,
-    /// The last entry of the log once the batch is synced, if the log still has it.
+    /// Last log index covered once the batch is synced; lowered if the log is truncated.
     last: Index,
     records: Vec<Record>,
     since: Time,
 }
 
-/// What is on its way to the disk.
+/// Records staged or submitted for writing, and the health of the disk.
 #[derive(Debug)]
-pub(super) struct Disk {
-    /// The log is synced up to here.
+pub(super) struct WriteQueue {
+    /// Last index of the log that is synced.
     pub(super) durable: Index,
     staged: Vec<Record>,
-    pending: VecDeque<Pending>,
+    pending: VecDeque<PendingBatch>,
     next: Token,
     attempt: u64,
     retry_at: Option<Time>,
@@ -34,7 +34,7 @@
     stalled: bool,
 }
 
-impl Disk {
+impl WriteQueue {
     pub(super) fn new(durable: Index) -> Self {
         Self {
             durable,
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Whether writes fail or take too long.
-    pub(super) fn sick(&self) -> bool {
+    /// Whether writes fail or stall.
+    pub(super) fn is_unhealthy(&self) -> bool {
         self.failing || self.stalled
     }
 
-    /// Whether something is not known to be synced.
-    pub(super) fn busy(&self) -> bool {
+    /// Whether a submitted batch is not known to be synced.
+    pub(super) fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
@@ -62,15 +62,16 @@
         self.staged.push(record);
     }
 
-    /// The log no longer has the entries after `last`.
-    pub(super) fn cut(&mut self, last: Index) {
+    /// Accounts for the removal of all log entries after `last`.
+    pub(super) fn truncate(&mut self, last: Index) {
         self.durable = self.durable.min(last);
         for pending in &mut self.pending {
             pending.last = pending.last.min(last);
         }
     }
 
-    /// The batch that what is staged by now belongs to; `None` if all is synced.
+    /// Returns the token of the batch that covers everything staged so far; `None` if all is
+    /// synced.
     fn token(&self) -> Option<Token> {
         if !self.staged.is_empty() {
             return Some(self.next);
@@ -78,28 +79,28 @@
         self.pending.back().map(|pending| pending.token)
     }
 
-    /// When the disk has to be looked at again.
+    /// The time of the next retry or stall check.
     pub(super) fn deadline(&self, config: &Config) -> Option<Time> {
         if self.retry_at.is_some() || self.stalled {
             return self.retry_at;
         }
         self.pending
             .front()
-            .map(|pending| pending.since + config.stall)
+            .map(|pending| pending.since + config.stall_timeout)
     }
 
-    /// Payload bytes that are not synced.
-    fn bytes(&self) -> usize {
+    /// Total size of the unsynced entries in bytes.
+    fn unsynced_payload_bytes(&self) -> usize {
         let size = |record: &Record| match record {
             Record::Entry(entry) => entry.size(),
-            Record::Ballot(_) | Record::Snapshot(_) => 0,
+            Record::HardState(_) | Record::Snapshot(_) => 0,
         };
         let pending = self.pending.iter().flat_map(|pending| &pending.records);
         pending.chain(&self.staged).map(size).sum()
     }
 
-    /// All that is not synced, as one batch of a new attempt.
-    fn merge(&mut self, now: Time) -> Option<Batch> {
+    /// Merges all unsynced batches into one batch of a new attempt.
+    fn merge_pending(&mut self, now: Time) -> Option<Batch> {
         let last = self.pending.back()?.last;
         let records: Vec<_> = self
             .pending
@@ -108,7 +109,7 @@
             .collect();
         let token = self.next;
         self.next += 1;
-        self.pending.push_back(Pending {
+        self.pending.push_back(PendingBatch {
             token,
             last,
             records: records.clone(),
@@ -123,24 +124,23 @@
 }
 
 impl Core {
-    /// Sets the ballot and stages it.
-    pub(super) fn set_ballot(&mut self, ballot: Ballot) {
-        self.ballot = ballot;
-        self.disk.stage(Record::Ballot(ballot));
+    /// Sets the hard state and stages it for writing.
+    pub(super) fn set_hard_state(&mut self, hard_state: HardState) {
+        self.hard_state = hard_state;
+        self.writes.stage(Record::HardState(hard_state));
     }
 
-    /// Sends a message to another member, or to this one itself, once all that is staged by now
-    /// is synced.
+    /// Sends a message, to another member or to this one, once everything staged so far is synced.
     pub(super) fn send_after_sync(&mut self, envelope: Envelope) {
-        let token = self.disk.token().unwrap_or(0);
-        if token == 0 || self.faulty(Fault::AckBeforeSync) {
-            self.release(envelope);
+        let token = self.writes.token().unwrap_or(0);
+        if token == 0 || self.has_fault(Fault::AckBeforeSync) {
+            self.deliver(envelope);
         } else {
-            self.waiting.push_back((token, envelope));
+            self.awaiting_sync.push_back((token, envelope));
         }
     }
 
-    fn release(&mut self, envelope: Envelope) {
+    fn deliver(&mut self, envelope: Envelope) {
         if envelope.to == self.me().id {
             self.receive(envelope.from.id, envelope);
             return;
@@ -152,16 +152,17 @@
         });
     }
 
-    /// Hands what is staged to the owner, or keeps it for the next attempt while writes fail.
-    pub(super) fn stage_batch(&mut self) {
-        if self.disk.staged.is_empty() {
+    /// Submits the staged records to the owner, or holds them for the next attempt while writes
+    /// fail.
+    pub(super) fn submit_staged(&mut self) {
+        if self.writes.staged.is_empty() {
             return;
         }
-        let records = std::mem::take(&mut self.disk.staged);
-        let token = self.disk.next;
-        self.disk.next += 1;
-        if self.disk.retry_at.is_none() {
-            let (attempt, records) = (self.disk.attempt, records.clone());
+        let records = std::mem::take(&mut self.writes.staged);
+        let token = self.writes.next;
+        self.writes.next += 1;
+        if self.writes.retry_at.is_none() {
+            let (attempt, records) = (self.writes.attempt, records.clone());
             self.actions.push(Action::Persist(Batch {
                 token,
                 attempt,
@@ -169,95 +170,96 @@
             }));
         }
         let last = self.log.last();
-        self.disk.pending.push_back(Pending {
+        self.writes.pending.push_back(PendingBatch {
             token,
             last,
             records,
             since: self.now,
         });
-        if self.faulty(Fault::AckBeforeSync) {
-            self.disk.durable = last;
+        if self.has_fault(Fault::AckBeforeSync) {
+            self.writes.durable = last;
         }
     }
 
     pub(super) fn on_persisted(&mut self, token: Token) {
-        let before = self.disk.durable;
+        let before = self.writes.durable;
         while self
-            .disk
+            .writes
             .pending
             .front()
             .is_some_and(|pending| pending.token <= token)
         {
-            let Some(done) = self.disk.pending.pop_front() else {
+            let Some(done) = self.writes.pending.pop_front() else {
                 break;
             };
-            self.disk.durable = self.disk.durable.max(done.last);
-            self.disk.failing = false;
+            self.writes.durable = self.writes.durable.max(done.last);
+            self.writes.failing = false;
         }
-        self.disk.stalled &= !self.disk.pending.is_empty();
+        self.writes.stalled &= !self.writes.pending.is_empty();
         while self
-            .waiting
+            .awaiting_sync
             .front()
             .is_some_and(|(after, _)| *after <= token)
         {
-            let Some((_, envelope)) = self.waiting.pop_front() else {
+            let Some((_, envelope)) = self.awaiting_sync.pop_front() else {
                 break;
             };
-            self.release(envelope);
+            self.deliver(envelope);
         }
-        if self.role == Role::Follower && self.disk.durable > before {
+        if self.role == Role::Follower && self.writes.durable > before {
             self.acknowledge();
         }
     }
 
     pub(super) fn on_persist_failed(&mut self, token: Token) {
         if self
-            .disk
+            .writes
             .pending
             .front()
             .is_none_or(|pending| token < pending.token)
         {
             return;
         }
-        self.disk.failing = true;
-        self.disk.attempt += 1;
-        self.disk.retry_at = Some(self.now + self.config.retry);
-        self.yield_role();
+        self.writes.failing = true;
+        self.writes.attempt += 1;
+        self.writes.retry_at = Some(self.now + self.config.write_retry_delay);
+        self.step_down();
     }
 
-    /// Tries failed batches again, and notices a disk that takes too long.
-    pub(super) fn check_disk(&mut self) {
-        if self.disk.retry_at.is_some_and(|at| self.now >= at) {
-            self.disk.retry_at = None;
-            let batch = self.disk.merge(self.now);
+    /// Retries failed batches and detects stalled writes.
+    pub(super) fn check_writes(&mut self) {
+        if self.writes.retry_at.is_some_and(|at| self.now >= at) {
+            self.writes.retry_at = None;
+            let batch = self.writes.merge_pending(self.now);
             self.actions.extend(batch.map(Action::Persist));
         }
-        let oldest = self.disk.pending.front().map(|pending| pending.since);
-        if oldest.is_some_and(|since| self.now >= since + self.config.stall) {
-            self.disk.stalled = true;
-            self.yield_role();
+        let oldest = self.writes.pending.front().map(|pending| pending.since);
+        if oldest.is_some_and(|since| self.now >= since + self.config.stall_timeout) {
+            self.writes.stalled = true;
+            self.step_down();
         }
     }
 
-    fn yield_role(&mut self) {
+    fn step_down(&mut self) {
         if self.role != Role::Follower {
-            self.become_follower(self.ballot.term);
+            self.become_follower(self.hard_state.term);
         }
     }
 
-    /// Whether memory has no room for more entries until the disk is well again.
-    pub(super) fn is_backed_up(&self) -> bool {
-        self.disk.sick() && self.disk.bytes() > self.config.unsynced_bytes
+    /// Whether no more unsynced entries may be held in memory until the disk recovers.
+    pub(super) fn unsynced_limit_reached(&self) -> bool {
+        self.writes.is_unhealthy()
+            && self.writes.unsynced_payload_bytes() > self.config.max_unsynced_bytes
     }
 
-    /// Tells the leader what is synced.
+    /// Reports the matching and synced indexes to the leader.
     pub(super) fn acknowledge(&mut self) {
         let Some(leader) = self.leader else { return };
-        let answer = crate::message::Appended {
-            durable: self.held.min(self.disk.durable),
-            held: self.held,
-            stamp: self.heard_stamp,
+        let response = crate::message::AppendResponse {
+            durable: self.accepted_index.min(self.writes.durable),
+            accepted_index: self.accepted_index,
+            stamp: self.leader_stamp,
         };
-        self.send(leader, Message::Appended(answer));
+        self.send(leader, Message::AppendResponse(response));
     }
 }
--- a/crates/quorum/src/core/progress.rs
+++ b/crates/quorum/src/core/progress.rs
@@ -1,41 +1,41 @@
-//! What a leader knows of another member.
+//! Replication progress of a member, as tracked by the leader.
 
 use std::collections::VecDeque;
 
-use super::transfer::Transfer;
+use super::transfer::OutgoingSnapshot;
 use crate::id::{Incarnation, Index, Time};
 
-/// How a leader sends to a member.
+/// How the leader replicates to a member.
 #[derive(Debug)]
 pub(super) enum Mode {
-    /// One message at a time, until it is known where the logs agree.
+    /// One message at a time, until the index at which the logs match is known.
     Probe {
-        /// Whether that message is under way.
+        /// Whether a probe is in flight.
         sent: bool,
     },
-    /// Several messages at a time.
+    /// Pipelined messages.
     Replicate {
-        /// The last entry of each message under way.
+        /// Last entry index of each message in flight.
         inflight: VecDeque<Index>,
     },
-    /// A snapshot in chunks.
-    Transfer(Transfer),
+    /// Sending a snapshot in chunks.
+    Transfer(OutgoingSnapshot),
 }
 
-/// What a leader knows of another member.
+/// Replication progress of a member, as tracked by the leader.
 #[derive(Debug)]
 pub(super) struct Progress {
     pub(super) incarnation: Incarnation,
     pub(super) mode: Mode,
-    /// The next entry to send.
+    /// Index of the next entry to send (`nextIndex`).
     pub(super) next: Index,
-    /// The member has synced up to here.
+    /// Last index known to be synced on the member (`matchIndex`).
     pub(super) durable: Index,
-    /// The latest stamp that the member answered.
+    /// The latest stamp that the member echoed.
     pub(super) stamp: Option<Time>,
-    /// The commit index that it was told last.
-    pub(super) told: Index,
-    /// When it last synced or received something new.
+    /// The last commit index sent to the member.
+    pub(super) last_commit_sent: Index,
+    /// When the member last made progress.
     pub(super) advanced_at: Time,
 }
 
@@ -47,29 +47,29 @@
             next,
             durable: 0,
             stamp: None,
-            told: 0,
+            last_commit_sent: 0,
             advanced_at: now,
         }
     }
 
-    /// Takes in what the member holds and has synced.
-    pub(super) fn advance(&mut self, durable: Index, held: Index, now: Time) {
+    /// Records the indexes that the member reported and switches to pipelined replication.
+    pub(super) fn advance(&mut self, durable: Index, accepted_index: Index, now: Time) {
         if durable > self.durable {
             self.durable = durable;
             self.advanced_at = now;
         }
-        self.next = self.next.max(held + 1);
+        self.next = self.next.max(accepted_index + 1);
         if let Mode::Replicate { inflight } = &mut self.mode {
-            inflight.retain(|last| *last > held);
+            inflight.retain(|last| *last > accepted_index);
         } else {
-            self.next = held + 1;
+            self.next = accepted_index + 1;
             self.mode = Mode::Replicate {
                 inflight: VecDeque::new(),
             };
         }
     }
 
-    /// Looks again for where the logs agree, from after `hint` on.
+    /// Returns to probing, starting after `hint`.
     pub(super) fn probe(&mut self, hint: Index) {
         self.next = self.next.min(hint + 1).max(self.durable + 1);
         self.mode = Mode::Probe { sent: false };
--- a/crates/quorum/src/core/replicate.rs
+++ b/crates/quorum/src/core/replicate.rs
@@ -1,4 +1,4 @@
-//! A leader's side of the log: proposals, appends, answers, commits.
+//! The leader's side of log replication: proposals, `AppendEntries`, responses and commits.
 
 use bytes::Bytes;
 
@@ -8,54 +8,54 @@
 use crate::config::Fault;
 use crate::id::{Index, MemberId, Peer, RequestId, Term, Time};
 use crate::log::{Entry, Payload};
-use crate::message::{Append, Appended, Message, Refused};
+use crate::message::{AppendEntries, AppendRejected, AppendResponse, Message};
 use crate::status::Role;
 use crate::store::Record;
 
-/// The smallest difference between two stamps.
-const TICK: Time = Time::from_nanos(1);
+/// Minimum difference between two stamps.
+const STAMP_STEP: Time = Time::from_nanos(1);
 
 impl Core {
     pub(super) fn propose(&mut self, id: RequestId, payload: Bytes) {
         if self.role != Role::Leader {
             return self.reject(id, Reason::NotLeader);
         }
-        if payload.len() > self.config.message_bytes {
+        if payload.len() > self.config.max_message_bytes {
             return self.reject(id, Reason::TooLarge);
         }
-        if self.uncommitted + payload.len() > self.config.uncommitted_bytes {
+        if self.uncommitted_bytes + payload.len() > self.config.max_uncommitted_bytes {
             return self.reject(id, Reason::Busy);
         }
-        let index = self.write(Payload::Data(payload));
-        if let Some((_, old)) = self.proposals.insert(index, (self.ballot.term, id)) {
+        let index = self.append_entry(Payload::Data(payload));
+        if let Some((_, old)) = self.proposals.insert(index, (self.hard_state.term, id)) {
             self.reject(old, Reason::Unknown);
         }
     }
 
-    /// Puts an entry of this term into the log.
-    pub(super) fn write(&mut self, payload: Payload) -> Index {
+    /// Appends a new entry of the current term to the log and returns its index.
+    pub(super) fn append_entry(&mut self, payload: Payload) -> Index {
         let entry = Entry {
             index: self.log.last() + 1,
-            term: self.ballot.term,
+            term: self.hard_state.term,
             payload,
         };
         let index = entry.index;
-        self.uncommitted += entry.size();
+        self.uncommitted_bytes += entry.size();
         self.push(entry);
         index
     }
 
-    /// Puts an entry at the end of the log in memory and stages it.
+    /// Appends an entry to the in-memory log and stages it for writing.
     pub(super) fn push(&mut self, entry: Entry) {
         if let Payload::Membership(membership) = &entry.payload {
-            self.members.push(entry.index, membership.clone());
+            self.memberships.push(entry.index, membership.clone());
         }
-        self.disk.stage(Record::Entry(entry.clone()));
+        self.writes.stage(Record::Entry(entry.clone()));
         self.log.push(entry);
     }
 
-    /// Sets up what a leader keeps for each other member; what is known of them stays.
-    pub(super) fn track_members(&mut self) {
+    /// Adjusts the tracked progress to the current membership, keeping that of existing members.
+    pub(super) fn update_tracked_members(&mut self) {
         let me = self.me().id;
         let members = self.membership().clone();
         let next = self.log.last() + 1;
@@ -71,66 +71,67 @@
         }
     }
 
-    /// A stamp after all earlier ones, not before now.
+    /// Returns a stamp later than all earlier ones and not before now.
     pub(super) fn next_stamp(&mut self) -> Time {
-        self.stamp = self.now.max(self.stamp + TICK);
+        self.stamp = self.now.max(self.stamp + STAMP_STEP);
         self.stamp
     }
 
-    /// Sends to each member what is due.
+    /// Sends entries, snapshot chunks and heartbeats that are due to each member.
     pub(super) fn replicate(&mut self) {
-        let due = self.now >= self.heartbeat_at;
-        if due {
+        let heartbeat_due = self.now >= self.heartbeat_at;
+        if heartbeat_due {
             self.heartbeat_at = self.now + self.config.heartbeat;
         }
         let ids: Vec<MemberId> = self.progress.keys().copied().collect();
         for id in ids {
-            self.send_due(id, due);
+            self.send_due(id, heartbeat_due);
         }
     }
 
-    fn send_due(&mut self, id: MemberId, due: bool) {
+    fn send_due(&mut self, id: MemberId, heartbeat_due: bool) {
         let Some(progress) = self.progress.get(&id) else {
             return;
         };
         match &progress.mode {
-            Mode::Probe { sent: true } if !due => {}
-            Mode::Probe { .. } => self.send_append(id, self.config.message_bytes),
-            Mode::Replicate { .. } => self.send_entries(id, due),
-            Mode::Transfer(_) => self.send_chunk(id, due),
+            Mode::Probe { sent: true } if !heartbeat_due => {}
+            Mode::Probe { .. } => self.send_append(id, self.config.max_message_bytes),
+            Mode::Replicate { .. } => self.send_entries(id, heartbeat_due),
+            Mode::Transfer(_) => self.send_chunk(id, heartbeat_due),
         }
     }
 
-    /// Sends entries as long as the member takes more, or the commit index alone.
-    fn send_entries(&mut self, id: MemberId, due: bool) {
+    /// Sends entries while the in-flight window allows. If none were sent, sends an empty message
+    /// when a heartbeat is due or the commit index has advanced.
+    fn send_entries(&mut self, id: MemberId, heartbeat_due: bool) {
         let mut sent = false;
-        while self.has_room(id) {
-            self.send_append(id, self.config.message_bytes);
+        while self.can_send_entries(id) {
+            self.send_append(id, self.config.max_message_bytes);
             sent = true;
         }
-        let told = self.progress.get(&id).map_or(0, |p| p.told);
-        if !sent && (due || told < self.commit) {
+        let last_commit_sent = self.progress.get(&id).map_or(0, |p| p.last_commit_sent);
+        if !sent && (heartbeat_due || last_commit_sent < self.commit) {
             self.send_append(id, 0);
         }
     }
 
-    fn has_room(&self, id: MemberId) -> bool {
+    fn can_send_entries(&self, id: MemberId) -> bool {
         let Some(progress) = self.progress.get(&id) else {
             return false;
         };
         let Mode::Replicate { inflight } = &progress.mode else {
             return false;
         };
-        progress.next <= self.log.last() && inflight.len() < self.config.inflight
+        progress.next <= self.log.last() && inflight.len() < self.config.max_inflight_messages
     }
 
-    /// Sends entries from the member's next one on; none if `bytes` is 0.
+    /// Sends entries from the member's next index on, up to `bytes`; none if `bytes` is 0.
     fn send_append(&mut self, id: MemberId, bytes: usize) {
         let Some(next) = self.progress.get(&id).map(|p| p.next) else {
             return;
         };
         let Some(prev_term) = self.log.term(next - 1) else {
-            return self.start_transfer(id);
+            return self.start_snapshot_transfer(id);
         };
         let entries = if bytes == 0 {
             Vec::new()
@@ -143,7 +144,7 @@
         let Some(progress) = self.progress.get_mut(&id) else {
             return;
         };
-        progress.told = commit;
+        progress.last_commit_sent = commit;
         match (&mut progress.mode, last) {
             (Mode::Probe { sent }, _) => *sent = true,
             (Mode::Replicate { inflight }, Some(last)) => {
@@ -156,25 +157,26 @@
             id,
             incarnation: progress.incarnation,
         };
-        let append = Append {
+        let append = AppendEntries {
             prev_index: next - 1,
             prev_term,
             commit,
             stamp,
             entries,
         };
-        self.send(to, Message::Append(append));
+        self.send(to, Message::AppendEntries(append));
     }
 
-    /// Whether an answer is for this leader in its term, from a member that it sent to.
-    pub(super) fn is_answer(&mut self, from: Peer, term: Term, stamp: Time) -> bool {
-        if term > self.ballot.term {
+    /// Steps down if the response carries a later term. Otherwise records the echoed stamp and
+    /// returns whether the response belongs to this leader's term and comes from a tracked member.
+    pub(super) fn accept_response(&mut self, from: Peer, term: Term, stamp: Time) -> bool {
+        if term > self.hard_state.term {
             self.become_follower(term);
         }
-        if term < self.ballot.term || self.role != Role::Leader {
+        if term < self.hard_state.term || self.role != Role::Leader {
             return false;
         }
-        let any = self.faulty(Fault::AnyIncarnation);
+        let any = self.has_fault(Fault::AnyIncarnation);
         let Some(progress) = self.progress.get_mut(&from.id) else {
             return false;
         };
@@ -185,8 +187,8 @@
         true
     }
 
-    pub(super) fn on_appended(&mut self, from: Peer, term: Term, answer: Appended) {
-        if !self.is_answer(from, term, answer.stamp) {
+    pub(super) fn on_append_response(&mut self, from: Peer, term: Term, response: AppendResponse) {
+        if !self.accept_response(from, term, response.stamp) {
             return;
         }
         let (now, last) = (self.now, self.log.last());
@@ -194,70 +196,75 @@
             return;
         };
         if let Mode::Transfer(transfer) = &progress.mode
-            && answer.held < transfer.index()
+            && response.accepted_index < transfer.index()
         {
             return;
         }
-        progress.advance(answer.durable.min(last), answer.held.min(last), now);
+        progress.advance(
+            response.durable.min(last),
+            response.accepted_index.min(last),
+            now,
+        );
     }
 
-    pub(super) fn on_refused(&mut self, from: Peer, term: Term, answer: Refused) {
-        if !self.is_answer(from, term, answer.stamp) {
+    pub(super) fn on_append_rejected(&mut self, from: Peer, term: Term, response: AppendRejected) {
+        if !self.accept_response(from, term, response.stamp) {
             return;
         }
         let last = self.log.last();
         let Some(progress) = self.progress.get_mut(&from.id) else {
             return;
         };
-        let stale = answer.prev_index <= progress.durable;
+        let stale = response.prev_index <= progress.durable;
         if stale || matches!(progress.mode, Mode::Transfer(_)) {
             return;
         }
-        progress.probe(answer.hint.min(last));
+        progress.probe(response.hint.min(last));
     }
 
-    /// Commits what a quorum has synced, once an entry of this term is among it (Raft §3.6.2).
+    /// Advances the commit index to the last entry synced by a quorum, if that entry is of the
+    /// current term (Ongaro's thesis §3.6.2).
     pub(super) fn advance_commit(&mut self) {
-        let own = self.disk.durable;
+        let own = self.writes.durable;
         let me = self.me().id;
         let durable = |id| match id {
             id if id == me => own,
             id => self.progress.get(&id).map_or(0, |p| p.durable),
         };
-        let mut reached = self.membership().reached(durable).unwrap_or(0);
-        if self.faulty(Fault::CommitAlone) {
+        let mut reached = self.membership().quorum_value(durable).unwrap_or(0);
+        if self.has_fault(Fault::CommitAlone) {
             reached = own;
         }
-        if reached <= self.commit || self.log.term(reached) != Some(self.ballot.term) {
+        if reached <= self.commit || self.log.term(reached) != Some(self.hard_state.term) {
             return;
         }
         for index in self.commit + 1..=reached {
             let size = self.log.entry(index).map_or(0, Entry::size);
-            self.uncommitted = self.uncommitted.saturating_sub(size);
+            self.uncommitted_bytes = self.uncommitted_bytes.saturating_sub(size);
         }
         self.commit = reached;
     }
 
-    /// The latest stamp that a quorum has answered; `own` stands for this member's.
+    /// Returns the latest stamp echoed by a quorum, counting this member with `own`.
     pub(super) fn quorum_stamp(&self, own: Time) -> Option<Time> {
         let me = self.me().id;
         let stamp = |id| match id {
             id if id == me => Some(own),
             id => self.progress.get(&id).and_then(|p| p.stamp),
         };
-        self.membership().reached(stamp).flatten()
+        self.membership().quorum_value(stamp).flatten()
     }
 
-    /// When the leader steps down unless a quorum answers before.
+    /// The time at which the leader steps down unless a quorum responds before.
     pub(super) fn quorum_deadline(&self) -> Time {
         let heard = self.quorum_stamp(self.now).unwrap_or_default();
         heard.max(self.leader_since) + self.config.election
     }
 
-    /// Steps down if no quorum has answered for an election time-out.
+    /// Steps down if no quorum has responded within an election timeout.
     pub(super) fn check_quorum(&mut self) {
         if self.now >= self.quorum_deadline() {
-            self.become_follower(self.ballot.term);
+            self.become_follower(self.hard_state.term);
         }
     }
 }
--- a/crates/quorum/src/core/route.rs
+++ b/crates/quorum/src/core/route.rs
@@ -1,4 +1,4 @@
-//! Messages: who they are from and to, and what takes them in.
+//! Addressing, validation and dispatch of messages.
 
 use super::Core;
 use crate::action::Action;
@@ -7,12 +7,13 @@
 use crate::message::{Envelope, Message};
 use crate::store::Identity;
 
-/// No term or index gets this far: at a million a second that takes 146,000 years.
-pub(super) const LIMIT: u64 = 1 << 62;
+/// Exclusive upper bound of terms and indexes accepted from peers; at a million per second it is
+/// reached after 146,000 years.
+pub(super) const MAX_TERM_OR_INDEX: u64 = 1 << 62;
 
 impl Core {
     pub(super) fn send(&mut self, to: Peer, message: Message) {
-        self.send_in_term(to.id, Some(to.incarnation), self.ballot.term, message);
+        self.send_in_term(to.id, Some(to.incarnation), self.hard_state.term, message);
     }
 
     pub(super) fn send_in_term(
@@ -38,7 +39,7 @@
             group,
             peer,
         } = self.identity;
-        let lineage = self.ballot.lineage;
+        let lineage = self.hard_state.lineage;
         Envelope {
             cluster,
             group,
@@ -51,9 +52,10 @@
         }
     }
 
-    /// Whether a message is meant for this group and this life of the disk.
-    pub(super) fn is_mine(&self, from: MemberId, envelope: &Envelope) -> bool {
-        let lineages = [self.ballot.lineage, envelope.lineage];
+    /// Whether a message is addressed to this member's cluster, group, log and incarnation and has
+    /// an authentic sender.
+    pub(super) fn is_for_this_member(&self, from: MemberId, envelope: &Envelope) -> bool {
+        let lineages = [self.hard_state.lineage, envelope.lineage];
         let addressed = envelope
             .incarnation
             .is_none_or(|i| i == self.me().incarnation);
@@ -61,13 +63,13 @@
             && envelope.group == self.identity.group
             && envelope.from.id == from
             && envelope.to == self.me().id
-            && envelope.term < LIMIT
-            && (addressed || self.faulty(Fault::AnyIncarnation))
+            && envelope.term < MAX_TERM_OR_INDEX
+            && (addressed || self.has_fault(Fault::AnyIncarnation))
             && (lineages.contains(&0) || lineages[0] == lineages[1])
     }
 
     pub(super) fn receive(&mut self, from: MemberId, envelope: Envelope) {
-        if !self.is_mine(from, &envelope) {
+        if !self.is_for_this_member(from, &envelope) {
             self.dropped += 1;
             return;
         }
@@ -79,23 +81,23 @@
             ..
         } = envelope;
         match message {
-            Message::Vote(vote) => self.on_vote(from, term, lineage, vote),
-            Message::Voted(voted) => self.on_voted(from, term, voted),
-            Message::Append(append) => {
+            Message::RequestVote(request) => self.on_request_vote(from, term, lineage, request),
+            Message::VoteResponse(response) => self.on_vote_response(from, term, response),
+            Message::AppendEntries(append) => {
                 if self.accept_leader(from, term, lineage, append.stamp) {
-                    self.on_append(from, append);
+                    self.on_append_entries(from, append);
                 }
             }
-            Message::Chunk(chunk) => {
+            Message::SnapshotChunk(chunk) => {
                 if self.accept_leader(from, term, lineage, chunk.stamp) {
-                    self.on_chunk(from, chunk);
+                    self.on_snapshot_chunk(from, chunk);
                 }
             }
-            Message::Appended(answer) => self.on_appended(from, term, answer),
-            Message::Refused(answer) => self.on_refused(from, term, answer),
-            Message::Received(answer) => self.on_received(from, term, answer),
+            Message::AppendResponse(response) => self.on_append_response(from, term, response),
+            Message::AppendRejected(response) => self.on_append_rejected(from, term, response),
+            Message::ChunkReceived(response) => self.on_chunk_received(from, term, response),
             Message::Join => self.on_join(from),
-            Message::Outside(outside) => self.on_outside(from, outside),
+            Message::NoGroup(without_group) => self.on_no_group(from, without_group),
         }
     }
 }
--- a/crates/quorum/src/core/transfer.rs
+++ b/crates/quorum/src/core/transfer.rs
@@ -1,44 +1,44 @@
-//! Snapshots: taking them, and sending them in chunks that resume.
+//! Snapshots: log compaction and resumable chunked transfer.
 
 use bytes::Bytes;
 
 use super::Core;
 use super::progress::Mode;
-use super::route::LIMIT;
+use super::route::MAX_TERM_OR_INDEX;
 use crate::action::{Action, Reason};
 use crate::config::Fault;
 use crate::id::{Index, MemberId, Peer, Term, Time};
 use crate::log::Snapshot;
-use crate::member::History;
-use crate::message::{Chunk, Message, Received, SnapshotId};
+use crate::member::MembershipHistory;
+use crate::message::{ChunkReceived, Message, SnapshotChunk, SnapshotId};
 use crate::status::Role;
 use crate::store::Record;
 
-/// A snapshot on its way to a member.
+/// A snapshot being sent to a member.
 #[derive(Debug)]
-pub(super) struct Transfer {
+pub(super) struct OutgoingSnapshot {
     id: SnapshotId,
     snapshot: Snapshot,
     offset: u64,
-    /// When the chunk at `offset` was sent.
+    /// When the chunk at `offset` was sent; `None` if not sent yet.
     sent_at: Option<Time>,
 }
 
-impl Transfer {
-    /// The last entry in the snapshot.
+impl OutgoingSnapshot {
+    /// Index of the last entry covered by the snapshot.
     pub(super) fn index(&self) -> Index {
         self.id.index
     }
 }
 
-/// A snapshot on its way from a leader.
+/// A snapshot being received from a leader.
 #[derive(Debug)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     id: SnapshotId,
     data: Vec<u8>,
 }
 
-fn identify(snapshot: &Snapshot) -> SnapshotId {
+fn snapshot_id(snapshot: &Snapshot) -> SnapshotId {
     SnapshotId {
         index: snapshot.index,
         term: snapshot.term,
@@ -48,50 +48,53 @@
 }
 
 impl Core {
-    /// Asks the owner for a snapshot when the log has grown.
-    pub(super) fn ask_snapshot(&mut self) {
-        let since = self.asked_at.unwrap_or_else(|| self.log.snapshot_index());
-        if self.applied >= since + self.config.compact_entries {
-            self.asked_at = Some(self.applied);
+    /// Requests a snapshot from the owner when enough entries were applied since the last one.
+    pub(super) fn request_snapshot(&mut self) {
+        let since = self
+            .snapshot_requested_at
+            .unwrap_or_else(|| self.log.snapshot_index());
+        if self.applied >= since + self.config.snapshot_threshold_entries {
+            self.snapshot_requested_at = Some(self.applied);
             self.actions.push(Action::NeedSnapshot);
         }
     }
 
-    /// Takes the owner's snapshot, unless a later one came from a leader meanwhile. Entries
-    /// without a payload for the owner do not change its state, so they are covered as well.
-    pub(super) fn on_snapshot(&mut self, index: Index, data: Bytes) {
+    /// Compacts the log with the owner's snapshot, unless a later one came from a leader meanwhile.
+    /// Entries without a payload for the owner do not change its state, so the snapshot covers them
+    /// as well.
+    pub(super) fn on_owner_snapshot(&mut self, index: Index, data: Bytes) {
         let mut index = if index == self.owner_index {
             self.applied
         } else {
             index
         };
-        if self.faulty(Fault::ApplyTwice) {
+        if self.has_fault(Fault::ApplyTwice) {
             index = index.saturating_sub(1);
         }
-        let wanted = index > self.log.snapshot_index() && index <= self.applied;
-        let Some(term) = self.log.term(index).filter(|_| wanted) else {
+        let usable = index > self.log.snapshot_index() && index <= self.applied;
+        let Some(term) = self.log.term(index).filter(|_| usable) else {
             return;
         };
-        let membership = self.members.at(index);
+        let membership = self.memberships.at(index);
         let snapshot = Snapshot {
             index,
             term,
             membership,
             data,
         };
-        self.asked_at = None;
-        self.disk.stage(Record::Snapshot(snapshot.clone()));
+        self.snapshot_requested_at = None;
+        self.writes.stage(Record::Snapshot(snapshot.clone()));
         self.log.compact(snapshot, self.config.trailing_entries);
-        self.members.compact(index);
+        self.memberships.compact(index);
     }
 
-    /// Sends the snapshot to a member whose next entry is no longer in the log.
-    pub(super) fn start_transfer(&mut self, id: MemberId) {
+    /// Starts sending the snapshot to a member whose next entry has been compacted away.
+    pub(super) fn start_snapshot_transfer(&mut self, id: MemberId) {
         let Some(snapshot) = self.log.snapshot.clone() else {
             return;
         };
-        let transfer = Transfer {
-            id: identify(&snapshot),
+        let transfer = OutgoingSnapshot {
+            id: snapshot_id(&snapshot),
             snapshot,
             offset: 0,
             sent_at: None,
@@ -102,32 +105,33 @@
         }
     }
 
-    /// Sends the next chunk, or again one that got no answer, or a heartbeat.
-    pub(super) fn send_chunk(&mut self, id: MemberId, due: bool) {
+    /// Sends the next chunk, resends one that got no response in time, or sends an empty chunk as a
+    /// heartbeat.
+    pub(super) fn send_chunk(&mut self, id: MemberId, heartbeat_due: bool) {
         let stamp = self.next_stamp();
-        let (now, size) = (self.now, self.config.message_bytes);
-        let patience = self.config.election / 2;
+        let (now, size) = (self.now, self.config.max_message_bytes);
+        let resend_after = self.config.election / 2;
         let Some(progress) = self.progress.get_mut(&id) else {
             return;
         };
         let Mode::Transfer(transfer) = &mut progress.mode else {
             return;
         };
-        let waiting = transfer.sent_at.is_some_and(|at| now < at + patience);
-        if waiting && !due {
+        let in_flight = transfer.sent_at.is_some_and(|at| now < at + resend_after);
+        if in_flight && !heartbeat_due {
             return;
         }
         let start = usize::try_from(transfer.offset).unwrap_or(usize::MAX);
         let start = start.min(transfer.snapshot.data.len());
-        let end = if waiting {
+        let end = if in_flight {
             start
         } else {
             (start + size).min(transfer.snapshot.data.len())
         };
-        if !waiting {
+        if !in_flight {
             transfer.sent_at = Some(now);
         }
-        let chunk = Chunk {
+        let chunk = SnapshotChunk {
             snapshot: transfer.id,
             membership: transfer.snapshot.membership.clone(),
             offset: transfer.offset,
@@ -138,11 +142,11 @@
             id,
             incarnation: progress.incarnation,
         };
-        self.send(to, Message::Chunk(chunk));
+        self.send(to, Message::SnapshotChunk(chunk));
     }
 
-    pub(super) fn on_received(&mut self, from: Peer, term: Term, answer: Received) {
-        if !self.is_answer(from, term, answer.stamp) {
+    pub(super) fn on_chunk_received(&mut self, from: Peer, term: Term, response: ChunkReceived) {
+        if !self.accept_response(from, term, response.stamp) {
             return;
         }
         let now = self.now;
@@ -152,50 +156,51 @@
         let Mode::Transfer(transfer) = &mut progress.mode else {
             return;
         };
-        if transfer.id == answer.snapshot && transfer.offset != answer.offset {
-            transfer.offset = answer.offset;
+        if transfer.id == response.snapshot && transfer.offset != response.offset {
+            transfer.offset = response.offset;
             transfer.sent_at = None;
             progress.advanced_at = now;
         }
     }
 
-    pub(super) fn on_chunk(&mut self, from: Peer, chunk: Chunk) {
+    pub(super) fn on_snapshot_chunk(&mut self, from: Peer, chunk: SnapshotChunk) {
         let id = chunk.snapshot;
         if id.index <= self.commit {
-            self.held = self.held.max(self.commit);
+            self.accepted_index = self.accepted_index.max(self.commit);
             return self.acknowledge();
         }
-        let possible = id.index < LIMIT && id.total <= self.config.snapshot_bytes;
-        if !possible || self.is_backed_up() {
+        let within_limits =
+            id.index < MAX_TERM_OR_INDEX && id.total <= self.config.max_snapshot_bytes;
+        if !within_limits || self.unsynced_limit_reached() {
             self.dropped += 1;
             return;
         }
-        let mut incoming = match self.incoming.take() {
+        let mut incoming = match self.incoming_snapshot.take() {
             Some(incoming) if incoming.id == id => incoming,
-            _ => Incoming {
+            _ => IncomingSnapshot {
                 id,
                 data: Vec::new(),
             },
         };
         let length = incoming.data.len() as u64;
-        let fits = chunk.offset == length && length + chunk.data.len() as u64 <= id.total;
-        if fits {
+        let is_next = chunk.offset == length && length + chunk.data.len() as u64 <= id.total;
+        if is_next {
             incoming.data.extend_from_slice(&chunk.data);
         }
-        let whole = incoming.data.len() as u64 == id.total;
-        let sound = !whole || crc32fast::hash(&incoming.data) == id.checksum;
-        if !sound {
+        let complete = incoming.data.len() as u64 == id.total;
+        let valid = !complete || crc32fast::hash(&incoming.data) == id.checksum;
+        if !valid {
             incoming.data.clear();
         }
         let offset = incoming.data.len() as u64;
-        let answer = Received {
+        let response = ChunkReceived {
             snapshot: id,
             offset,
-            stamp: self.heard_stamp,
+            stamp: self.leader_stamp,
         };
-        if whole && sound {
+        if complete && valid {
             let data = incoming.data.into();
-            let Chunk { membership, .. } = chunk;
+            let SnapshotChunk { membership, .. } = chunk;
             self.install(Snapshot {
                 index: id.index,
                 term: id.term,
@@ -203,42 +208,42 @@
                 data,
             });
         } else {
-            self.incoming = Some(incoming);
+            self.incoming_snapshot = Some(incoming);
         }
-        self.send(from, Message::Received(answer));
+        self.send(from, Message::ChunkReceived(response));
     }
 
     fn install(&mut self, snapshot: Snapshot) {
         let index = snapshot.index;
         let agrees = self.log.term(index) == Some(snapshot.term);
-        self.disk.stage(Record::Snapshot(snapshot.clone()));
+        self.writes.stage(Record::Snapshot(snapshot.clone()));
         if agrees {
-            self.members.compact(index);
+            self.memberships.compact(index);
         } else {
-            self.members = History::default();
-            self.members.push(index, snapshot.membership.clone());
-            self.disk.cut(self.commit);
+            self.memberships = MembershipHistory::default();
+            self.memberships.push(index, snapshot.membership.clone());
+            self.writes.truncate(self.commit);
         }
         self.log.install(snapshot.clone());
         self.commit = index;
         self.applied = index;
-        self.held = self.held.max(index);
+        self.accepted_index = self.accepted_index.max(index);
         self.owner_index = index;
-        self.asked_at = None;
-        self.forget_proposals(index);
+        self.snapshot_requested_at = None;
+        self.fail_unresolved_proposals(index);
         self.actions.push(Action::Restore(snapshot));
     }
 
-    /// Ends proposals up to `index` whose outcome this member will not learn: a snapshot covers
-    /// them, or the member is removed.
-    pub(super) fn forget_proposals(&mut self, index: Index) {
+    /// Rejects proposals up to `index` whose outcome this member will not learn, because a snapshot
+    /// covers them or the member was removed.
+    pub(super) fn fail_unresolved_proposals(&mut self, index: Index) {
         let later = self.proposals.split_off(&(index + 1));
         for (_, (_, id)) in std::mem::replace(&mut self.proposals, later) {
             self.reject(id, Reason::Unknown);
         }
     }
 
-    /// Whether this member leads; for owners that only ask this.
+    /// Whether this member is the leader; cheaper than [`Core::status`].
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
--- a/crates/quorum/src/disk.rs
+++ b/crates/quorum/src/disk.rs
@@ -1,13 +1,14 @@
-//! The store on disk: one folder with a log file, a snapshot file and a lock file.
+//! The on-disk store: a directory with a log file, a snapshot file and a lock file.
 //!
-//! A log file starts with a [`Block::Base`] and goes on with [`Block::Records`], one frame per
-//! sync. A snapshot, and any write after a failed one, starts a new log file under the next
-//! number: it is written under another name, synced, renamed, and the folder is synced; only then
-//! are older files removed. So the log file with the largest number is whole from its base on.
+//! A log file starts with a [`Block::Base`], followed by [`Block::Records`], one frame per sync.
+//! A snapshot, and any write after a failed one, starts a new log file with the next
+//! number: it is written under a temporary name, synced and renamed, and the directory is synced;
+//! only then are older files removed. The log file with the largest number is therefore always
+//! complete from its base on.
 
 mod file;
 mod frame;
-mod kept;
+mod snapshot_file;
 mod writer;
 
 use std::fs::{self, File};
@@ -18,39 +19,40 @@
 
 use crate::id::{ClusterId, GroupId, Incarnation, MemberId, Peer};
 use crate::store::{
-    Ballot, DamagedSnafu, Error, ForeignSnafu, Identity, IoSnafu, LockedSnafu, Record, Recovered,
-    Store,
+    CorruptSnafu, Error, HardState, Identity, IoSnafu, LockedSnafu, Record, Recovered, Store,
+    WrongOwnerSnafu,
 };
 
-pub use frame::{LIMIT, Scan, scan};
-pub use kept::Kept;
+pub use frame::{MAX_PAYLOAD_BYTES, Scan, scan};
+pub use snapshot_file::SnapshotRef;
 pub use writer::{Done, Writer};
 
-/// Payload bytes of the records that go into one frame.
-const FRAME_RECORDS: usize = 8 * 1024 * 1024;
+/// Maximum total payload of the records in one frame, unless a single record is larger.
+const MAX_FRAME_RECORD_BYTES: usize = 8 * 1024 * 1024;
 
-const LOCK: &str = "lock";
-const LOG: &str = "log-";
-const SNAPSHOT: &str = "snapshot-";
-const UNFINISHED: &str = "unfinished";
+const LOCK_FILE: &str = "lock";
+const LOG_PREFIX: &str = "log-";
+const SNAPSHOT_PREFIX: &str = "snapshot-";
+const TEMPORARY_FILE: &str = "unfinished";
 
-/// What one frame of a log file holds.
+/// The content of one frame of a log file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Block {
-    /// The state at the start of the file; the entries follow as records.
+    /// The state at the start of the file, without entries; those follow as records.
     Base {
-        /// Whose state it is.
+        /// The member that the state belongs to.
         identity: Identity,
-        /// The ballot.
-        ballot: Ballot,
-        /// The snapshot, whose data is in a file of its own.
-        snapshot: Option<Kept>,
+        /// Current term, vote and log lineage.
+        #[serde(rename = "ballot")]
+        hard_state: HardState,
+        /// Reference to the snapshot file, if there is a snapshot.
+        snapshot: Option<SnapshotRef>,
     },
-    /// Records, synced together.
+    /// Records that were synced together.
     Records(Vec<Record>),
 }
 
-/// Whose folder it is to be.
+/// The expected owner of a data directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Owner {
     /// The cluster.
@@ -59,64 +61,66 @@
     pub group: GroupId,
     /// The member.
     pub member: MemberId,
-    /// The incarnation that an empty folder gets: a number that this member never had, such as
-    /// the time in nanoseconds.
+    /// The incarnation assigned to an empty directory. It must be a number that this member never
+    /// had, such as the time in nanoseconds.
     pub incarnation: Incarnation,
 }
 
-/// A store in a folder.
+/// A store in a directory.
 #[derive(Debug)]
 pub struct Disk {
-    folder: PathBuf,
+    dir: PathBuf,
     _lock: File,
-    image: Recovered,
-    log: file::Log,
+    state: Recovered,
+    log: file::LogFile,
     number: u64,
-    /// A write failed, so what the log file holds after its last sync is not known.
-    broken: bool,
+    /// Whether the next write must start a new log file, because a write failed and the content
+    /// after the last sync is unknown.
+    rewrite_required: bool,
     fail_after: Option<usize>,
 }
 
 impl Disk {
-    /// Opens the folder, or makes it. A torn tail, which is what a crash leaves of a write that
-    /// was never reported as synced, is cut.
+    /// Opens the directory, creating it if missing. A torn tail, left by a crash during a write
+    /// that was never reported as synced, is truncated.
     ///
     /// # Errors
     ///
-    /// [`Error::Damaged`] if a file is damaged elsewhere, [`Error::Locked`] if another process
-    /// has the folder, [`Error::Foreign`] if it is another member's, [`Error::Io`].
-    pub fn open(folder: impl Into<PathBuf>, owner: Owner) -> Result<Self, Error> {
-        let folder = folder.into();
-        fs::create_dir_all(&folder).context(IoSnafu {
+    /// [`Error::Corrupt`] if a file is corrupt other than by a torn tail, [`Error::Locked`] if
+    /// another process has locked the directory, [`Error::WrongOwner`] if it belongs to another
+    /// member, [`Error::Io`] if a file system operation fails.
+    pub fn open(dir: impl Into<PathBuf>, owner: Owner) -> Result<Self, Error> {
+        let dir = dir.into();
+        fs::create_dir_all(&dir).context(IoSnafu {
             what: "make",
-            path: &folder,
+            path: &dir,
         })?;
-        let lock = lock(&folder)?;
-        let newest = file::numbers(&folder)?.into_iter().max();
+        let lock = lock(&dir)?;
+        let newest = file::log_numbers(&dir)?.into_iter().max();
         let Some(number) = newest else {
-            return Self::create(folder, lock, owner);
+            return Self::create(dir, lock, owner);
         };
-        let path = file::log_path(&folder, number);
-        let (image, log) = recover(&folder, &path)?;
-        check_owner(&folder, image.identity, owner)?;
+        let path = file::log_path(&dir, number);
+        let (state, log) = recover(&dir, &path)?;
+        check_owner(&dir, state.identity, owner)?;
         let disk = Self {
-            folder,
+            dir,
             _lock: lock,
-            image,
+            state,
             log,
             number,
-            broken: false,
+            rewrite_required: false,
             fail_after: None,
         };
-        disk.remove_old();
+        disk.remove_obsolete_files();
         Ok(disk)
     }
 
-    /// Starts an empty folder under a new incarnation.
-    fn create(folder: PathBuf, lock: File, owner: Owner) -> Result<Self, Error> {
-        if let Some(path) = file::find(&folder, SNAPSHOT)? {
-            let what = "there is a snapshot and no log";
-            return DamagedSnafu {
+    /// Initializes an empty directory with a new incarnation.
+    fn create(dir: PathBuf, lock: File, owner: Owner) -> Result<Self, Error> {
+        if let Some(path) = file::find_by_prefix(&dir, SNAPSHOT_PREFIX)? {
+            let what = "found a snapshot file but no log file";
+            return CorruptSnafu {
                 path,
                 offset: 0_u64,
                 what,
@@ -132,72 +136,76 @@
             group: owner.group,
             peer,
         };
-        let image = Recovered::empty(identity);
-        let log = write_base(&folder, 1, &image)?;
+        let state = Recovered::empty(identity);
+        let log = write_base(&dir, 1, &state)?;
         Ok(Self {
-            folder,
+            dir,
             _lock: lock,
-            image,
+            state,
             log,
             number: 1,
-            broken: false,
+            rewrite_required: false,
             fail_after: None,
         })
     }
 
-    /// Makes the next write fail after some bytes, as a full disk does; for tests.
+    /// Makes the next write fail after `bytes` bytes, like a full disk; for tests.
     #[doc(hidden)]
     pub fn fail_after(&mut self, bytes: usize) {
         self.fail_after = Some(bytes);
     }
 
     fn write(&mut self, records: &[Record]) -> Result<(), Error> {
-        for part in parts(records) {
-            let block = Block::Records(part.to_vec());
+        for group in split_into_frames(records) {
+            let block = Block::Records(group.to_vec());
             self.log.append(&block, self.fail_after.take())?;
         }
         records
             .iter()
-            .try_for_each(|record| self.image.apply(record))
+            .try_for_each(|record| self.state.apply(record))
     }
 
-    /// Writes all that the store holds, with `records`, into a new log file.
+    /// Writes the entire state, including `records`, to a new log file.
     fn rewrite(&mut self, records: &[Record]) -> Result<(), Error> {
-        let mut image = self.image.clone();
-        records.iter().try_for_each(|record| image.apply(record))?;
-        if let Some(snapshot) = &image.snapshot {
-            kept::write_snapshot(&self.folder, snapshot)?;
+        let mut state = self.state.clone();
+        records.iter().try_for_each(|record| state.apply(record))?;
+        if let Some(snapshot) = &state.snapshot {
+            snapshot_file::write_snapshot(&self.dir, snapshot)?;
         }
         let number = self.number + 1;
-        self.log = write_base(&self.folder, number, &image)?;
+        self.log = write_base(&self.dir, number, &state)?;
         self.number = number;
-        self.image = image;
-        self.broken = false;
-        self.remove_old();
+        self.state = state;
+        self.rewrite_required = false;
+        self.remove_obsolete_files();
         Ok(())
     }
 
-    /// Removes files that the current log file does not need. What cannot be removed now is
-    /// removed after the next start.
-    fn remove_old(&self) {
+    /// Removes files that the current log file does not reference. Files that cannot be removed now
+    /// are retried at the next rewrite or restart.
+    fn remove_obsolete_files(&self) {
         let log = file::log_name(self.number);
-        let snapshot = self.image.snapshot.as_ref().map(|s| Kept::of(s).name());
-        let kept = [Some(log), snapshot, Some(LOCK.to_owned())];
-        let Ok(files) = fs::read_dir(&self.folder) else {
+        let snapshot = self
+            .state
+            .snapshot
+            .as_ref()
+            .map(|s| SnapshotRef::of(s).name());
+        let needed_files = [Some(log), snapshot, Some(LOCK_FILE.to_owned())];
+        let Ok(files) = fs::read_dir(&self.dir) else {
             return;
         };
         for entry in files.flatten() {
             let name = entry.file_name();
             let name = name.to_string_lossy();
-            let ours = [LOG, SNAPSHOT, UNFINISHED]
+            let ours = [LOG_PREFIX, SNAPSHOT_PREFIX, TEMPORARY_FILE]
                 .iter()
                 .any(|prefix| name.starts_with(prefix));
-            let needed = kept.iter().flatten().any(|kept| *kept == name);
+            let needed = needed_files.iter().flatten().any(|file| *file == name);
             if ours
                 && !needed
                 && let Err(error) = fs::remove_file(entry.path())
             {
-                tracing::warn!(%error, file = %name, "cannot remove an old file");
+                tracing::warn!(%error, file = %name, "cannot remove an obsolete file");
             }
         }
     }
@@ -205,24 +213,24 @@
 
 impl Store for Disk {
     fn recovered(&self) -> Recovered {
-        self.image.clone()
+        self.state.clone()
     }
 
     fn append(&mut self, records: &[Record]) -> Result<(), Error> {
         let snapshot = records
             .iter()
             .any(|record| matches!(record, Record::Snapshot(_)));
-        if self.broken || snapshot {
+        if self.rewrite_required || snapshot {
             return self.rewrite(records);
         }
-        let done = self.write(records);
-        self.broken = done.is_err();
-        done
+        let result = self.write(records);
+        self.rewrite_required = result.is_err();
+        result
     }
 }
 
-fn lock(folder: &Path) -> Result<File, Error> {
-    let path = folder.join(LOCK);
+fn lock(dir: &Path) -> Result<File, Error> {
+    let path = dir.join(LOCK_FILE);
     let file = File::create(&path).context(IoSnafu {
         what: "make",
         path: &path,
@@ -234,37 +242,37 @@
     }
 }
 
-fn check_owner(folder: &Path, found: Identity, owner: Owner) -> Result<(), Error> {
+fn check_owner(dir: &Path, found: Identity, owner: Owner) -> Result<(), Error> {
     let peer = Peer {
         id: owner.member,
         incarnation: found.peer.incarnation,
     };
-    let wanted = Identity {
+    let expected = Identity {
         cluster: owner.cluster,
         group: owner.group,
         peer,
     };
-    if found == wanted {
+    if found == expected {
         return Ok(());
     }
-    ForeignSnafu {
-        path: folder,
+    WrongOwnerSnafu {
+        path: dir,
         found,
-        wanted,
+        expected,
     }
     .fail()
 }
 
-/// Records in parts that each fit into a frame.
-fn parts(records: &[Record]) -> Vec<&[Record]> {
+/// Splits records into groups that each fit into one frame.
+fn split_into_frames(records: &[Record]) -> Vec<&[Record]> {
     let mut sum = 0;
     let fits = |_: &Record, next: &Record| {
         let size = match next {
             Record::Entry(entry) => entry.size(),
-            Record::Ballot(_) | Record::Snapshot(_) => 0,
+            Record::HardState(_) | Record::Snapshot(_) => 0,
         };
         sum += size;
-        let fits = sum <= FRAME_RECORDS;
+        let fits = sum <= MAX_FRAME_RECORD_BYTES;
         if !fits {
             sum = size;
         }
@@ -273,65 +281,65 @@
     records.chunk_by(fits).collect()
 }
 
-fn write_base(folder: &Path, number: u64, image: &Recovered) -> Result<file::Log, Error> {
-    let unfinished = folder.join(UNFINISHED);
-    let mut log = file::Log::create(&unfinished)?;
-    let snapshot = image.snapshot.as_ref().map(Kept::of);
-    let (identity, ballot) = (image.identity, image.ballot);
+fn write_base(dir: &Path, number: u64, state: &Recovered) -> Result<file::LogFile, Error> {
+    let temporary = dir.join(TEMPORARY_FILE);
+    let mut log = file::LogFile::create(&temporary)?;
+    let snapshot = state.snapshot.as_ref().map(SnapshotRef::of);
+    let (identity, hard_state) = (state.identity, state.hard_state);
     log.append(
         &Block::Base {
             identity,
-            ballot,
+            hard_state,
             snapshot,
         },
         None,
     )?;
-    let records: Vec<Record> = image.entries.iter().cloned().map(Record::Entry).collect();
-    for part in parts(&records) {
-        log.append(&Block::Records(part.to_vec()), None)?;
+    let records: Vec<Record> = state.entries.iter().cloned().map(Record::Entry).collect();
+    for group in split_into_frames(&records) {
+        log.append(&Block::Records(group.to_vec()), None)?;
     }
-    log.rename(folder, file::log_path(folder, number))?;
+    log.rename(dir, file::log_path(dir, number))?;
     Ok(log)
 }
 
-fn recover(folder: &Path, path: &Path) -> Result<(Recovered, file::Log), Error> {
-    let (log, blocks) = file::Log::open(path)?;
+fn recover(dir: &Path, path: &Path) -> Result<(Recovered, file::LogFile), Error> {
+    let (log, blocks) = file::LogFile::open(path)?;
     let mut blocks = blocks.into_iter();
-    let head = blocks.next().context(DamagedSnafu {
+    let head = blocks.next().context(CorruptSnafu {
         path,
         offset: 0_u64,
-        what: "it has no base",
+        what: "expected a base block, got an empty file",
     })?;
     let (
         _,
         Block::Base {
             identity,
-            ballot,
+            hard_state,
             snapshot,
         },
     ) = head
     else {
-        let what = "it starts without a base";
-        return DamagedSnafu {
+        let what = "expected a base block first, got records";
+        return CorruptSnafu {
             path,
             offset: 0_u64,
             what,
         }
         .fail();
     };
-    let mut image = Recovered::empty(identity);
-    image.ballot = ballot;
-    image.snapshot = snapshot
-        .map(|kept| kept::read_snapshot(folder, kept))
+    let mut state = Recovered::empty(identity);
+    state.hard_state = hard_state;
+    state.snapshot = snapshot
+        .map(|reference| snapshot_file::read_snapshot(dir, reference))
         .transpose()?;
     for (offset, block) in blocks {
         let Block::Records(records) = block else {
-            let what = "there is a second base";
-            return DamagedSnafu { path, offset, what }.fail();
+            let what = "expected records, got a second base block";
+            return CorruptSnafu { path, offset, what }.fail();
         };
         for record in &records {
-            image.apply(record).map_err(|error| {
-                DamagedSnafu {
+            state.apply(record).map_err(|error| {
+                CorruptSnafu {
                     path,
                     offset,
                     what: error.to_string(),
@@ -340,5 +348,5 @@
             })?;
         }
     }
-    Ok((image, log))
+    Ok((state, log))
 }
--- a/crates/quorum/src/disk/file.rs
+++ b/crates/quorum/src/disk/file.rs
@@ -1,4 +1,4 @@
-//! Files of the data folder: how they are written, synced, renamed and found.
+//! File operations in the data directory: writing, syncing, atomic renaming and listing.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -6,18 +6,18 @@
 
 use snafu::ResultExt;
 
-use super::{Block, LOG, frame};
-use crate::store::{DamagedSnafu, Error, IoSnafu};
+use super::{Block, LOG_PREFIX, frame};
+use crate::store::{CorruptSnafu, Error, IoSnafu};
 
-/// The log file that is being written.
+/// The log file open for appending.
 #[derive(Debug)]
-pub(super) struct Log {
+pub(super) struct LogFile {
     file: File,
     path: PathBuf,
     frames: u64,
 }
 
-impl Log {
+impl LogFile {
     pub(super) fn create(path: &Path) -> Result<Self, Error> {
         let file = File::create(path).context(IoSnafu { what: "make", path })?;
         Ok(Self {
@@ -27,7 +27,7 @@
         })
     }
 
-    /// Opens a log file and cuts its torn tail.
+    /// Opens a log file and truncates its torn tail. Returns the blocks with their file offsets.
     pub(super) fn open(path: &Path) -> Result<(Self, Vec<(u64, Block)>), Error> {
         let io = |what| IoSnafu { what, path };
         let mut file = OpenOptions::new()
@@ -38,9 +38,9 @@
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes).context(io("read"))?;
         let scan = frame::scan(&bytes);
-        if scan.damaged || scan.blocks.is_empty() {
-            let what = "a frame does not have its checksum and is not the last";
-            return DamagedSnafu {
+        if scan.corrupt || scan.blocks.is_empty() {
+            let what = "expected a valid frame, got an invalid one that is not a torn tail";
+            return CorruptSnafu {
                 path,
                 offset: scan.end,
                 what,
@@ -48,7 +48,7 @@
             .fail();
         }
         if scan.end < bytes.len() as u64 {
-            tracing::info!(file = %path.display(), offset = scan.end, "cut a torn tail");
+            tracing::info!(file = %path.display(), offset = scan.end, "truncated the torn tail");
             file.set_len(scan.end).context(io("cut"))?;
             file.sync_all().context(io("sync"))?;
         }
@@ -64,7 +64,7 @@
         ))
     }
 
-    /// Writes and syncs a block. `fail_after` makes the write fail after some bytes.
+    /// Writes and syncs a block. With `fail_after`, the write fails after that many bytes.
     pub(super) fn append(&mut self, block: &Block, fail_after: Option<usize>) -> Result<(), Error> {
         let frame = frame::encode(self.frames, block)?;
         let written = match fail_after {
@@ -87,78 +87,78 @@
         Ok(())
     }
 
-    /// Gives the file its name for good.
-    pub(super) fn rename(&mut self, folder: &Path, path: PathBuf) -> Result<(), Error> {
+    /// Syncs the file and renames it to its final path.
+    pub(super) fn rename(&mut self, dir: &Path, path: PathBuf) -> Result<(), Error> {
         self.file.sync_all().context(IoSnafu {
             what: "sync",
             path: &self.path,
         })?;
-        rename(folder, &self.path, &path)?;
+        rename(dir, &self.path, &path)?;
         self.path = path;
         Ok(())
     }
 }
 
-/// Writes a file under another name, syncs it, renames it and syncs the folder.
-pub(super) fn write_whole(
-    folder: &Path,
-    unfinished: &Path,
+/// Writes a file atomically: under a temporary name, synced, renamed, then the directory synced.
+pub(super) fn write_atomically(
+    dir: &Path,
+    temporary: &Path,
     path: &Path,
     data: &[u8],
 ) -> Result<(), Error> {
     let io = |what| IoSnafu {
         what,
-        path: unfinished,
+        path: temporary,
     };
-    let mut file = File::create(unfinished).context(io("make"))?;
+    let mut file = File::create(temporary).context(io("make"))?;
     file.write_all(data).context(io("write"))?;
     file.sync_all().context(io("sync"))?;
-    rename(folder, unfinished, path)
+    rename(dir, temporary, path)
 }
 
-fn rename(folder: &Path, from: &Path, to: &Path) -> Result<(), Error> {
+fn rename(dir: &Path, from: &Path, to: &Path) -> Result<(), Error> {
     fs::rename(from, to).context(IoSnafu {
         what: "rename",
         path: from,
     })?;
-    let opened = File::open(folder).context(IoSnafu {
+    let opened = File::open(dir).context(IoSnafu {
         what: "open",
-        path: folder,
+        path: dir,
     })?;
     opened.sync_all().context(IoSnafu {
         what: "sync",
-        path: folder,
+        path: dir,
     })
 }
 
 pub(super) fn log_name(number: u64) -> String {
-    format!("{LOG}{number:016x}")
+    format!("{LOG_PREFIX}{number:016x}")
 }
 
-pub(super) fn log_path(folder: &Path, number: u64) -> PathBuf {
-    folder.join(log_name(number))
+pub(super) fn log_path(dir: &Path, number: u64) -> PathBuf {
+    dir.join(log_name(number))
 }
 
-fn names(folder: &Path) -> Result<Vec<String>, Error> {
+fn file_names(dir: &Path) -> Result<Vec<String>, Error> {
     let io = IoSnafu {
         what: "read",
-        path: folder,
+        path: dir,
     };
-    let files = fs::read_dir(folder).context(io)?;
+    let files = fs::read_dir(dir).context(io)?;
     let names = files.map(|file| file.map(|f| f.file_name().to_string_lossy().into_owned()));
     names.collect::<io::Result<_>>().context(io)
 }
 
-/// The numbers of the log files.
-pub(super) fn numbers(folder: &Path) -> Result<Vec<u64>, Error> {
-    let number = |name: &String| u64::from_str_radix(name.strip_prefix(LOG)?, 16).ok();
-    Ok(names(folder)?.iter().filter_map(number).collect())
+/// Returns the numbers of the log files.
+pub(super) fn log_numbers(dir: &Path) -> Result<Vec<u64>, Error> {
+    let number = |name: &String| u64::from_str_radix(name.strip_prefix(LOG_PREFIX)?, 16).ok();
+    Ok(file_names(dir)?.iter().filter_map(number).collect())
 }
 
-/// A file whose name starts with `prefix`.
-pub(super) fn find(folder: &Path, prefix: &str) -> Result<Option<PathBuf>, Error> {
-    let found = names(folder)?
+/// Returns a file whose name starts with `prefix`, if any.
+pub(super) fn find_by_prefix(dir: &Path, prefix: &str) -> Result<Option<PathBuf>, Error> {
+    let found = file_names(dir)?
         .into_iter()
         .find(|name| name.starts_with(prefix));
-    Ok(found.map(|name| folder.join(name)))
+    Ok(found.map(|name| dir.join(name)))
 }
--- a/crates/quorum/src/disk/kept.rs
+++ b/crates/quorum/src/disk/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! Snapshots in files of their own.
+//! Snapshot files.
 
 use std::fs;
 use std::path::Path;
@@ -7,15 +7,15 @@
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
 
-use super::{SNAPSHOT, UNFINISHED, file};
+use super::{SNAPSHOT_PREFIX, TEMPORARY_FILE, file};
 use crate::id::{Index, Term};
 use crate::log::Snapshot;
 use crate::member::Membership;
-use crate::store::{DamagedSnafu, Error, IoSnafu};
+use crate::store::{CorruptSnafu, Error, IoSnafu};
 
-/// A snapshot whose data is in a file of its own.
+/// Reference in a log file to a snapshot whose data is in a separate file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct SnapshotRef {
     index: Index,
     term: Term,
     membership: Membership,
@@ -23,7 +23,7 @@
     checksum: u32,
 }
 
-impl Kept {
+impl SnapshotRef {
     pub(super) fn of(snapshot: &Snapshot) -> Self {
         Self {
             index: snapshot.index,
@@ -35,44 +35,45 @@
     }
 
     pub(super) fn name(&self) -> String {
-        format!("{SNAPSHOT}{:016x}-{:016x}", self.index, self.term)
+        format!("{SNAPSHOT_PREFIX}{:016x}-{:016x}", self.index, self.term)
     }
 }
 
-/// Writes a snapshot's file, unless it is there.
-pub(super) fn write_snapshot(folder: &Path, snapshot: &Snapshot) -> Result<(), Error> {
-    let kept = Kept::of(snapshot);
-    let path = folder.join(kept.name());
-    let present = fs::metadata(&path).is_ok_and(|file| file.len() == kept.total);
+/// Writes the snapshot file, unless one of the right size exists.
+pub(super) fn write_snapshot(dir: &Path, snapshot: &Snapshot) -> Result<(), Error> {
+    let reference = SnapshotRef::of(snapshot);
+    let path = dir.join(reference.name());
+    let present = fs::metadata(&path).is_ok_and(|file| file.len() == reference.total);
     if present {
         return Ok(());
     }
-    file::write_whole(folder, &folder.join(UNFINISHED), &path, &snapshot.data)
+    file::write_atomically(dir, &dir.join(TEMPORARY_FILE), &path, &snapshot.data)
 }
 
-/// Reads the file of a snapshot that the log names.
-pub(super) fn read_snapshot(folder: &Path, kept: Kept) -> Result<Snapshot, Error> {
-    let path = folder.join(kept.name());
+/// Reads the snapshot file that the log refers to and verifies its checksum.
+pub(super) fn read_snapshot(dir: &Path, reference: SnapshotRef) -> Result<Snapshot, Error> {
+    let path = dir.join(reference.name());
     let data = fs::read(&path).context(IoSnafu {
         what: "read",
         path: &path,
     })?;
-    let sound = data.len() as u64 == kept.total && crc32fast::hash(&data) == kept.checksum;
-    if !sound {
-        let what = "its checksum differs from the one in the log";
-        return DamagedSnafu {
+    let valid =
+        data.len() as u64 == reference.total && crc32fast::hash(&data) == reference.checksum;
+    if !valid {
+        let what = "its length or checksum differs from the reference in the log";
+        return CorruptSnafu {
             path,
             offset: 0_u64,
             what,
         }
         .fail();
     }
-    let Kept {
+    let SnapshotRef {
         index,
         term,
         membership,
         ..
-    } = kept;
+    } = reference;
     Ok(Snapshot {
         index,
         term,
--- a/crates/quorum/src/disk/writer.rs
+++ b/crates/quorum/src/disk/writer.rs
@@ -1,4 +1,4 @@
-//! A thread that writes batches, so that the owner of a core never waits for the disk.
+//! A thread that writes batches, so that the owner of a core never blocks on the disk.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread::JoinHandle;
@@ -7,22 +7,22 @@
 use crate::id::Token;
 use crate::store::{Batch, Error, Record, Store};
 
-/// Records that one sync takes together, at most.
-const RECORDS: usize = 4096;
+/// Record count at which no further batches are added to one sync.
+const MAX_RECORDS_PER_SYNC: usize = 4096;
 
-/// What became of batches.
+/// The result of writing batches.
 #[derive(Debug)]
 pub enum Done {
-    /// All batches up to this one are synced.
+    /// All batches up to and including this one are synced.
     Persisted {
-        /// The last synced batch.
+        /// Token of the last synced batch.
         token: Token,
     },
-    /// A batch could not be written.
+    /// Writing a batch failed.
     Failed {
-        /// The batch.
+        /// Token of the first batch that was not written.
         token: Token,
-        /// Why.
+        /// The cause.
         error: Error,
     },
 }
@@ -36,7 +36,8 @@
     }
 }
 
-/// A thread that owns a store. Dropping it writes what it was given and waits for the end.
+/// A thread that owns a store. Dropping the writer writes the submitted batches and joins the
+/// thread.
 #[derive(Debug)]
 pub struct Writer {
     batches: Option<Sender<Batch>>,
@@ -44,11 +45,11 @@
 }
 
 impl Writer {
-    /// Starts the thread. `report` is called in it, and should only pass the result on.
+    /// Starts the thread. `report` is called on it and should only forward the result.
     ///
     /// # Errors
     ///
-    /// An error if the system starts no thread.
+    /// Returns an error if the operating system fails to create the thread.
     pub fn start(
         store: Box<dyn Store>,
         report: impl FnMut(Done) + Send + 'static,
@@ -62,12 +63,13 @@
         })
     }
 
-    /// Hands over the batch of an [`Action::Persist`](crate::action::Action::Persist), in order.
+    /// Queues the batch of an [`Action::Persist`](crate::action::Action::Persist). Batches must be
+    /// submitted in order.
     pub fn submit(&self, batch: Batch) {
         if let Some(batches) = &self.batches {
             let sent = batches.send(batch);
             if sent.is_err() {
-                tracing::error!("the writer's thread has ended");
+                tracing::error!("the quorum writer thread has exited; batch not submitted");
             }
         }
     }
@@ -79,7 +81,7 @@
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
-            tracing::error!("the writer's thread has panicked");
+            tracing::error!("the quorum writer thread panicked");
         }
     }
 }
@@ -88,13 +90,13 @@
     let mut attempt = 0;
     while let Ok(first) = queue.recv() {
         let token = first.token;
-        let Some((last, records)) = gather(first, queue, attempt) else {
+        let Some((last, records)) = collect_batches(first, queue, attempt) else {
             continue;
         };
         match store.append(&records) {
             Ok(()) => report(Done::Persisted { token: last }),
             Err(error) => {
-                tracing::warn!(%error, "a batch could not be written");
+                tracing::warn!(%error, "cannot write a batch");
                 attempt += 1;
                 report(Done::Failed { token, error });
             }
@@ -102,14 +104,19 @@
     }
 }
 
-/// What is there to be written now; batches of a failed attempt are left out.
-fn gather(first: Batch, queue: &Receiver<Batch>, attempt: u64) -> Option<(Token, Vec<Record>)> {
+/// Merges the first batch with those already queued and returns the last token with all records;
+/// `None` if the first batch belongs to a failed attempt.
+fn collect_batches(
+    first: Batch,
+    queue: &Receiver<Batch>,
+    attempt: u64,
+) -> Option<(Token, Vec<Record>)> {
     if first.attempt < attempt {
         return None;
     }
     let mut last = first.token;
     let mut records = first.records;
-    while records.len() < RECORDS {
+    while records.len() < MAX_RECORDS_PER_SYNC {
         let Ok(batch) = queue.try_recv() else { break };
         last = batch.token;
         records.extend(batch.records);
--- a/crates/quorum/src/event.rs
+++ b/crates/quorum/src/event.rs
@@ -1,4 +1,4 @@
-//! What the owner tells a core.
+//! Events that the owner passes to a [`Core`](crate::core::Core).
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -6,73 +6,77 @@
 use crate::id::{Index, MemberId, Peer, RequestId, Token};
 use crate::message::Envelope;
 
-/// What the owner tells a core.
+/// Events that the owner passes to a [`Core`](crate::core::Core).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; due at [`Core::next_wake`](crate::core::Core::next_wake).
+    /// Runs expired timers; due at [`Core::next_wake`](crate::core::Core::next_wake).
     Tick,
-    /// A message has arrived.
+    /// A message was received.
     Receive {
-        /// The member that the transport has authenticated.
+        /// The sender, as authenticated by the transport.
         from: MemberId,
-        /// The message.
+        /// The received message.
         message: Envelope,
     },
-    /// Put a payload into the log; answered by `Apply` with the id, or by `Rejected`.
+    /// Proposes a payload for the log. Completed by [`Action::Apply`](crate::action::Action::Apply)
+    /// with the same ID or by [`Action::Rejected`](crate::action::Action::Rejected).
     Propose {
-        /// The owner's number for it.
+        /// The owner's request ID.
         id: RequestId,
-        /// What to put into the log.
+        /// The payload to append.
         payload: Bytes,
     },
-    /// All batches up to this one are synced.
+    /// All batches up to and including this one are synced.
     Persisted {
-        /// The last synced batch.
+        /// Token of the last synced batch.
         token: Token,
     },
-    /// A batch could not be written, so no later one of its attempt was either.
+    /// Writing a batch failed, so no later batch of the same attempt was written either.
     PersistFailed {
-        /// The first batch that failed.
+        /// Token of the first batch that failed.
         token: Token,
     },
-    /// Change the members; answered by `Changed` or `Rejected`.
+    /// Changes the membership. Completed by [`Action::Changed`](crate::action::Action::Changed) or
+    /// [`Action::Rejected`](crate::action::Action::Rejected).
     Change {
-        /// The owner's number for it.
+        /// The owner's request ID.
         id: RequestId,
-        /// What to change.
+        /// The requested change.
         change: Change,
     },
-    /// The owner's state, after all that it was given to apply or restore, or less.
+    /// A snapshot of the owner's state. It may lag behind the entries already handed to the owner.
     Snapshot {
-        /// The last entry that was applied to the state, or the snapshot that it was restored
+        /// The last entry applied to the state, or the index of the snapshot that it was restored
         /// from, whichever is later.
         index: Index,
-        /// The state.
+        /// The encoded state.
         data: Bytes,
     },
-    /// Answer `BarrierDone` once a read of the owner's state sees all that was committed before.
+    /// Requests [`Action::BarrierDone`](crate::action::Action::BarrierDone) once a read of the
+    /// owner's state reflects everything committed before this event.
     Barrier {
-        /// The owner's number for it.
+        /// The owner's request ID.
         id: RequestId,
     },
 }
 
-/// A change of the members. One at a time; asking again for one that is done is answered at once.
+/// A membership change. Only one may be in progress; requesting a change that already took effect
+/// succeeds at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// Admit a learner.
+    /// Adds a learner.
     Add(Peer),
-    /// Make a learner a voter once it has synced all that is committed.
+    /// Promotes a learner to voter once it has synced every committed entry.
     Promote(MemberId),
-    /// Remove a member.
+    /// Removes a member.
     Remove(MemberId),
-    /// Put a new voter in the place of a member; done when the new set is committed.
-    /// The same member under a new incarnation replaces itself.
+    /// Replaces a member with a new voter; complete when the final membership is committed. A
+    /// member whose storage was wiped replaces itself under its new incarnation.
     Replace {
-        /// The member that leaves.
+        /// The member to remove.
         old: MemberId,
-        /// The one that comes.
+        /// The voter that takes its place.
         new: Peer,
     },
 }
--- a/crates/quorum/src/id.rs
+++ b/crates/quorum/src/id.rs
@@ -1,41 +1,42 @@
-//! Aliases for ids and for time.
+//! Identifiers, log positions and time.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Time since the owner's process started, on its monotonic clock.
+/// Time since the owner's process started, measured on its monotonic clock.
 pub type Time = Duration;
 
-/// A member of a group: the number of its host.
+/// Identifies a member of a group: the number of its host.
 pub type MemberId = u64;
 
-/// One life of a member's disk; an emptied disk gets another one.
+/// Identifies the contents of a member's storage: wiped storage gets a new incarnation.
 pub type Incarnation = u64;
 
-/// A term of the log; it is also the fencing number of what its leader decides.
+/// A Raft term; also the fencing token for the decisions of its leader.
 pub type Term = u64;
 
-/// A position in the log, from 1.
+/// A position in the log, starting at 1.
 pub type Index = u64;
 
-/// A batch of records on its way to the disk; later batches have larger tokens.
+/// Identifies a batch of records submitted for writing; later batches have larger tokens.
 pub type Token = u64;
 
-/// A cluster; messages of other clusters are dropped.
+/// Identifies a cluster; messages from other clusters are dropped.
 pub type ClusterId = u64;
 
-/// A group of members with one log; a process may hold several.
+/// Identifies a Raft group, whose members share one log; a process may belong to several.
 pub type GroupId = u32;
 
-/// The owner's number for a proposal, barrier or change; it never leaves the process.
+/// The owner's ID for a proposal, barrier or membership change; never leaves the process.
 pub type RequestId = u64;
 
-/// A member together with the life of its disk: who may vote and acknowledge.
+/// A member together with its storage incarnation. Only the admitted incarnation of a voter may
+/// vote and acknowledge entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
     /// The member.
     pub id: MemberId,
-    /// The life of its disk.
+    /// The incarnation of its storage.
     pub incarnation: Incarnation,
 }
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,10 +1,10 @@
-//! A replicated log with elections, leases, snapshots and membership change.
+//! A Raft replicated log with leader election, leases, snapshots and membership changes.
 //!
-//! [`core::Core`] holds the rules of one member and does no input or output: its owner gives it
-//! events and the time, and carries out the actions that it returns. [`disk::Disk`] makes what it
-//! asks last, in the thread of a [`disk::Writer`].
+//! [`core::Core`] implements the protocol for one member and performs no I/O: its owner passes in
+//! events and the current time and executes the returned actions. [`disk::Disk`] persists the
+//! records that the core produces; a [`disk::Writer`] runs it on its own thread.
 //!
-//! Three members in memory elect a leader and commit a proposal:
+//! Three in-memory members elect a leader and commit a proposal:
 //!
 //! ```
 //! use std::collections::VecDeque;
--- a/crates/quorum/src/log.rs
+++ b/crates/quorum/src/log.rs
@@ -1,4 +1,4 @@
-//! Entries, snapshots, and the part of the log that a member holds in memory.
+//! Log entries, snapshots and the in-memory log.
 
 use std::collections::VecDeque;
 
@@ -8,60 +8,60 @@
 use crate::id::{Index, Term};
 use crate::member::Membership;
 
-/// Bytes that an entry counts for besides its payload.
-const ENTRY_BYTES: usize = 24;
+/// Approximate size of an entry without its payload.
+const ENTRY_OVERHEAD_BYTES: usize = 24;
 
-/// What an entry holds.
+/// The payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: the first entry of a leader's term.
+    /// No payload: the entry that a new leader appends at the start of its term.
     Empty,
-    /// What the owner proposed.
+    /// A payload proposed by the owner.
     Data(Bytes),
-    /// The members from this entry on.
+    /// A new membership, in effect from this entry on.
     Membership(Membership),
 }
 
-/// One entry of the log.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its position.
+    /// Position in the log.
     pub index: Index,
-    /// The term of the leader that wrote it.
+    /// Term of the leader that appended the entry.
     pub term: Term,
-    /// What it holds.
+    /// The payload.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// About how many bytes the entry takes in a message.
+    /// Approximate size of the entry in a message, in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         match &self.payload {
-            Payload::Empty => ENTRY_BYTES,
-            Payload::Data(data) => ENTRY_BYTES + data.len(),
-            Payload::Membership(members) => ENTRY_BYTES * (1 + members.len()),
+            Payload::Empty => ENTRY_OVERHEAD_BYTES,
+            Payload::Data(data) => ENTRY_OVERHEAD_BYTES + data.len(),
+            Payload::Membership(members) => ENTRY_OVERHEAD_BYTES * (1 + members.len()),
         }
     }
 }
 
-/// The owner's state after the entry at `index`, which stands for all entries up to it.
+/// A snapshot of the owner's state, which replaces all entries up to `index`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that it holds.
+    /// Index of the last entry covered.
     pub index: Index,
-    /// The term of that entry.
+    /// Term of that entry.
     pub term: Term,
-    /// The members after that entry.
+    /// The membership as of that entry.
     pub membership: Membership,
-    /// The owner's state.
+    /// The owner's encoded state.
     pub data: Bytes,
 }
 
-/// The entries in memory, after an offset.
+/// The in-memory log: the latest snapshot and the entries after `offset`.
 #[derive(Debug, Default)]
 pub(crate) struct Log {
-    /// The index before the first entry in memory, and its term.
+    /// Index, and below it the term, of the entry that precedes the first one in memory.
     offset: Index,
     offset_term: Term,
     entries: VecDeque<Entry>,
@@ -101,7 +101,8 @@
         self.entries.get(usize::try_from(at).ok()?)
     }
 
-    /// The term of the entry at `index`, if this member still knows it.
+    /// Returns the term of the entry at `index`, or `None` if the entry is compacted or beyond the
+    /// end.
     pub(crate) fn term(&self, index: Index) -> Option<Term> {
         if index == self.offset {
             return Some(self.offset_term);
@@ -109,7 +110,7 @@
         self.entry(index).map(|e| e.term)
     }
 
-    /// The entry before the first one of the term that `index` has.
+    /// Returns the index before the first entry of the term that the entry at `index` belongs to.
     pub(crate) fn before_term_of(&self, index: Index) -> Index {
         let term = self.term(index);
         let mut at = index;
@@ -119,7 +120,8 @@
         at
     }
 
-    /// Entries from `from` on, at least one if there is one, else up to a sum of bytes.
+    /// Returns consecutive entries from `from` on, up to a total of `bytes` but at least one if
+    /// there is one.
     pub(crate) fn slice(&self, from: Index, bytes: usize) -> Vec<Entry> {
         let mut sum = 0;
         let mut slice = Vec::new();
@@ -139,14 +141,14 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries at and after `index`.
+    /// Removes the entries at and after `index`.
     pub(crate) fn truncate(&mut self, index: Index) {
         let keep = index.saturating_sub(self.offset + 1);
         self.entries
             .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
     }
 
-    /// Takes the owner's snapshot and keeps up to `trailing` entries before it.
+    /// Installs a snapshot of this member's owner and keeps up to `trailing` entries before it.
     pub(crate) fn compact(&mut self, snapshot: Snapshot, trailing: u64) {
         let offset = snapshot.index.saturating_sub(trailing);
         while self.offset < offset {
@@ -159,7 +161,8 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Takes a leader's snapshot; entries after it stay if the log agrees with it.
+    /// Installs a snapshot from a leader. Entries after it are kept if the log matches the
+    /// snapshot.
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         if self.term(snapshot.index) == Some(snapshot.term) {
             self.compact(snapshot, 0);
--- a/crates/quorum/src/member.rs
+++ b/crates/quorum/src/member.rs
@@ -1,4 +1,4 @@
-//! Who belongs to a group, and what a quorum of it is.
+//! Group membership and quorums.
 
 use std::collections::BTreeMap;
 use std::ops::{Deref, DerefMut};
@@ -7,58 +7,59 @@
 
 use crate::id::{Incarnation, Index, MemberId, Peer};
 
-/// Whether a member counts in quorums.
+/// Whether a member counts towards quorums.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
-pub enum Standing {
-    /// Receives the log and does not count.
+pub enum MemberKind {
+    /// Receives the log but does not vote or count towards quorums.
     Learner,
-    /// Votes and counts in quorums.
+    /// Votes and counts towards quorums.
     Voter,
 }
 
-/// One member of a group.
+/// An entry of a [`Membership`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// The life of its disk that was admitted.
+    /// The admitted storage incarnation.
     pub incarnation: Incarnation,
-    /// Whether it counts in quorums.
-    pub standing: Standing,
+    /// Whether the member is a learner or a voter.
+    #[serde(rename = "standing")]
+    pub kind: MemberKind,
 }
 
-/// The members of a group.
+/// The members of a group, by ID.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Membership(BTreeMap<MemberId, Member>);
 
 impl Membership {
-    /// A group of voters.
+    /// Creates a membership in which all `voters` are voters.
     #[must_use]
     pub fn of(voters: &[Peer]) -> Self {
-        let standing = Standing::Voter;
+        let kind = MemberKind::Voter;
         let member = |peer: &Peer| Member {
             incarnation: peer.incarnation,
-            standing,
+            kind,
         };
         Self(voters.iter().map(|peer| (peer.id, member(peer))).collect())
     }
 
-    /// The same group with one more member, or with another standing of that member.
+    /// Returns a copy with `peer` added, or changed to `kind` if already a member.
     #[must_use]
-    pub fn with(&self, peer: Peer, standing: Standing) -> Self {
+    pub fn with(&self, peer: Peer, kind: MemberKind) -> Self {
         let mut next = self.clone();
         next.insert(
             peer.id,
             Member {
                 incarnation: peer.incarnation,
-                standing,
+                kind,
             },
         );
         next
     }
 
-    /// The same group without a member.
+    /// Returns a copy without a member.
     #[must_use]
     pub fn without(&self, id: MemberId) -> Self {
         let mut next = self.clone();
@@ -66,34 +67,34 @@
         next
     }
 
-    /// The members that count in quorums.
+    /// The voters, in ID order.
     pub fn voters(&self) -> impl Iterator<Item = MemberId> {
         self.iter()
-            .filter(|(_, member)| member.standing == Standing::Voter)
+            .filter(|(_, member)| member.kind == MemberKind::Voter)
             .map(|(id, _)| *id)
     }
 
-    /// How many voters make a quorum.
+    /// The number of voters that form a majority.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// Whether the member counts in quorums under any incarnation.
+    /// Whether the member is a voter, under any incarnation.
     #[must_use]
     pub fn is_voter(&self, id: MemberId) -> bool {
         self.get(&id)
-            .is_some_and(|member| member.standing == Standing::Voter)
+            .is_some_and(|member| member.kind == MemberKind::Voter)
     }
 
-    /// Whether this life of the member's disk was admitted.
+    /// Whether the member belongs to the group under exactly this incarnation.
     #[must_use]
     pub fn admits(&self, peer: Peer) -> bool {
         self.get(&peer.id)
             .is_some_and(|member| member.incarnation == peer.incarnation)
     }
 
-    /// The peer of a member.
+    /// The member with its admitted incarnation; `None` if it is not in the group.
     #[must_use]
     pub fn peer(&self, id: MemberId) -> Option<Peer> {
         self.get(&id).map(|member| Peer {
@@ -102,8 +103,8 @@
         })
     }
 
-    /// The largest value that a quorum of the voters has reached.
-    pub(crate) fn reached<T: Ord>(&self, value: impl Fn(MemberId) -> T) -> Option<T> {
+    /// Returns the largest value that at least a quorum of the voters has reached.
+    pub(crate) fn quorum_value<T: Ord>(&self, value: impl Fn(MemberId) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters().map(value).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
         values.into_iter().nth(self.quorum() - 1)
@@ -124,52 +125,52 @@
     }
 }
 
-/// The memberships that the log sets, each in force from the entry that holds it.
+/// The memberships set by log entries. Each takes effect as soon as its entry is in the log.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct History {
-    set: Vec<(Index, Membership)>,
-    /// In force before any is set.
-    none: Membership,
+pub(crate) struct MembershipHistory {
+    changes: Vec<(Index, Membership)>,
+    /// In effect before any membership is set.
+    empty: Membership,
 }
 
-impl History {
-    /// Adds the membership that the entry at `index` sets.
+impl MembershipHistory {
+    /// Records the membership set by the entry at `index`.
     pub(crate) fn push(&mut self, index: Index, membership: Membership) {
-        self.set.push((index, membership));
+        self.changes.push((index, membership));
     }
 
-    /// Forgets memberships at and after `index`.
+    /// Removes the memberships set at or after `index`.
     pub(crate) fn truncate(&mut self, index: Index) {
-        self.set.retain(|(at, _)| *at < index);
+        self.changes.retain(|(at, _)| *at < index);
     }
 
-    /// Forgets memberships that none of the entries from `index` on needs.
+    /// Removes the memberships that were superseded at or before `index`.
     pub(crate) fn compact(&mut self, index: Index) {
         let keep = self
-            .set
+            .changes
             .iter()
             .rposition(|(at, _)| *at <= index)
             .unwrap_or(0);
-        self.set.drain(..keep);
+        self.changes.drain(..keep);
     }
 
-    /// The membership in force after the entry at `index`.
+    /// Returns the membership in effect as of the entry at `index`.
     pub(crate) fn at(&self, index: Index) -> Membership {
-        let found = self.set.iter().rfind(|(at, _)| *at <= index);
+        let found = self.changes.iter().rfind(|(at, _)| *at <= index);
         found
             .map(|(_, membership)| membership.clone())
             .unwrap_or_default()
     }
 
-    /// The index of the latest membership.
+    /// Returns the index of the entry that set the latest membership, or 0.
     pub(crate) fn latest_index(&self) -> Index {
-        self.set.last().map_or(0, |(at, _)| *at)
+        self.changes.last().map_or(0, |(at, _)| *at)
     }
 
-    /// The membership in force.
+    /// Returns the latest membership, committed or not.
     pub(crate) fn latest(&self) -> &Membership {
-        self.set
+        self.changes
             .last()
-            .map_or(&self.none, |(_, membership)| membership)
+            .map_or(&self.empty, |(_, membership)| membership)
     }
 }
--- a/crates/quorum/src/memory.rs
+++ b/crates/quorum/src/memory.rs
@@ -1,18 +1,18 @@
-//! A store in memory for tests, which can lose what is not synced and can fail.
+//! An in-memory store for tests that can lose unsynced records and fail writes.
 
 use crate::store::{Error, Record, Recovered, Store, TooLargeSnafu};
 
-/// A disk in memory: records are written first and last only once they are synced.
+/// An in-memory store in which written records become durable only when synced.
 #[derive(Clone, Debug)]
-pub struct Memory {
+pub struct MemoryStore {
     synced: Recovered,
     written: Vec<Record>,
-    /// Whether writes fail.
+    /// Whether writes fail, as on a full disk.
     pub full: bool,
 }
 
-impl Memory {
-    /// A disk that holds `recovered`.
+impl MemoryStore {
+    /// Creates a store that holds `recovered`.
     #[must_use]
     pub fn new(recovered: Recovered) -> Self {
         Self {
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     ///
-    /// An error if the disk is full.
+    /// [`Error::TooLarge`] if the store is `full`.
     pub fn write(&mut self, records: &[Record]) -> Result<(), Error> {
         if self.full {
             return TooLargeSnafu {
@@ -39,11 +39,11 @@
         Ok(())
     }
 
-    /// Syncs what is written.
+    /// Makes all written records durable.
     ///
     /// # Errors
     ///
-    /// [`Error::Gap`] if entries do not follow from one another.
+    /// [`Error::Gap`] if the entries are not contiguous.
     pub fn sync(&mut self) -> Result<(), Error> {
         let written = std::mem::take(&mut self.written);
         written
@@ -51,30 +51,30 @@
             .try_for_each(|record| self.synced.apply(record))
     }
 
-    /// A crash: of the records not synced only the first `kept` last.
+    /// Simulates a crash in which only the first `kept` unsynced records survive.
     ///
     /// # Errors
     ///
-    /// [`Error::Gap`] if entries do not follow from one another.
+    /// [`Error::Gap`] if the entries are not contiguous.
     pub fn crash(&mut self, kept: usize) -> Result<(), Error> {
         self.written.truncate(kept);
         self.sync()
     }
 
-    /// What is synced.
+    /// The durable content.
     #[must_use]
     pub fn synced(&self) -> &Recovered {
         &self.synced
     }
 
-    /// How many records are written and not synced.
+    /// Number of records written but not synced.
     #[must_use]
     pub fn unsynced(&self) -> usize {
         self.written.len()
     }
 }
 
-impl Store for Memory {
+impl Store for MemoryStore {
     fn recovered(&self) -> Recovered {
         self.synced.clone()
     }
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -1,4 +1,4 @@
-//! What members say to one another.
+//! Messages between the members of a group.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -7,143 +7,165 @@
 use crate::log::Entry;
 use crate::member::Membership;
 
-/// A message with its sender and addressee.
+/// A message with its sender, recipient and term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The cluster of the sender.
+    /// The sender's cluster.
     pub cluster: ClusterId,
-    /// The group of the sender.
+    /// The sender's group.
     pub group: GroupId,
-    /// The incarnation of the disk that founded the sender's log; 0 while it has none.
+    /// Identifies the sender's log: the storage incarnation of the member that bootstrapped it; 0
+    /// while the sender has no log.
     pub lineage: Incarnation,
-    /// The sender.
+    /// The sending member and its storage incarnation.
     pub from: Peer,
-    /// The member addressed.
+    /// The recipient.
     pub to: MemberId,
-    /// The life of the addressee's disk that is meant; `None` for any.
+    /// The recipient's expected storage incarnation; `None` matches any.
     pub incarnation: Option<Incarnation>,
-    /// The sender's term; the one it asks for in a vote request.
+    /// The sender's term. In a pre-vote request and in a granted pre-vote response, the term of the
+    /// prospective election.
     pub term: Term,
-    /// What it says.
+    /// The content of the message.
     pub message: Message,
 }
 
-/// What a member says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Message {
-    /// A candidate, or one that would be, asks for a vote.
-    Vote(Vote),
-    /// The answer to a vote request.
-    Voted(Voted),
-    /// A leader's entries, or none: a heartbeat.
-    Append(Append),
-    /// What the member has of the leader's log.
-    Appended(Appended),
-    /// The leader's entry does not follow from the member's log.
-    Refused(Refused),
-    /// Part of a leader's snapshot.
-    Chunk(Chunk),
-    /// How much of a snapshot has arrived.
-    Received(Received),
-    /// A member without a group asks to be admitted.
+    /// Requests a vote or a pre-vote.
+    #[serde(rename = "Vote")]
+    #[strum(serialize = "vote")]
+    RequestVote(RequestVote),
+    /// The response to a [`RequestVote`].
+    #[serde(rename = "Voted")]
+    #[strum(serialize = "voted")]
+    VoteResponse(VoteResponse),
+    /// Replicates log entries; serves as a heartbeat when it has none.
+    #[serde(rename = "Append")]
+    #[strum(serialize = "append")]
+    AppendEntries(AppendEntries),
+    /// Reports how much of the leader's log the member has.
+    #[serde(rename = "Appended")]
+    #[strum(serialize = "appended")]
+    AppendResponse(AppendResponse),
+    /// Reports that the consistency check of an [`AppendEntries`] failed.
+    #[serde(rename = "Refused")]
+    #[strum(serialize = "refused")]
+    AppendRejected(AppendRejected),
+    /// Carries one chunk of the leader's snapshot.
+    #[serde(rename = "Chunk")]
+    #[strum(serialize = "chunk")]
+    SnapshotChunk(SnapshotChunk),
+    /// Reports how much of a snapshot the member has received.
+    #[serde(rename = "Received")]
+    #[strum(serialize = "received")]
+    ChunkReceived(ChunkReceived),
+    /// Asks to be admitted to the group.
     Join,
-    /// The answer to `Join`: whether the sender belongs to no group either.
-    Outside(bool),
+    /// The response to [`Message::Join`]: whether the sender does not belong to a group either.
+    #[serde(rename = "Outside")]
+    #[strum(serialize = "outside")]
+    NoGroup(bool),
 }
 
-/// A request for a vote (Raft §3.4; with `pre`, the pre-vote of Ongaro's thesis §9.6).
+/// A `RequestVote` request (Ongaro's thesis §3.4) or, with `pre_vote`, a pre-vote request (§9.6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Vote {
-    /// Whether the sender only asks if it would be elected.
-    pub pre: bool,
-    /// The last entry of the sender's log.
+pub struct RequestVote {
+    /// Whether this is a pre-vote, which does not change the recipient's term or vote.
+    #[serde(rename = "pre")]
+    pub pre_vote: bool,
+    /// Index of the last entry in the candidate's log.
     pub last_index: Index,
-    /// The term of that entry.
+    /// Term of that entry.
     pub last_term: Term,
 }
 
-/// The answer to a vote request.
+/// The response to a [`RequestVote`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Voted {
-    /// Whether this answers a pre-vote.
-    pub pre: bool,
-    /// Whether the vote is given.
+pub struct VoteResponse {
+    /// Whether this responds to a pre-vote request.
+    #[serde(rename = "pre")]
+    pub pre_vote: bool,
+    /// Whether the vote is granted.
     pub granted: bool,
 }
 
-/// Entries of the leader's log (Raft §3.5).
+/// An `AppendEntries` request (Ongaro's thesis §3.5).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Append {
-    /// The index before the first entry.
+pub struct AppendEntries {
+    /// Index of the entry that immediately precedes `entries`.
     pub prev_index: Index,
-    /// The term at that index.
+    /// Term of the entry at `prev_index`.
     pub prev_term: Term,
     /// The leader's commit index.
     pub commit: Index,
-    /// The leader's clock when it sent this; the answer repeats it.
+    /// The leader's clock at sending; echoed in the response.
     pub stamp: Time,
-    /// The entries.
+    /// The entries to append; empty in a heartbeat.
     pub entries: Vec<Entry>,
 }
 
 /// What a member has of the leader's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Appended {
-    /// Synced up to here.
+pub struct AppendResponse {
+    /// Last index that is both consistent with the leader's log and synced on the member.
     pub durable: Index,
-    /// In memory up to here.
-    pub held: Index,
-    /// The latest stamp heard of the leader.
+    /// Last index, in memory, that is known to be consistent with the leader's log.
+    #[serde(rename = "held")]
+    pub accepted_index: Index,
+    /// The latest stamp received from the leader of this term.
     pub stamp: Time,
 }
 
-/// The leader's entries do not follow from the member's log.
+/// The response to an [`AppendEntries`] whose `prev_index` and `prev_term` do not match the
+/// member's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refused {
-    /// The index before the refused entries.
+pub struct AppendRejected {
+    /// `prev_index` of the rejected request.
     pub prev_index: Index,
-    /// Where the logs may agree, at most.
+    /// Upper bound of the last index at which the two logs may agree.
     pub hint: Index,
-    /// The latest stamp heard of the leader.
+    /// The latest stamp received from the leader of this term.
     pub stamp: Time,
 }
 
-/// Which snapshot a chunk belongs to; equal ones have equal bytes.
+/// Identifies a snapshot; snapshots with equal IDs have equal bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotId {
-    /// The last entry in the snapshot.
+    /// Index of the last entry covered by the snapshot.
     pub index: Index,
-    /// The term of that entry.
+    /// Term of that entry.
     pub term: Term,
-    /// The length of the data in bytes.
+    /// Length of the snapshot data in bytes.
     pub total: u64,
-    /// CRC-32 of the data.
+    /// CRC-32 of the snapshot data.
     pub checksum: u32,
 }
 
-/// Part of a snapshot.
+/// One chunk of a snapshot (`InstallSnapshot`, Ongaro's thesis §5).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Chunk {
-    /// The snapshot.
+pub struct SnapshotChunk {
+    /// The snapshot that this refers to.
     pub snapshot: SnapshotId,
-    /// The members after its last entry.
+    /// The membership as of the snapshot's last entry.
     pub membership: Membership,
-    /// Where the data of this chunk starts.
+    /// Offset of this chunk in the snapshot data, in bytes.
     pub offset: u64,
-    /// The leader's clock when it sent this.
+    /// The leader's clock at sending; echoed in the response.
     pub stamp: Time,
-    /// The data; empty in a heartbeat.
+    /// The bytes of the chunk; empty in a heartbeat.
     pub data: Bytes,
 }
 
-/// How much of a snapshot has arrived.
+/// Reports how much of a snapshot the member has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Received {
-    /// The snapshot.
+pub struct ChunkReceived {
+    /// The snapshot that this refers to.
     pub snapshot: SnapshotId,
-    /// Bytes that have arrived without a gap.
+    /// Number of contiguous bytes received from the start.
     pub offset: u64,
-    /// The latest stamp heard of the leader.
+    /// The latest stamp received from the leader of this term.
     pub stamp: Time,
 }
--- a/crates/quorum/src/prelude.rs
+++ b/crates/quorum/src/prelude.rs
@@ -1,11 +1,11 @@
-//! The common types.
+//! Re-exports of the types that most users of the crate need.
 
 pub use crate::action::{Action, Reason};
 pub use crate::config::Config;
 pub use crate::core::Core;
 pub use crate::event::{Change, Event};
 pub use crate::id::{Index, MemberId, Peer, RequestId, Term, Time, Token};
-pub use crate::member::{Membership, Standing};
+pub use crate::member::{MemberKind, Membership};
 pub use crate::message::Envelope;
 pub use crate::status::{Lease, Role, Status};
 pub use crate::store::{Batch, Identity, Recovered, Store};
--- a/crates/quorum/src/status.rs
+++ b/crates/quorum/src/status.rs
@@ -1,4 +1,4 @@
-//! What a core shows of itself.
+//! A member's observable state: role, lease and status.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +7,31 @@
 use crate::id::{ClusterId, GroupId, Incarnation, Index, MemberId, Peer, Term, Time};
 use crate::member::Membership;
 
-/// What a member does in its term.
+/// A member's role in its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether it would be elected.
+    /// Requests pre-votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Leads the group.
     Leader,
 }
 
-/// The right to decide alone: no other member holds one that overlaps in real time.
+/// A leader lease: no other member holds one that overlaps in real time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The fencing number.
+    /// The leader's term, usable as a fencing token.
     pub term: Term,
-    /// When it ends, on this process's clock.
+    /// Expiry on this process's monotonic clock.
     pub until: Time,
 }
 
-/// A core's state for the dump of its process.
+/// The state of a core, for status output.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Status {
@@ -41,32 +41,36 @@
     pub group: GroupId,
     /// This member.
     pub peer: Peer,
-    /// The incarnation of the disk that founded the log; 0 while there is none.
+    /// Identifies the log: the storage incarnation of the member that bootstrapped it; 0 while
+    /// there is no log.
     pub lineage: Incarnation,
     /// This member's role.
     pub role: Role,
-    /// Its term.
+    /// This member's term.
     pub term: Term,
-    /// Who leads, as far as known.
+    /// The leader, if known.
     pub leader: Option<MemberId>,
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     pub commit: Index,
-    /// The last entry given to the owner.
+    /// Index of the last applied entry.
     pub applied: Index,
-    /// The last entry in memory.
+    /// Index of the last entry in memory.
     pub last: Index,
-    /// The last entry that is synced.
+    /// Index of the last entry synced to disk.
     pub durable: Index,
-    /// The last entry in the snapshot.
+    /// Index of the last entry covered by the snapshot; 0 without a snapshot.
     pub snapshot: Index,
-    /// The members.
+    /// The latest membership in the log, committed or not.
     pub members: Membership,
-    /// On a leader, what each other member has synced.
+    /// On a leader, the last index synced by each other member.
     pub matched: BTreeMap<MemberId, Index>,
-    /// On a leader, how long each other member has not answered.
+    /// On a leader, the time since the sending of the latest message that each other member
+    /// answered.
     pub silent: BTreeMap<MemberId, Time>,
-    /// Whether the disk fails or is slow; such a member neither leads nor votes.
-    pub disk_sick: bool,
-    /// Messages dropped because they were meant for another cluster, group or life of a disk.
+    /// Whether writes fail or stall; such a member neither leads nor votes.
+    #[serde(rename = "disk_sick")]
+    pub disk_unhealthy: bool,
+    /// Number of messages dropped: addressed to another cluster, group, member or incarnation, or
+    /// not processable in the current state.
     pub dropped: u64,
 }
--- a/crates/quorum/src/steward.rs
+++ b/crates/quorum/src/steward.rs
@@ -1,92 +1,94 @@
-//! Which change of the members a leader makes next, where hosts come and go without an operator.
+//! Automatic membership changes for groups whose hosts come and go without an operator.
 //!
-//! A group keeps its size: a host that asks to join learns the log first, and takes the place of a
-//! voter that has been silent for long. A voter that comes back with an empty disk replaces itself.
+//! The policy keeps the number of voters constant. A host that asks to join becomes a learner first
+//! and then replaces a voter that has not responded for a while. A voter that returns with wiped
+//! storage replaces itself.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::event::Change;
 use crate::id::{Incarnation, MemberId, Peer};
-use crate::member::Standing;
+use crate::member::MemberKind;
 use crate::status::{Role, Status};
 
-/// Decides on changes of the members.
+/// The policy that decides on membership changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Steward {
-    /// Voters that the group should have.
+    /// Target number of voters.
     pub voters: usize,
-    /// Silence after which a voter's place goes to a learner that answers.
-    pub patience: Duration,
-    /// Silence after which a learner is let go.
-    pub farewell: Duration,
+    /// Time without a response after which a voter is replaced by a responsive learner.
+    pub replace_after: Duration,
+    /// Time without a response after which a learner is removed.
+    pub remove_after: Duration,
 }
 
 impl Default for Steward {
     fn default() -> Self {
         Self {
             voters: 3,
-            patience: Duration::from_secs(3),
-            farewell: Duration::from_secs(10),
+            replace_after: Duration::from_secs(3),
+            remove_after: Duration::from_secs(10),
         }
     }
 }
 
-/// Hosts that ask to join, with the lives of their disks.
+/// Hosts that asked to join, with their storage incarnations.
 pub type Joiners = BTreeMap<MemberId, Incarnation>;
 
 impl Steward {
-    /// The next change, if one is due.
+    /// Returns the next change to make; `None` if none is due or this member is not the leader.
     #[must_use]
     pub fn next(&self, status: &Status, joiners: &Joiners) -> Option<Change> {
         if status.role != Role::Leader {
             return None;
         }
-        self.replace(status)
-            .or_else(|| self.promote(status))
-            .or_else(|| admit(status, joiners))
-            .or_else(|| self.dismiss(status))
+        self.replace_silent_voter(status)
+            .or_else(|| self.promote_learner(status))
+            .or_else(|| admit_joiner(status, joiners))
+            .or_else(|| self.remove_silent_learner(status))
     }
 
-    /// A silent voter's place goes to a learner.
-    fn replace(&self, status: &Status) -> Option<Change> {
-        let lost = |id: &MemberId| silence(status, *id) >= self.patience;
-        let old = status.members.voters().find(lost)?;
-        let new = self.learner(status)?;
+    /// Replaces a voter that stopped responding with a responsive learner.
+    fn replace_silent_voter(&self, status: &Status) -> Option<Change> {
+        let is_silent = |id: &MemberId| silence(status, *id) >= self.replace_after;
+        let old = status.members.voters().find(is_silent)?;
+        let new = self.responsive_learner(status)?;
         Some(Change::Replace { old, new })
     }
 
-    /// A group that is too small takes a learner.
-    fn promote(&self, status: &Status) -> Option<Change> {
+    /// Promotes a learner if the group has too few voters.
+    fn promote_learner(&self, status: &Status) -> Option<Change> {
         if status.members.voters().count() >= self.voters {
             return None;
         }
-        let learner = self.learner(status)?;
+        let learner = self.responsive_learner(status)?;
         Some(Change::Promote(learner.id))
     }
 
-    /// A learner that answers and is nearly up to date.
-    fn learner(&self, status: &Status) -> Option<Peer> {
+    /// Returns a learner that has responded recently.
+    fn responsive_learner(&self, status: &Status) -> Option<Peer> {
         let mut learners = status.members.iter();
         let (id, _) = learners.find(|(id, member)| {
-            let answers = silence(status, **id) < self.patience;
-            member.standing == Standing::Learner && answers
+            let answers = silence(status, **id) < self.replace_after;
+            member.kind == MemberKind::Learner && answers
         })?;
         status.members.peer(*id)
     }
 
-    /// A learner that has gone is let go.
-    fn dismiss(&self, status: &Status) -> Option<Change> {
+    /// Removes a learner that stopped responding.
+    fn remove_silent_learner(&self, status: &Status) -> Option<Change> {
         let mut learners = status.members.iter();
         let gone = learners.find(|(id, member)| {
-            member.standing == Standing::Learner && silence(status, **id) >= self.farewell
+            member.kind == MemberKind::Learner && silence(status, **id) >= self.remove_after
         });
         gone.map(|(id, _)| Change::Remove(*id))
     }
 }
 
-/// Admits a host that asks: as itself with a new disk, or as a learner.
-fn admit(status: &Status, joiners: &Joiners) -> Option<Change> {
+/// Admits a joining host: as a learner if it is new, or as its own replacement if it is a member
+/// with wiped storage.
+fn admit_joiner(status: &Status, joiners: &Joiners) -> Option<Change> {
     let mut joiners = joiners.iter();
     joiners.find_map(|(id, incarnation)| {
         let new = Peer {
@@ -101,7 +103,7 @@
     })
 }
 
-/// How long a member has not answered this leader.
+/// Returns how long a member has not responded to this leader.
 fn silence(status: &Status, id: MemberId) -> Duration {
     if id == status.peer.id {
         return Duration::ZERO;
--- a/crates/quorum/src/store.rs
+++ b/crates/quorum/src/store.rs
@@ -1,4 +1,4 @@
-//! What lasts: records, batches, and the border towards the disk.
+//! Persistent state: records, batches and the [`Store`] interface.
 
 use std::path::PathBuf;
 
@@ -9,78 +9,83 @@
 use crate::log::{Entry, Payload, Snapshot};
 use crate::member::Membership;
 
-/// Whose state a store holds.
+/// Identifies the member whose state a store holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The cluster.
     pub cluster: ClusterId,
     /// The group.
     pub group: GroupId,
-    /// The member, with the incarnation that its store got when it was empty.
+    /// The member, with the incarnation assigned when its store was created.
     pub peer: Peer,
 }
 
-/// What must last besides the log (Raft §3.4).
+/// The persistent state besides the log: current term and vote (Ongaro's thesis §3.4).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ballot {
+pub struct HardState {
     /// The latest term seen.
     pub term: Term,
-    /// Whom this member voted for in that term.
-    pub vote: Option<Peer>,
-    /// The incarnation of the disk that founded the log; 0 while there is none.
+    /// The candidate that this member voted for in that term.
+    #[serde(rename = "vote")]
+    pub voted_for: Option<Peer>,
+    /// Identifies the log: the storage incarnation of the member that bootstrapped it; 0 while
+    /// there is no log.
     pub lineage: Incarnation,
 }
 
-/// One change of what lasts.
+/// One change of the persistent state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// The ballot is this now.
-    Ballot(Ballot),
-    /// The entry follows those before its index; any at or after its index are gone.
+    /// Replaces the hard state.
+    #[serde(rename = "Ballot")]
+    HardState(HardState),
+    /// Appends an entry, after removing any entries at and after its index.
     Entry(Entry),
-    /// The snapshot stands for all entries up to its index. Later entries stay if the entry at
-    /// its index has its term, else they are gone.
+    /// Replaces all entries up to the snapshot's index. Later entries are kept if the log has an
+    /// entry with the snapshot's index and term, and removed otherwise.
     Snapshot(Snapshot),
 }
 
-/// Records to write and sync together, in order.
+/// Records to be written and synced together, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// Its number; the last one of all that are synced is reported.
+    /// Identifies the batch in reports of completion; increases with each batch.
     pub token: Token,
-    /// Grows after a failure; later batches of the failed attempt must be skipped.
+    /// Increases after a failed write. Batches of an attempt that has failed must be skipped.
     pub attempt: u64,
-    /// What to write.
+    /// The records to write.
     pub records: Vec<Record>,
 }
 
-/// What a store holds: the result of all its records.
+/// The content of a store: the result of applying all its records.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Recovered {
-    /// Whose state it is.
+    /// The member that the state belongs to.
     pub identity: Identity,
-    /// The ballot.
-    pub ballot: Ballot,
+    /// Current term, vote and log lineage.
+    #[serde(rename = "ballot")]
+    pub hard_state: HardState,
     /// The latest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// The entries after it.
+    /// The entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
 impl Recovered {
-    /// The state of an empty store.
+    /// Creates the state of an empty store.
     #[must_use]
     pub fn empty(identity: Identity) -> Self {
         Self {
             identity,
-            ballot: Ballot::default(),
+            hard_state: HardState::default(),
             snapshot: None,
             entries: Vec::new(),
         }
     }
 
-    /// The state of a member of a new group whose members know each other's incarnations.
-    /// All of them must start with the same `members`, once in the life of the cluster.
+    /// Creates the initial state of a member of a new group whose members know each other's
+    /// incarnations. All of them must start with the same `members`, and only once in the lifetime
+    /// of the cluster.
     #[must_use]
     pub fn seeded(identity: Identity, members: &Membership) -> Self {
         let payload = Payload::Membership(members.clone());
@@ -89,20 +94,20 @@
             term: 1,
             payload,
         }];
-        let ballot = Ballot {
+        let hard_state = HardState {
             term: 1,
-            vote: None,
+            voted_for: None,
             lineage: 1,
         };
         Self {
             identity,
-            ballot,
+            hard_state,
             snapshot: None,
             entries,
         }
     }
 
-    /// The last entry, in the log or in the snapshot.
+    /// Index of the last entry in the log, or of the snapshot if no entries follow it.
     #[must_use]
     pub fn last(&self) -> Index {
         self.base() + self.entries.len() as u64
@@ -112,14 +117,14 @@
         self.snapshot.as_ref().map_or(0, |s| s.index)
     }
 
-    /// Takes in a record.
+    /// Applies a record.
     ///
     /// # Errors
     ///
-    /// [`Error::Gap`] if an entry does not follow from what is there.
+    /// [`Error::Gap`] if an entry would leave a gap in the log.
     pub fn apply(&mut self, record: &Record) -> Result<(), Error> {
         match record {
-            Record::Ballot(ballot) => self.ballot = *ballot,
+            Record::HardState(hard_state) => self.hard_state = *hard_state,
             Record::Entry(entry) => self.push(entry)?,
             Record::Snapshot(snapshot) => self.install(snapshot),
         }
@@ -158,83 +163,83 @@
     }
 }
 
-/// Why a store could not be opened or written.
+/// An error from opening or writing a store.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The file system refused.
+    /// A file system operation failed.
     #[snafu(display("cannot {what} {}: {source}", path.display()))]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         what: &'static str,
-        /// The file or folder.
+        /// The file or directory.
         path: PathBuf,
-        /// What the system said.
+        /// The error returned by the operating system.
         source: std::io::Error,
     },
-    /// A file holds what was never written there.
+    /// A file is corrupt.
     #[snafu(display(
-        "{} is damaged at byte {offset}: {what}. This member must not start with it. To rejoin: \
-         move the data folder away, start with an empty one, and have the operator replace this \
-         member by its new incarnation (`cornelhitch replace`)",
+        "{} is corrupt at byte {offset}: {what}. This member must not start from this data. To \
+         rejoin: move the data directory away, start with an empty one and replace this member \
+         with its new incarnation (`cornelhitch replace`)",
         path.display()
     ))]
-    Damaged {
-        /// The file.
+    Corrupt {
+        /// The corrupt file.
         path: PathBuf,
-        /// Where in the file, in bytes.
+        /// Offset of the corruption in the file, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Description of the corruption.
         what: String,
     },
-    /// Another process has the folder.
+    /// Another process has locked the directory.
     #[snafu(display("{} is in use by another process", path.display()))]
     Locked {
         /// The lock file.
         path: PathBuf,
     },
-    /// The folder belongs to another member.
+    /// The directory belongs to another member, group or cluster.
     #[snafu(display(
         "{} belongs to member {} of cluster {} group {}, not to member {} of cluster {} group {}",
         path.display(), found.peer.id, found.cluster, found.group,
-        wanted.peer.id, wanted.cluster, wanted.group
+        expected.peer.id, expected.cluster, expected.group
     ))]
-    Foreign {
-        /// The folder.
+    WrongOwner {
+        /// The data directory.
         path: PathBuf,
-        /// Whose it is.
+        /// The identity stored in the directory.
         found: Box<Identity>,
-        /// Whose it should be.
-        wanted: Box<Identity>,
+        /// The expected identity.
+        expected: Box<Identity>,
     },
-    /// An entry does not follow from the one before it.
-    #[snafu(display("entry {index} does not follow from entry {last}"))]
+    /// An entry would leave a gap in the log.
+    #[snafu(display("entry {index} leaves a gap in the log after entry {last}"))]
     Gap {
-        /// The entry.
+        /// Index of the entry.
         index: Index,
-        /// The last one before it.
+        /// Index of the last entry in the log.
         last: Index,
     },
-    /// A record is larger than a file may hold.
-    #[snafu(display("a batch of {bytes} bytes is over the limit of {limit}"))]
+    /// A batch exceeds the maximum frame payload.
+    #[snafu(display("a batch of {bytes} bytes exceeds the limit of {limit} bytes"))]
     TooLarge {
-        /// The size of the batch.
+        /// Encoded size of the batch in bytes.
         bytes: usize,
-        /// The limit.
+        /// The maximum in bytes.
         limit: usize,
     },
 }
 
-/// Where records last.
+/// Durable storage for records.
 pub trait Store: Send {
-    /// What the store held when it was opened, with all records since.
+    /// Returns the current content: what was found on opening plus all records appended since.
     fn recovered(&self) -> Recovered;
 
-    /// Writes and syncs records, in order.
+    /// Writes records in order and syncs them.
     ///
     /// # Errors
     ///
-    /// After an error none of the records counts as written, though some may turn up after a
-    /// crash; the same records may be given again.
+    /// After an error none of the records counts as written, although some may reappear after a
+    /// crash. The same records may be appended again.
     fn append(&mut self, records: &[Record]) -> Result<(), Error>;
 }
--- a/crates/quorum/tests/disk.rs
+++ b/crates/quorum/tests/disk.rs
@@ -5,10 +5,10 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, channel};
 
-use cornelhitch_quorum::disk::{Block, Disk, LIMIT, Owner, Writer, scan};
+use cornelhitch_quorum::disk::{Block, Disk, MAX_PAYLOAD_BYTES, Owner, Writer, scan};
 use cornelhitch_quorum::log::{Entry, Payload, Snapshot};
 use cornelhitch_quorum::prelude::*;
-use cornelhitch_quorum::store::{Ballot, Record};
+use cornelhitch_quorum::store::{HardState, Record};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -20,7 +20,7 @@
 };
 
 /// Bytes before the payload of a frame.
-const HEAD: usize = 20;
+const HEADER_BYTES: usize = 20;
 
 /// A single voter whose owner waits for the disk after each event.
 struct Voter {
@@ -188,10 +188,11 @@
 /// A full disk: the leader steps down, acknowledges nothing, and goes on once there is room.
 #[test]
 fn a_full_disk_stops_the_leader_until_it_has_room() {
-    for bytes in [0, 7, HEAD + 1, 10_000] {
+    for bytes in [0, 7, HEADER_BYTES + 1, 10_000] {
         let folder = tempfile::tempdir().unwrap();
         let mut disk = Disk::open(folder.path(), OWNER).unwrap();
-        disk.append(&[Record::Ballot(Ballot::default())]).unwrap();
+        disk.append(&[Record::HardState(HardState::default())])
+            .unwrap();
         let mut voter = Voter::start(disk);
         voter.propose(0..3);
         drop(voter);
@@ -216,7 +217,7 @@
 
 #[test]
 fn a_failed_write_leaves_nothing_that_was_not_given_again() {
-    for bytes in [0, 1, HEAD, 30, 10_000] {
+    for bytes in [0, 1, HEADER_BYTES, 30, 10_000] {
         let (folder, _) = folder_with_entries();
         let mut disk = Disk::open(folder.path(), OWNER).unwrap();
         disk.fail_after(bytes);
@@ -252,7 +253,7 @@
     ),
     (
         "a byte of the last frame",
-        |bytes, at| bytes[at[9] + HEAD + 2] ^= 1,
+        |bytes, at| bytes[at[9] + HEADER_BYTES + 2] ^= 1,
         Ok(8),
     ),
     (
@@ -262,7 +263,7 @@
     ),
     (
         "a byte of the fifth frame",
-        |bytes, at| bytes[at[5] + HEAD] ^= 1,
+        |bytes, at| bytes[at[5] + HEADER_BYTES] ^= 1,
         Err("at byte"),
     ),
     (
@@ -270,7 +271,11 @@
         |bytes, at| bytes[at[5] + 4] ^= 0xff,
         Err("at byte"),
     ),
-    ("the base", |bytes, _| bytes[HEAD] ^= 1, Err("at byte 0")),
+    (
+        "the base",
+        |bytes, _| bytes[HEADER_BYTES] ^= 1,
+        Err("at byte 0"),
+    ),
 ];
 
 #[test]
@@ -344,7 +349,10 @@
     );
     fs::remove_file(file(folder.path(), "log-")).unwrap();
     let text = Disk::open(folder.path(), OWNER).unwrap_err().to_string();
-    assert!(text.contains("there is a snapshot and no log"), "{text}");
+    assert!(
+        text.contains("found a snapshot file but no log file"),
+        "{text}"
+    );
 }
 
 #[test]
@@ -416,7 +424,7 @@
     #[test]
     fn any_bytes_are_read_without_panic_and_within_their_length(
         bytes in proptest::collection::vec(any::<u8>(), 0..2000),
-        length in prop_oneof![any::<u32>(), 0..3000_u32, Just(u32::try_from(LIMIT).unwrap())],
+        length in prop_oneof![any::<u32>(), 0..3000_u32, Just(u32::try_from(MAX_PAYLOAD_BYTES).unwrap())],
     ) {
         for bytes in [bytes.clone(), forged(length, &bytes), sealed(&bytes)] {
             let scan = scan(&bytes);
--- a/crates/quorum/tests/group.rs
+++ b/crates/quorum/tests/group.rs
@@ -104,7 +104,12 @@
     world.run_for(5 * SECOND).unwrap();
     let old = world.members(leader).peer(peer.id).unwrap();
     assert_ne!(old.incarnation, peer.incarnation);
-    let answers = |e: &Envelope| matches!(e.message, Message::Appended(_) | Message::Voted(_));
+    let answers = |e: &Envelope| {
+        matches!(
+            e.message,
+            Message::AppendResponse(_) | Message::VoteResponse(_)
+        )
+    };
     let sent = world.sent.take().unwrap();
     assert!(
         !sent.iter().any(|e| e.from == peer && answers(e)),
@@ -218,7 +223,7 @@
         }
         world.run_for(SECOND).unwrap();
         let (sick, leads) = (status(&world, at), world.leader().unwrap());
-        assert!(leads != at && sick.disk_sick, "{sick:?}");
+        assert!(leads != at && sick.disk_unhealthy, "{sick:?}");
         assert_eq!(
             sick.commit,
             status(&world, leads).commit,
@@ -232,7 +237,10 @@
             .unwrap();
         world.run_for(2 * SECOND).unwrap();
         let well = status(&world, at);
-        assert!(!well.disk_sick && well.durable == well.last, "{well:?}");
+        assert!(
+            !well.disk_unhealthy && well.durable == well.last,
+            "{well:?}"
+        );
     }
 }
 
@@ -271,7 +279,9 @@
         .unwrap()
         .into_iter()
         .filter_map(|e| match e.message {
-            Message::Chunk(chunk) if !chunk.data.is_empty() => Some((chunk.snapshot, chunk.offset)),
+            Message::SnapshotChunk(chunk) if !chunk.data.is_empty() => {
+                Some((chunk.snapshot, chunk.offset))
+            }
             _ => None,
         });
     let chunks: Vec<_> = chunks.collect();
