--- a/crates/quorum/tests/messages.rs
+++ b/crates/quorum/tests/messages.rs
@@ -6,7 +6,8 @@
 
 use cornelhitch_quorum::log::{Entry, Payload};
 use cornelhitch_quorum::message::{
-    Append, Appended, Chunk, Envelope, Message, Received, Refused, SnapshotId, Vote, Voted,
+    AppendEntries, AppendRejected, AppendResponse, ChunkReceived, Envelope, Message, RequestVote,
+    SnapshotChunk, SnapshotId, VoteResponse,
 };
 use cornelhitch_quorum::prelude::*;
 use proptest::prelude::*;
@@ -64,7 +65,7 @@
                 for (at, entry) in (1..).zip(&mut entries).filter(|_| follow) {
                     entry.index = prev_index.wrapping_add(at);
                 }
-                Message::Append(Append {
+                Message::AppendEntries(AppendEntries {
                     prev_index,
                     prev_term,
                     commit,
@@ -94,7 +95,7 @@
                 total,
                 checksum,
             };
-            Message::Chunk(Chunk {
+            Message::SnapshotChunk(SnapshotChunk {
                 snapshot,
                 membership,
                 offset,
@@ -105,24 +106,24 @@
 }
 
 fn message() -> impl Strategy<Value = Message> {
-    let vote = (any::<bool>(), number(), number()).prop_map(|(pre, last_index, last_term)| {
-        Message::Vote(Vote {
-            pre,
+    let vote = (any::<bool>(), number(), number()).prop_map(|(pre_vote, last_index, last_term)| {
+        Message::RequestVote(RequestVote {
+            pre_vote,
             last_index,
             last_term,
         })
     });
     let voted = (any::<bool>(), any::<bool>())
-        .prop_map(|(pre, granted)| Message::Voted(Voted { pre, granted }));
-    let appended = (number(), number(), stamp()).prop_map(|(durable, held, stamp)| {
-        Message::Appended(Appended {
+        .prop_map(|(pre_vote, granted)| Message::VoteResponse(VoteResponse { pre_vote, granted }));
+    let appended = (number(), number(), stamp()).prop_map(|(durable, accepted_index, stamp)| {
+        Message::AppendResponse(AppendResponse {
             durable,
-            held,
+            accepted_index,
             stamp,
         })
     });
     let refused = (number(), number(), stamp()).prop_map(|(prev_index, hint, stamp)| {
-        Message::Refused(Refused {
+        Message::AppendRejected(AppendRejected {
             prev_index,
             hint,
             stamp,
@@ -135,13 +136,13 @@
             total: 9,
             checksum: 0,
         };
-        Message::Received(Received {
+        Message::ChunkReceived(ChunkReceived {
             snapshot,
             offset,
             stamp,
         })
     });
-    let outside = any::<bool>().prop_map(Message::Outside);
+    let outside = any::<bool>().prop_map(Message::NoGroup);
     prop_oneof![
         append(),
         chunk(),
--- a/crates/quorum/tests/schedule/ledger.rs
+++ b/crates/quorum/tests/schedule/ledger.rs
@@ -213,20 +213,24 @@
     /// What a member says it has synced is synced.
     pub fn sent(node: &Node, envelope: &Envelope) -> Check {
         let recovered = node.disk.memory.synced();
-        let ballot = recovered.ballot;
+        let hard_state = recovered.hard_state;
         let (holds, what) = match &envelope.message {
-            Message::Appended(answer) => (recovered.last() >= answer.durable, "entries"),
-            Message::Voted(voted) if voted.granted && !voted.pre => {
-                let other = ballot.term == envelope.term
-                    && ballot.vote.is_some_and(|vote| vote.id != envelope.to);
-                (ballot.term >= envelope.term && !other, "a vote")
+            Message::AppendResponse(answer) => (recovered.last() >= answer.durable, "entries"),
+            Message::VoteResponse(voted) if voted.granted && !voted.pre_vote => {
+                let other = hard_state.term == envelope.term
+                    && hard_state
+                        .voted_for
+                        .is_some_and(|vote| vote.id != envelope.to);
+                (hard_state.term >= envelope.term && !other, "a vote")
+            }
+            Message::RequestVote(vote) if !vote.pre_vote => {
+                (hard_state.term >= envelope.term, "a candidacy")
             }
-            Message::Vote(vote) if !vote.pre => (ballot.term >= envelope.term, "a candidacy"),
             _ => (true, ""),
         };
         ensure(holds, Rule::SyncedBeforeSent, || {
             format!(
-                "{what} not synced: {envelope:?}, has {} in {ballot:?}",
+                "{what} not synced: {envelope:?}, has {} in {hard_state:?}",
                 recovered.last()
             )
         })
--- a/crates/quorum/tests/schedule/node.rs
+++ b/crates/quorum/tests/schedule/node.rs
@@ -8,7 +8,7 @@
 use cornelhitch_quorum::action::Entry;
 use cornelhitch_quorum::config::{Config, DRIFT_PPM, Fault};
 use cornelhitch_quorum::log::Payload;
-use cornelhitch_quorum::memory::Memory;
+use cornelhitch_quorum::memory::MemoryStore;
 use cornelhitch_quorum::prelude::*;
 
 const MILLION: u64 = 1_000_000;
@@ -48,7 +48,7 @@
 /// A disk with the queue of its writer.
 #[derive(Debug)]
 pub struct Queue {
-    pub memory: Memory,
+    pub memory: MemoryStore,
     pub batches: VecDeque<Batch>,
     pub attempt: u64,
     pub sync: Duration,
@@ -110,11 +110,11 @@
     Config {
         peers: (0..8).collect(),
         founder,
-        message_bytes: 64,
-        inflight: 3,
-        compact_entries: 12,
+        max_message_bytes: 64,
+        max_inflight_messages: 3,
+        snapshot_threshold_entries: 12,
         trailing_entries: 3,
-        catch_up: Duration::from_secs(3),
+        catch_up_timeout: Duration::from_secs(3),
         fault,
         ..Config::default()
     }
@@ -124,7 +124,7 @@
     pub fn new(recovered: Recovered) -> Self {
         let peer = recovered.identity.peer;
         let sync = Duration::from_millis(2);
-        let memory = Memory::new(recovered);
+        let memory = MemoryStore::new(recovered);
         let disk = Queue {
             memory,
             batches: VecDeque::new(),
@@ -177,7 +177,7 @@
             peer: self.peer,
             ..self.disk.memory.recovered().identity
         };
-        self.disk.memory = Memory::new(Recovered::empty(identity));
+        self.disk.memory = MemoryStore::new(Recovered::empty(identity));
     }
 
     fn rate(&self) -> u64 {
--- a/crates/quorum/tests/steward.rs
+++ b/crates/quorum/tests/steward.rs
@@ -5,7 +5,7 @@
 
 use cornelhitch_quorum::event::Change;
 use cornelhitch_quorum::id::{Incarnation, MemberId, Peer};
-use cornelhitch_quorum::member::{Membership, Standing};
+use cornelhitch_quorum::member::{MemberKind, Membership};
 use cornelhitch_quorum::status::{Role, Status};
 use cornelhitch_quorum::steward::{Joiners, Steward};
 
@@ -22,7 +22,7 @@
     let voters: Vec<Peer> = voters.iter().map(|id| peer(*id)).collect();
     let members = Membership::of(&voters);
     let members = learners.iter().fold(members, |members, id| {
-        members.with(peer(*id), Standing::Learner)
+        members.with(peer(*id), MemberKind::Learner)
     });
     let silent = silent.iter().map(|(id, s)| (*id, Duration::from_secs(*s)));
     Status {
@@ -41,7 +41,7 @@
         members,
         matched: BTreeMap::new(),
         silent: silent.collect(),
-        disk_sick: false,
+        disk_unhealthy: false,
         dropped: 0,
     }
 }
