--- a/crates/quorum/tests/disk.rs
+++ b/crates/quorum/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The store on disk: restarts, torn and damaged files, full disks, the writer's thread.
+//! Tests of the on-disk store: restarts, torn and corrupt files, full disks and the writer thread.
 
 use std::fs::{self, OpenOptions};
 use std::io::Write;
@@ -19,10 +19,10 @@
     incarnation: 41,
 };
 
-/// Bytes before the payload of a frame.
+/// Size of the frame header.
 const HEADER_BYTES: usize = 20;
 
-/// A single voter whose owner waits for the disk after each event.
+/// The only voter of a group, whose owner waits for the disk after each event.
 struct Voter {
     core: Core,
     writer: Writer,
@@ -144,19 +144,18 @@
     })
 }
 
-/// A folder with entries 1 to 9, one frame each, and its log file.
-fn folder_with_entries() -> (tempfile::TempDir, PathBuf) {
-    let folder = tempfile::tempdir().unwrap();
-    let mut disk = Disk::open(folder.path(), OWNER).unwrap();
+/// Creates a directory with entries 1 to 9, one frame each, and returns it with the log file's
+/// path.
+fn dir_with_entries() -> (tempfile::TempDir, PathBuf) {
+    let dir = tempfile::tempdir().unwrap();
+    let mut disk = Disk::open(dir.path(), OWNER).unwrap();
     (1..10).for_each(|index| disk.append(&[entry(index)]).unwrap());
-    let log = file(folder.path(), "log-");
-    (folder, log)
+    let log = find_file(dir.path(), "log-");
+    (dir, log)
 }
 
-fn file(folder: &Path, prefix: &str) -> PathBuf {
-    let mut files = fs::read_dir(folder)
-        .unwrap()
-        .map(|file| file.unwrap().path());
+fn find_file(dir: &Path, prefix: &str) -> PathBuf {
+    let mut files = fs::read_dir(dir).unwrap().map(|file| file.unwrap().path());
     let named = |path: &PathBuf| {
         path.file_name()
             .unwrap()
@@ -167,42 +166,43 @@
 }
 
 #[test]
-fn a_single_voter_commits_and_goes_on_after_restarts() {
-    let folder = tempfile::tempdir().unwrap();
-    for life in 0..4 {
-        let mut voter = Voter::start(Disk::open(folder.path(), OWNER).unwrap());
+fn single_voter_keeps_committed_entries_across_restarts() {
+    let dir = tempfile::tempdir().unwrap();
+    for restart in 0..4 {
+        let mut voter = Voter::start(Disk::open(dir.path(), OWNER).unwrap());
         assert!(
             voter.core.lease(voter.now).is_some(),
             "{:?}",
             voter.core.status()
         );
-        assert_eq!(voter.applied, expected(0..life * 10));
-        voter.propose(life * 10..life * 10 + 10);
-        assert_eq!(voter.applied, expected(0..life * 10 + 10));
-        if life == 1 {
+        assert_eq!(voter.applied, expected(0..restart * 10));
+        voter.propose(restart * 10..restart * 10 + 10);
+        assert_eq!(voter.applied, expected(0..restart * 10 + 10));
+        if restart == 1 {
             voter.snapshot();
         }
     }
 }
 
-/// A full disk: the leader steps down, acknowledges nothing, and goes on once there is room.
+/// With a full disk, the leader must step down and acknowledge nothing, and must resume once writes
+/// succeed again.
 #[test]
-fn a_full_disk_stops_the_leader_until_it_has_room() {
+fn leader_with_full_disk_steps_down_until_writes_succeed() {
     for bytes in [0, 7, HEADER_BYTES + 1, 10_000] {
-        let folder = tempfile::tempdir().unwrap();
-        let mut disk = Disk::open(folder.path(), OWNER).unwrap();
+        let dir = tempfile::tempdir().unwrap();
+        let mut disk = Disk::open(dir.path(), OWNER).unwrap();
         disk.append(&[Record::HardState(HardState::default())])
             .unwrap();
         let mut voter = Voter::start(disk);
         voter.propose(0..3);
         drop(voter);
-        let mut disk = Disk::open(folder.path(), OWNER).unwrap();
+        let mut disk = Disk::open(dir.path(), OWNER).unwrap();
         disk.fail_after(bytes);
         let mut voter = Voter::new(disk);
         voter.tick(1);
         assert!(
             !voter.core.is_leader(),
-            "a candidate whose vote is not synced leads"
+            "a candidate became leader before its vote was synced"
         );
         voter.propose(3..4);
         assert_eq!(voter.rejected, [(3, Reason::NotLeader)]);
@@ -210,145 +210,145 @@
         assert!(voter.core.is_leader(), "{:?}", voter.core.status());
         voter.propose(4..6);
         drop(voter);
-        let voter = Voter::start(Disk::open(folder.path(), OWNER).unwrap());
+        let voter = Voter::start(Disk::open(dir.path(), OWNER).unwrap());
         assert_eq!(voter.applied, ["0", "1", "2", "4", "5"]);
     }
 }
 
 #[test]
-fn a_failed_write_leaves_nothing_that_was_not_given_again() {
+fn failed_write_leaves_only_records_that_were_appended_again() {
     for bytes in [0, 1, HEADER_BYTES, 30, 10_000] {
-        let (folder, _) = folder_with_entries();
-        let mut disk = Disk::open(folder.path(), OWNER).unwrap();
+        let (dir, _) = dir_with_entries();
+        let mut disk = Disk::open(dir.path(), OWNER).unwrap();
         disk.fail_after(bytes);
         assert!(disk.append(&[entry(10)]).is_err());
         assert_eq!(disk.recovered().last(), 9);
         disk.append(&[entry(10), entry(11)]).unwrap();
         let kept = disk.recovered();
         drop(disk);
-        assert_eq!(Disk::open(folder.path(), OWNER).unwrap().recovered(), kept);
+        assert_eq!(Disk::open(dir.path(), OWNER).unwrap().recovered(), kept);
     }
 }
 
-/// What is done to the log file, given where its frames start.
-type Harm = fn(&mut Vec<u8>, &[usize]);
+/// Modifies the content of a log file, given the offsets of its frames.
+type Corruption = fn(&mut Vec<u8>, &[usize]);
 
-/// What is done, and how many entries are left or what the error says.
-const HARMS: [(&str, Harm, Result<Index, &str>); 9] = [
-    ("nothing", |_, _| {}, Ok(9)),
+/// Description, modification, and the expected last index or part of the error message.
+const CORRUPTIONS: [(&str, Corruption, Result<Index, &str>); 9] = [
+    ("unchanged", |_, _| {}, Ok(9)),
     (
-        "last byte lost",
+        "last byte missing",
         |bytes, _| bytes.truncate(bytes.len() - 1),
         Ok(8),
     ),
     (
-        "only the mark of the last frame",
+        "only the magic of the last frame",
         |bytes, at| bytes.truncate(at[9] + 4),
         Ok(8),
     ),
     (
-        "zeros where the last frame was",
+        "last frame zeroed",
         |bytes, at| bytes[at[9]..].fill(0),
         Ok(8),
     ),
     (
-        "a byte of the last frame",
+        "byte flipped in the last frame",
         |bytes, at| bytes[at[9] + HEADER_BYTES + 2] ^= 1,
         Ok(8),
     ),
     (
-        "junk after the last frame",
+        "garbage after the last frame",
         |bytes, _| bytes.extend([7; 99]),
         Ok(9),
     ),
     (
-        "a byte of the fifth frame",
+        "byte flipped in the fifth frame",
         |bytes, at| bytes[at[5] + HEADER_BYTES] ^= 1,
         Err("at byte"),
     ),
     (
-        "a length",
+        "length field changed",
         |bytes, at| bytes[at[5] + 4] ^= 0xff,
         Err("at byte"),
     ),
     (
-        "the base",
+        "byte flipped in the base",
         |bytes, _| bytes[HEADER_BYTES] ^= 1,
         Err("at byte 0"),
     ),
 ];
 
 #[test]
-fn a_torn_tail_is_cut_and_other_damage_is_refused() {
-    for (what, harm, result) in HARMS {
-        let (folder, log) = folder_with_entries();
+fn torn_tail_is_truncated_and_other_corruption_is_rejected() {
+    for (case, corrupt, result) in CORRUPTIONS {
+        let (dir, log) = dir_with_entries();
         let mut bytes = fs::read(&log).unwrap();
         let frames: Vec<usize> = scan(&bytes)
             .blocks
             .iter()
             .map(|(at, _)| usize::try_from(*at).unwrap())
             .collect();
-        harm(&mut bytes, &frames);
+        corrupt(&mut bytes, &frames);
         fs::write(&log, &bytes).unwrap();
-        match (Disk::open(folder.path(), OWNER), result) {
+        match (Disk::open(dir.path(), OWNER), result) {
             (Ok(mut disk), Ok(last)) => {
-                assert_eq!(disk.recovered().last(), last, "{what}");
+                assert_eq!(disk.recovered().last(), last, "{case}");
                 disk.append(&[entry(last + 1)]).unwrap();
                 drop(disk);
-                let disk = Disk::open(folder.path(), OWNER).unwrap();
-                assert_eq!(disk.recovered().last(), last + 1, "{what}");
+                let disk = Disk::open(dir.path(), OWNER).unwrap();
+                assert_eq!(disk.recovered().last(), last + 1, "{case}");
             }
             (Err(error), Err(part)) => {
                 let text = error.to_string();
                 let named = text.contains(&log.display().to_string()) && text.contains(part);
-                assert!(named && text.contains("To rejoin"), "{what}: {text}");
+                assert!(named && text.contains("To rejoin"), "{case}: {text}");
             }
-            (opened, _) => panic!("{what}: {opened:?}"),
+            (opened, _) => panic!("{case}: {opened:?}"),
         }
     }
 }
 
-/// A crash at any byte of an unfinished write loses nothing that was synced.
+/// A crash at any byte of an unfinished write must not lose synced entries.
 #[test]
-fn a_crash_at_any_byte_keeps_what_was_synced() {
-    let (folder, log) = folder_with_entries();
+fn crash_at_any_byte_of_a_write_keeps_synced_entries() {
+    let (dir, log) = dir_with_entries();
     let whole = fs::read(&log).unwrap();
     let frames = scan(&whole).blocks;
     let from = usize::try_from(frames[9].0).unwrap();
     for length in from..=whole.len() {
         fs::write(&log, &whole[..length]).unwrap();
-        let last = Disk::open(folder.path(), OWNER).unwrap().recovered().last();
+        let last = Disk::open(dir.path(), OWNER).unwrap().recovered().last();
         assert_eq!(last, if length == whole.len() { 9 } else { 8 });
     }
 }
 
 #[test]
-fn a_snapshot_replaces_the_log_and_old_files_go() {
-    let (folder, _) = folder_with_entries();
-    let mut disk = Disk::open(folder.path(), OWNER).unwrap();
+fn snapshot_replaces_log_and_obsolete_files_are_removed() {
+    let (dir, _) = dir_with_entries();
+    let mut disk = Disk::open(dir.path(), OWNER).unwrap();
     disk.append(&[snapshot(4), entry(10)]).unwrap();
     disk.append(&[snapshot(6)]).unwrap();
-    fs::write(folder.path().join("unfinished"), "half a file").unwrap();
+    fs::write(dir.path().join("unfinished"), "half a file").unwrap();
     let kept = disk.recovered();
     drop(disk);
-    let disk = Disk::open(folder.path(), OWNER).unwrap();
+    let disk = Disk::open(dir.path(), OWNER).unwrap();
     assert_eq!(disk.recovered(), kept);
     assert_eq!(kept.entries.first().map(|entry| entry.index), Some(7));
     assert_eq!(kept.last(), 10);
     assert_eq!(
-        fs::read_dir(folder.path()).unwrap().count(),
+        fs::read_dir(dir.path()).unwrap().count(),
         3,
-        "log, snapshot and lock"
+        "expected log, snapshot and lock files"
     );
     drop(disk);
-    fs::write(file(folder.path(), "snapshot-"), "stale").unwrap();
-    let text = Disk::open(folder.path(), OWNER).unwrap_err().to_string();
+    fs::write(find_file(dir.path(), "snapshot-"), "stale").unwrap();
+    let text = Disk::open(dir.path(), OWNER).unwrap_err().to_string();
     assert!(
         text.contains("snapshot-") && text.contains("To rejoin"),
         "{text}"
     );
-    fs::remove_file(file(folder.path(), "log-")).unwrap();
-    let text = Disk::open(folder.path(), OWNER).unwrap_err().to_string();
+    fs::remove_file(find_file(dir.path(), "log-")).unwrap();
+    let text = Disk::open(dir.path(), OWNER).unwrap_err().to_string();
     assert!(
         text.contains("found a snapshot file but no log file"),
         "{text}"
@@ -356,10 +356,10 @@
 }
 
 #[test]
-fn a_folder_has_one_process_and_one_member() {
-    let (folder, _) = folder_with_entries();
-    let disk = Disk::open(folder.path(), OWNER).unwrap();
-    let text = Disk::open(folder.path(), OWNER).unwrap_err().to_string();
+fn directory_rejects_second_process_and_other_members() {
+    let (dir, _) = dir_with_entries();
+    let disk = Disk::open(dir.path(), OWNER).unwrap();
+    let text = Disk::open(dir.path(), OWNER).unwrap_err().to_string();
     assert!(text.contains("in use by another process"), "{text}");
     drop(disk);
     let others = [
@@ -371,7 +371,7 @@
         Owner { group: 1, ..OWNER },
     ];
     for other in others {
-        let text = Disk::open(folder.path(), other).unwrap_err().to_string();
+        let text = Disk::open(dir.path(), other).unwrap_err().to_string();
         assert!(
             text.contains("belongs to member 1 of cluster 7 group 0"),
             "{text}"
@@ -381,29 +381,26 @@
         incarnation: 99,
         ..OWNER
     };
-    let found = Disk::open(folder.path(), later)
-        .unwrap()
-        .recovered()
-        .identity;
+    let found = Disk::open(dir.path(), later).unwrap().recovered().identity;
     assert_eq!(
         found.peer.incarnation, OWNER.incarnation,
-        "only an empty folder takes a new one"
+        "only an empty directory takes a new incarnation"
     );
-    fs::remove_dir_all(folder.path()).unwrap();
-    let fresh = Disk::open(folder.path(), later).unwrap().recovered();
+    fs::remove_dir_all(dir.path()).unwrap();
+    let fresh = Disk::open(dir.path(), later).unwrap().recovered();
     assert_eq!((fresh.identity.peer.incarnation, fresh.last()), (99, 0));
 }
 
-/// A frame with any length in its head, as another program might have left it.
-fn forged(length: u32, rest: &[u8]) -> Vec<u8> {
+/// A frame with an arbitrary length field, as a foreign program might leave it.
+fn frame_with_length(length: u32, rest: &[u8]) -> Vec<u8> {
     let mut bytes = b"cqf1".to_vec();
     bytes.extend(length.to_le_bytes());
     bytes.extend(rest);
     bytes
 }
 
-/// A frame whose checksum is right and whose payload is not a block.
-fn sealed(payload: &[u8]) -> Vec<u8> {
+/// A frame with a valid checksum whose payload is arbitrary.
+fn frame_with_valid_checksum(payload: &[u8]) -> Vec<u8> {
     let mut body = 0_u64.to_le_bytes().to_vec();
     body.extend(payload);
     let mut bytes = b"cqf1".to_vec();
@@ -422,36 +419,36 @@
     })]
 
     #[test]
-    fn any_bytes_are_read_without_panic_and_within_their_length(
+    fn scanning_arbitrary_bytes_neither_panics_nor_exceeds_their_length(
         bytes in proptest::collection::vec(any::<u8>(), 0..2000),
         length in prop_oneof![any::<u32>(), 0..3000_u32, Just(u32::try_from(MAX_PAYLOAD_BYTES).unwrap())],
     ) {
-        for bytes in [bytes.clone(), forged(length, &bytes), sealed(&bytes)] {
+        for bytes in [bytes.clone(), frame_with_length(length, &bytes), frame_with_valid_checksum(&bytes)] {
             let scan = scan(&bytes);
             prop_assert!(scan.end <= bytes.len() as u64);
-            let held: usize = scan.blocks.iter().map(|(_, block)| size(block)).sum();
-            prop_assert!(held <= bytes.len());
+            let total: usize = scan.blocks.iter().map(|(_, block)| size(block)).sum();
+            prop_assert!(total <= bytes.len());
         }
     }
 
     #[test]
-    fn any_change_of_a_log_file_is_cut_or_refused(at in any::<prop::sample::Index>(), flip in 1..=255_u8) {
-        let (folder, log) = folder_with_entries();
+    fn any_flipped_byte_is_truncated_or_rejected(at in any::<prop::sample::Index>(), flip in 1..=255_u8) {
+        let (dir, log) = dir_with_entries();
         let mut bytes = fs::read(&log).unwrap();
         let whole = scan(&bytes).blocks;
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
         let mut file = OpenOptions::new().write(true).truncate(true).open(&log).unwrap();
         file.write_all(&bytes).unwrap();
-        let last_frame = whole.last().is_some_and(|(start, _)| at as u64 >= *start);
-        match Disk::open(folder.path(), OWNER) {
-            Ok(disk) => prop_assert!(last_frame && disk.recovered().last() == 8),
-            Err(error) => prop_assert!(!last_frame, "{}", error),
+        let in_last_frame = whole.last().is_some_and(|(start, _)| at as u64 >= *start);
+        match Disk::open(dir.path(), OWNER) {
+            Ok(disk) => prop_assert!(in_last_frame && disk.recovered().last() == 8),
+            Err(error) => prop_assert!(!in_last_frame, "{}", error),
         }
     }
 }
 
-/// Payload bytes that a block holds.
+/// Total payload bytes in a block.
 fn size(block: &Block) -> usize {
     let Block::Records(records) = block else {
         return 0;
--- a/crates/quorum/tests/group.rs
+++ b/crates/quorum/tests/group.rs
@@ -1,4 +1,4 @@
-//! What a group does in named faults, in virtual time.
+//! Tests of a group under specific faults, in virtual time.
 
 mod schedule;
 
@@ -7,102 +7,106 @@
 use cornelhitch_quorum::message::{Envelope, Message};
 use cornelhitch_quorum::prelude::*;
 
-use schedule::failover::{self, Loss, calm, decide};
-use schedule::world::World;
-use schedule::{Act, LEADER, Way};
+use schedule::failover::{self, Loss, commit_proposal, fault_free_group};
+use schedule::simulation::Simulation;
+use schedule::{Direction, LEADER, Operation};
 
-/// From the loss of the leader to the next decision.
-const TARGET: Duration = Duration::from_secs(3);
+/// Maximum time from the loss of the leader to the next commit.
+const FAILOVER_TARGET: Duration = Duration::from_secs(3);
 
-const GROUPS: u64 = 300;
+const SEEDS: u64 = 300;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn status(world: &World, at: usize) -> Status {
-    world.nodes[at].core.as_ref().unwrap().status()
+fn status(sim: &Simulation, at: usize) -> Status {
+    sim.nodes[at].core.as_ref().unwrap().status()
 }
 
-/// A settled group, its leader and one of its followers.
-fn settled(seed: u64) -> (World, usize, usize) {
-    let mut world = calm(seed);
-    decide(&mut world);
-    world.run_for(SECOND).unwrap();
-    let leader = world.leader().unwrap();
-    (world, leader, (leader + 1) % 3)
+/// Creates a stable group; returns it with its leader and one of its followers.
+fn settled(seed: u64) -> (Simulation, usize, usize) {
+    let mut sim = fault_free_group(seed);
+    commit_proposal(&mut sim);
+    sim.run_for(SECOND).unwrap();
+    let leader = sim.leader().unwrap();
+    (sim, leader, (leader + 1) % 3)
 }
 
-/// Asks for a change and runs until it is over.
-fn change(world: &mut World, change: Change) -> Result<(), Reason> {
-    let id = world.change(change).unwrap();
+/// Requests a membership change and runs until it completes or fails.
+fn change(sim: &mut Simulation, change: Change) -> Result<(), Reason> {
+    let id = sim.change(change).unwrap();
     for _ in 0..60 {
-        if let Some(outcome) = world.ledger.outcomes.get(&id) {
+        if let Some(outcome) = sim.checker.outcomes.get(&id) {
             return *outcome;
         }
-        world.run_for(SECOND).unwrap();
+        sim.run_for(SECOND).unwrap();
     }
-    panic!("the change has no outcome");
+    panic!("the membership change did not complete within 60 s");
 }
 
-/// An empty disk for a member that is in the group.
-fn wipe(world: &mut World, at: usize) -> Peer {
-    world.act(&Act::Wipe(u8::try_from(at).unwrap())).unwrap();
-    world.nodes[at].peer
+/// Wipes the disk of a member and restarts it.
+fn wipe(sim: &mut Simulation, at: usize) -> Peer {
+    sim.execute(&Operation::Wipe(u8::try_from(at).unwrap()))
+        .unwrap();
+    sim.nodes[at].peer
 }
 
 #[test]
-fn the_next_decision_comes_within_the_target_after_losing_the_leader() {
-    for seed in 0..GROUPS {
+fn next_commit_after_leader_loss_meets_failover_target() {
+    for seed in 0..SEEDS {
         for loss in [Loss::Crash, Loss::Isolation] {
-            let time = failover::measure(seed, loss);
-            assert!(time < TARGET, "seed {seed}, {loss:?}: {time:?}");
+            let time = failover::measure_failover(seed, loss);
+            assert!(time < FAILOVER_TARGET, "seed {seed}, {loss:?}: {time:?}");
         }
     }
 }
 
-/// Whom a partition cuts off, which way, and whether the group keeps its leader and term.
-const PARTITIONS: [(bool, Way, bool); 6] = [
-    (false, Way::Both, true),
-    (false, Way::In, true),
-    (false, Way::Out, true),
-    (true, Way::Both, false),
-    (true, Way::In, false),
-    (true, Way::Out, false),
+/// Whether the leader is isolated, in which direction, and whether the group keeps its leader and
+/// term.
+const PARTITIONS: [(bool, Direction, bool); 6] = [
+    (false, Direction::Both, true),
+    (false, Direction::In, true),
+    (false, Direction::Out, true),
+    (true, Direction::Both, false),
+    (true, Direction::In, false),
+    (true, Direction::Out, false),
 ];
 
 #[test]
-fn a_member_that_was_cut_off_for_long_does_not_disturb() {
-    for (leader_cut, way, stays) in PARTITIONS {
-        let (mut world, leader, follower) = settled(3);
-        let term = status(&world, leader).term;
-        let cut = if leader_cut { leader } else { follower };
-        world
-            .act(&Act::Isolate(u8::try_from(cut).unwrap(), way))
-            .unwrap();
-        world.run_for(60 * SECOND).unwrap();
-        let during = world.leader().unwrap();
-        let decided = status(&world, during).term;
-        world.act(&Act::Heal).unwrap();
-        world.run_for(10 * SECOND).unwrap();
-        let after = world.leader().unwrap();
-        let what = format!("leader {leader_cut}, {way:?}");
+fn partitioned_member_does_not_disrupt_the_group_after_healing() {
+    for (leader_isolated, direction, keeps_leader) in PARTITIONS {
+        let (mut sim, leader, follower) = settled(3);
+        let term = status(&sim, leader).term;
+        let isolated = if leader_isolated { leader } else { follower };
+        sim.execute(&Operation::Isolate(
+            u8::try_from(isolated).unwrap(),
+            direction,
+        ))
+        .unwrap();
+        sim.run_for(60 * SECOND).unwrap();
+        let during = sim.leader().unwrap();
+        let term_during = status(&sim, during).term;
+        sim.execute(&Operation::Heal).unwrap();
+        sim.run_for(10 * SECOND).unwrap();
+        let after = sim.leader().unwrap();
+        let case = format!("leader isolated: {leader_isolated}, {direction:?}");
         assert_eq!(
-            (after, status(&world, after).term),
-            (during, decided),
-            "{what}"
+            (after, status(&sim, after).term),
+            (during, term_during),
+            "{case}"
         );
-        assert_eq!(decided == term, stays, "{what}");
-        decide(&mut world);
+        assert_eq!(term_during == term, keeps_leader, "{case}");
+        commit_proposal(&mut sim);
     }
 }
 
 #[test]
-fn a_wiped_member_does_not_count_until_it_replaces_itself() {
-    let (mut world, leader, wiped) = settled(4);
-    world.admits = false;
-    let peer = wipe(&mut world, wiped);
-    world.sent = Some(Vec::new());
-    world.run_for(5 * SECOND).unwrap();
-    let old = world.members(leader).peer(peer.id).unwrap();
+fn wiped_member_does_not_count_until_it_replaces_itself() {
+    let (mut sim, leader, wiped) = settled(4);
+    sim.admit_joiners = false;
+    let peer = wipe(&mut sim, wiped);
+    sim.sent = Some(Vec::new());
+    sim.run_for(5 * SECOND).unwrap();
+    let old = sim.members(leader).peer(peer.id).unwrap();
     assert_ne!(old.incarnation, peer.incarnation);
     let answers = |e: &Envelope| {
         matches!(
@@ -110,53 +114,54 @@
             Message::AppendResponse(_) | Message::VoteResponse(_)
         )
     };
-    let sent = world.sent.take().unwrap();
+    let sent = sim.sent.take().unwrap();
     assert!(
         !sent.iter().any(|e| e.from == peer && answers(e)),
-        "it answers under its old name"
+        "a wiped member responds"
     );
     let replace = Change::Replace {
         old: peer.id,
         new: peer,
     };
-    let outcome = change(&mut world, replace);
+    let outcome = change(&mut sim, replace);
     assert_eq!(outcome, Ok(()));
-    let members = world.members(leader);
+    let members = sim.members(leader);
     assert!(
         members.admits(peer) && members.is_voter(peer.id),
         "{members:?}"
     );
     assert_eq!(
-        change(&mut world, replace),
+        change(&mut sim, replace),
         Ok(()),
-        "the same again is done already"
+        "repeating a completed change succeeds"
     );
 }
 
 #[test]
-fn a_host_may_be_lost_right_after_a_repair() {
+fn group_survives_member_loss_right_after_replacement() {
     for lost in 0..3 {
-        let (mut world, _, wiped) = settled(5);
-        let peer = wipe(&mut world, wiped);
-        world.run_for(SECOND).unwrap();
-        let id = world
+        let (mut sim, _, wiped) = settled(5);
+        let peer = wipe(&mut sim, wiped);
+        sim.run_for(SECOND).unwrap();
+        let id = sim
             .change(Change::Replace {
                 old: peer.id,
                 new: peer,
             })
             .unwrap();
-        while !world.ledger.outcomes.contains_key(&id) {
-            world.run_for(Duration::from_millis(1)).unwrap();
+        while !sim.checker.outcomes.contains_key(&id) {
+            sim.run_for(Duration::from_millis(1)).unwrap();
         }
-        assert_eq!(world.ledger.outcomes[&id], Ok(()));
-        world.act(&Act::Crash(lost, 0)).unwrap();
-        decide(&mut world);
+        assert_eq!(sim.checker.outcomes[&id], Ok(()));
+        sim.execute(&Operation::Crash(lost, 0)).unwrap();
+        commit_proposal(&mut sim);
     }
 }
 
-/// Changes that do not fit a group of three voters, and why.
+/// Invalid changes are rejected, valid or already satisfied ones succeed, and a second change while
+/// one is in progress is rejected as busy.
 #[test]
-fn changes_that_do_not_fit_are_rejected() {
+fn invalid_membership_changes_are_rejected() {
     let other = |id| Peer {
         id,
         incarnation: 99,
@@ -176,104 +181,104 @@
         (Change::Promote(8), Err(Reason::Stalled)),
         (Change::Remove(8), Ok(())),
     ];
-    let (mut world, _, _) = settled(6);
+    let (mut sim, _, _) = settled(6);
     for (asked, outcome) in cases {
-        assert_eq!(change(&mut world, asked), outcome, "{asked:?}");
+        assert_eq!(change(&mut sim, asked), outcome, "{asked:?}");
     }
-    let first = world
+    let first = sim
         .change(Change::Replace {
             old: 0,
             new: other(8),
         })
         .unwrap();
-    let second = world.change(Change::Remove(1)).unwrap();
-    assert_eq!(world.ledger.outcomes.get(&second), Some(&Err(Reason::Busy)));
-    assert_eq!(world.ledger.outcomes.get(&first), None);
+    let second = sim.change(Change::Remove(1)).unwrap();
+    assert_eq!(sim.checker.outcomes.get(&second), Some(&Err(Reason::Busy)));
+    assert_eq!(sim.checker.outcomes.get(&first), None);
 }
 
-/// With one member down, removing another that lives would leave no quorum.
+/// With one member down, removing another live one would leave no quorum.
 #[test]
-fn a_removal_that_leaves_no_live_quorum_waits() {
-    let (mut world, leader, follower) = settled(7);
-    world
-        .act(&Act::Crash(u8::try_from(follower).unwrap(), 0))
+fn removal_that_leaves_no_live_quorum_stalls() {
+    let (mut sim, leader, follower) = settled(7);
+    sim.execute(&Operation::Crash(u8::try_from(follower).unwrap(), 0))
         .unwrap();
-    world.run_for(2 * SECOND).unwrap();
+    sim.run_for(2 * SECOND).unwrap();
     let third = (leader + 2) % 3;
     let remove = Change::Remove(u64::try_from(third).unwrap());
-    assert_eq!(change(&mut world, remove), Err(Reason::Stalled));
-    decide(&mut world);
+    assert_eq!(change(&mut sim, remove), Err(Reason::Stalled));
+    commit_proposal(&mut sim);
 }
 
-/// Which disk fails: the leader's, which then no longer leads, or a follower's.
+/// The disk of the leader, which must then step down, or of any member is full.
 #[test]
-fn a_member_with_a_full_disk_follows_without_acknowledging() {
+fn member_with_full_disk_follows_without_acknowledging() {
     for full in [LEADER, 0, 1, 2] {
-        let (mut world, leader, _) = settled(8);
+        let (mut sim, leader, _) = settled(8);
         let at = if full == LEADER {
             leader
         } else {
             usize::from(full)
         };
-        world.act(&Act::Full(full, true)).unwrap();
-        decide(&mut world);
-        world.run_for(5 * SECOND).unwrap();
+        sim.execute(&Operation::Full(full, true)).unwrap();
+        commit_proposal(&mut sim);
+        sim.run_for(5 * SECOND).unwrap();
         for _ in 0..5 {
-            decide(&mut world);
+            commit_proposal(&mut sim);
         }
-        world.run_for(SECOND).unwrap();
-        let (sick, leads) = (status(&world, at), world.leader().unwrap());
-        assert!(leads != at && sick.disk_unhealthy, "{sick:?}");
+        sim.run_for(SECOND).unwrap();
+        let (unhealthy, leads) = (status(&sim, at), sim.leader().unwrap());
+        assert!(leads != at && unhealthy.disk_unhealthy, "{unhealthy:?}");
         assert_eq!(
-            sick.commit,
-            status(&world, leads).commit,
-            "it follows in memory"
+            unhealthy.commit,
+            status(&sim, leads).commit,
+            "the member follows in memory"
         );
         assert!(
-            sick.durable < sick.commit && status(&world, leads).matched[&at_id(at)] <= sick.durable
+            unhealthy.durable < unhealthy.commit
+                && status(&sim, leads).matched[&member_id(at)] <= unhealthy.durable
         );
-        world
-            .act(&Act::Full(at_id(at).try_into().unwrap(), false))
+        sim.execute(&Operation::Full(member_id(at).try_into().unwrap(), false))
             .unwrap();
-        world.run_for(2 * SECOND).unwrap();
-        let well = status(&world, at);
+        sim.run_for(2 * SECOND).unwrap();
+        let recovered = status(&sim, at);
         assert!(
-            !well.disk_unhealthy && well.durable == well.last,
-            "{well:?}"
+            !recovered.disk_unhealthy && recovered.durable == recovered.last,
+            "{recovered:?}"
         );
     }
 }
 
-fn at_id(at: usize) -> MemberId {
+fn member_id(at: usize) -> MemberId {
     at.try_into().unwrap()
 }
 
 #[test]
-fn a_snapshot_that_was_interrupted_is_resumed() {
-    let (mut world, leader, follower) = settled(9);
+fn interrupted_snapshot_transfer_is_resumed() {
+    let (mut sim, leader, follower) = settled(9);
     let target = u8::try_from(follower).unwrap();
-    world.act(&Act::Isolate(target, Way::Both)).unwrap();
+    sim.execute(&Operation::Isolate(target, Direction::Both))
+        .unwrap();
     for _ in 0..40 {
-        decide(&mut world);
+        commit_proposal(&mut sim);
     }
-    world.sent = Some(Vec::new());
-    let mut cuts = 0;
-    while status(&world, follower).commit < status(&world, leader).commit {
-        let way = if cuts % 2 == 0 {
-            Act::Heal
+    sim.sent = Some(Vec::new());
+    let mut toggles = 0;
+    while status(&sim, follower).commit < status(&sim, leader).commit {
+        let operation = if toggles % 2 == 0 {
+            Operation::Heal
         } else {
-            Act::Isolate(target, Way::Both)
+            Operation::Isolate(target, Direction::Both)
         };
-        cuts += 1;
+        toggles += 1;
         assert!(
-            cuts < 200,
+            toggles < 200,
             "{}",
-            world.describe("the snapshot does not arrive")
+            sim.describe("the snapshot does not arrive")
         );
-        world.act(&way).unwrap();
-        world.run_for(Duration::from_millis(130)).unwrap();
+        sim.execute(&operation).unwrap();
+        sim.run_for(Duration::from_millis(130)).unwrap();
     }
-    let chunks = world
+    let chunks = sim
         .sent
         .take()
         .unwrap()
@@ -286,8 +291,8 @@
         });
     let chunks: Vec<_> = chunks.collect();
     assert!(
-        cuts > 2 && chunks.iter().any(|(_, offset)| *offset > 0),
-        "{cuts} {chunks:?}"
+        toggles > 2 && chunks.iter().any(|(_, offset)| *offset > 0),
+        "{toggles} {chunks:?}"
     );
     let resumed = chunks
         .windows(2)
@@ -295,36 +300,38 @@
     assert!(resumed, "{chunks:?}");
 }
 
-type Harm = fn(&mut Envelope);
+type Alteration = fn(&mut Envelope);
 
-/// Changes to a heartbeat of the leader that make it another's.
+/// Heartbeats from the leader altered so that they are not meant for this member must be dropped.
 #[test]
-fn messages_for_others_are_dropped() {
-    let harms: [(&str, Harm); 7] = [
+fn misaddressed_messages_are_dropped() {
+    let alterations: [(&str, Alteration); 7] = [
         ("cluster", |e| e.cluster += 1),
         ("group", |e| e.group += 1),
         ("lineage", |e| e.lineage += 1),
         ("sender", |e| e.from.id += 1),
-        ("addressee", |e| e.to += 1),
-        ("life of the addressee's disk", |e| e.incarnation = Some(77)),
+        ("recipient", |e| e.to += 1),
+        ("incarnation of the recipient", |e| e.incarnation = Some(77)),
         ("nothing", |_| {}),
     ];
-    let (mut world, _, follower) = settled(10);
-    world.sent = Some(Vec::new());
-    world.run_for(SECOND).unwrap();
-    let sent = world.sent.take().unwrap();
-    let heartbeat = sent.into_iter().rfind(|e| e.to == at_id(follower)).unwrap();
-    for (what, harm) in harms {
+    let (mut sim, _, follower) = settled(10);
+    sim.sent = Some(Vec::new());
+    sim.run_for(SECOND).unwrap();
+    let sent = sim.sent.take().unwrap();
+    let heartbeat = sent
+        .into_iter()
+        .rfind(|e| e.to == member_id(follower))
+        .unwrap();
+    for (case, alter) in alterations {
         let bytes = postcard::to_allocvec(&heartbeat).unwrap();
         let mut message: Envelope = postcard::from_bytes(&bytes).unwrap();
         assert_eq!(message, heartbeat);
-        harm(&mut message);
-        let before = status(&world, follower).dropped;
+        alter(&mut message);
+        let before = status(&sim, follower).dropped;
         let from = heartbeat.from.id;
-        world
-            .handle(follower, Event::Receive { from, message })
+        sim.handle(follower, Event::Receive { from, message })
             .unwrap();
-        let dropped = status(&world, follower).dropped - before;
-        assert_eq!(dropped, u64::from(what != "nothing"), "{what}");
+        let dropped = status(&sim, follower).dropped - before;
+        assert_eq!(dropped, u64::from(case != "nothing"), "{case}");
     }
 }
--- a/crates/quorum/tests/messages.rs
+++ b/crates/quorum/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Any message of an authenticated peer is taken in without a panic.
+//! Arbitrary messages from an authenticated peer must not make a core panic.
 
 mod schedule;
 
@@ -13,14 +13,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use schedule::failover::{calm, decide};
+use schedule::failover::{commit_proposal, fault_free_group};
 
-/// Small numbers, which fit the group, and any others.
+/// Mostly small numbers, which are plausible in the group, and otherwise arbitrary ones.
 fn number() -> impl Strategy<Value = u64> {
     prop_oneof![4 => 0..8_u64, 1 => any::<u64>(), 1 => Just(u64::MAX)]
 }
 
-/// The term that the member is in, or any.
+/// `None` for the member's current term, or an arbitrary term.
 fn term() -> impl Strategy<Value = Option<u64>> {
     prop_oneof![4 => Just(None), 1 => number().prop_map(Some)]
 }
@@ -165,15 +165,15 @@
     })]
 
     #[test]
-    fn any_message_is_taken_in(
+    fn arbitrary_messages_do_not_panic(
         leads in any::<bool>(),
         messages in proptest::collection::vec((0..4_u64, term(), message()), 1..30),
     ) {
-        let mut world = calm(1);
-        decide(&mut world);
-        let leader = world.leader().unwrap();
-        let node = &mut world.nodes[if leads { leader } else { (leader + 1) % 3 }];
-        let mut now = node.local(world.now);
+        let mut sim = fault_free_group(1);
+        commit_proposal(&mut sim);
+        let leader = sim.leader().unwrap();
+        let node = &mut sim.nodes[if leads { leader } else { (leader + 1) % 3 }];
+        let mut now = node.local(sim.now);
         let (peer, core) = (node.peer, node.core.as_mut().unwrap());
         for (from, term, message) in messages {
             let from = Peer { id: from, incarnation: 1 };
--- a/crates/quorum/tests/schedule/failover.rs
+++ b/crates/quorum/tests/schedule/failover.rs
@@ -1,17 +1,17 @@
-//! The time from the loss of a leader to the next decision.
+//! Measures the time from the loss of a leader to the next commit.
 
 use std::time::Duration;
 
 use cornelhitch_quorum::prelude::RequestId;
 
-use super::world::World;
-use super::{Act, LEADER, Schedule, Way};
+use super::simulation::Simulation;
+use super::{Direction, LEADER, Operation, Schedule};
 
-/// Longest delay of a message: regions are a few tens of milliseconds apart.
+/// Maximum message delay; typical between regions, which are a few tens of milliseconds apart.
 const DELAY_MS: u16 = 40;
 
-/// A group without faults that takes longer than this for a decision never makes one.
-const PATIENCE: Duration = Duration::from_mins(1);
+/// A fault-free group that takes longer than this to commit is considered stuck.
+const COMMIT_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// How the leader is lost.
 #[derive(Clone, Copy, Debug)]
@@ -20,58 +20,62 @@
     Isolation,
 }
 
-/// A group of three voters without other faults.
-pub fn calm(seed: u64) -> World {
-    World::new(Schedule {
+/// Creates a group of three voters without faults.
+pub fn fault_free_group(seed: u64) -> Simulation {
+    Simulation::new(Schedule {
         seed,
         voters: 3,
-        others: 0,
+        joiners: 0,
         loss: 0,
-        doubled: 0,
+        duplicated: 0,
         delay: DELAY_MS,
         steps: Vec::new(),
         fault: None,
     })
 }
 
-/// Runs until a proposal to whoever leads is committed, and returns how long that took.
-pub fn decide(world: &mut World) -> Duration {
-    let start = world.now;
-    let mut asked: Option<(usize, RequestId)> = None;
-    while !asked.is_some_and(|(_, id)| world.ledger.is_applied(id)) {
-        let open = |(at, id): &(usize, RequestId)| {
-            world.leader() == Some(*at) && !world.ledger.outcomes.contains_key(id)
+/// Runs until a proposal to the leader is committed and returns the elapsed virtual time.
+pub fn commit_proposal(sim: &mut Simulation) -> Duration {
+    let start = sim.now;
+    let mut proposal: Option<(usize, RequestId)> = None;
+    while !proposal.is_some_and(|(_, id)| sim.checker.is_applied(id)) {
+        let pending = |(at, id): &(usize, RequestId)| {
+            sim.leader() == Some(*at) && !sim.checker.outcomes.contains_key(id)
         };
-        asked = asked.filter(open);
-        if let (Some(at), None) = (world.leased(), asked) {
-            asked = Some((at, world.propose(at).unwrap()));
+        proposal = proposal.filter(pending);
+        if let (Some(at), None) = (sim.leader_with_lease(), proposal) {
+            proposal = Some((at, sim.propose(at).unwrap()));
         }
-        step(world, start);
+        step(sim, start);
     }
-    world.now.saturating_sub(start)
+    sim.now.saturating_sub(start)
 }
 
-fn step(world: &mut World, start: Duration) {
-    world.run_for(Duration::from_millis(1)).unwrap();
-    let waited = world.now.saturating_sub(start);
-    assert!(waited < PATIENCE, "{}", world.describe("no decision"));
+fn step(sim: &mut Simulation, start: Duration) {
+    sim.run_for(Duration::from_millis(1)).unwrap();
+    let waited = sim.now.saturating_sub(start);
+    assert!(
+        waited < COMMIT_TIMEOUT,
+        "{}",
+        sim.describe("no proposal was committed")
+    );
 }
 
-/// The time from the loss of the leader of a settled group to the next decision.
-pub fn measure(seed: u64, loss: Loss) -> Duration {
-    let mut world = calm(seed);
-    decide(&mut world);
-    world.run_for(Duration::from_millis(seed % 500)).unwrap();
-    let act = match loss {
-        Loss::Crash => Act::Crash(LEADER, 0),
-        Loss::Isolation => Act::Isolate(LEADER, Way::Both),
+/// Returns the time from the loss of the leader of a stable group to the next commit.
+pub fn measure_failover(seed: u64, loss: Loss) -> Duration {
+    let mut sim = fault_free_group(seed);
+    commit_proposal(&mut sim);
+    sim.run_for(Duration::from_millis(seed % 500)).unwrap();
+    let operation = match loss {
+        Loss::Crash => Operation::Crash(LEADER, 0),
+        Loss::Isolation => Operation::Isolate(LEADER, Direction::Both),
     };
-    let before = world.leader();
-    world.act(&act).unwrap();
-    world.run_for(Duration::from_millis(1)).unwrap();
-    let start = world.now;
-    while world.leader() == before || world.leased().is_none() {
-        step(&mut world, start);
+    let before = sim.leader();
+    sim.execute(&operation).unwrap();
+    sim.run_for(Duration::from_millis(1)).unwrap();
+    let start = sim.now;
+    while sim.leader() == before || sim.leader_with_lease().is_none() {
+        step(&mut sim, start);
     }
-    world.now.saturating_sub(start) + decide(&mut world)
+    sim.now.saturating_sub(start) + commit_proposal(&mut sim)
 }
--- a/crates/quorum/tests/schedule/mod.rs
+++ b/crates/quorum/tests/schedule/mod.rs
@@ -1,11 +1,11 @@
-//! Random schedules of faults in virtual time, and the rules that must hold in all of them.
+//! Random fault schedules in virtual time and the invariants that must hold in all of them.
 
 #![allow(dead_code, reason = "each test and example uses a part")]
 
+pub mod checker;
 pub mod failover;
-pub mod ledger;
 pub mod node;
-pub mod world;
+pub mod simulation;
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -14,59 +14,59 @@
 
 use cornelhitch_quorum::config::Fault;
 
-/// Which member something happens to: one by number, or whoever leads.
+/// The member that an operation applies to: a member by number, or the current leader.
 pub type Target = u8;
 
-/// Targets from here on mean the leader.
+/// This and larger targets denote the leader.
 pub const LEADER: Target = 128;
 
-/// What happens at one step.
+/// An operation or fault.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// A client proposes.
+pub enum Operation {
+    /// A client submits a proposal.
     Propose(Target),
-    /// Several clients propose at once.
+    /// Several clients submit proposals at once.
     Burst(Target, u8),
-    /// A client reads.
+    /// A client issues a linearizable read.
     Barrier(Target),
-    /// The process ends; so many records that are not synced last all the same.
+    /// The process crashes; the given number of unsynced records survives.
     Crash(Target, u8),
-    /// The process starts again.
+    /// The process restarts.
     Restart(Target),
-    /// The process stands still for a time in milliseconds.
+    /// The process is paused for a time in milliseconds.
     Pause(Target, u16),
-    /// The process ends and its disk is emptied, where a majority stays whole.
+    /// The process crashes and its disk is wiped, unless that would destroy a quorum.
     Wipe(Target),
-    /// Messages from one member to another are lost.
+    /// Messages from the first member to the second are lost.
     Cut(Target, Target),
-    /// All messages from and to a member are lost, or those of one way.
-    Isolate(Target, Way),
-    /// All messages pass again.
+    /// Messages to or from a member, or both, are lost.
+    Isolate(Target, Direction),
+    /// Ends all message loss between specific members.
     Heal,
-    /// The disk is full, or has room again.
+    /// The disk becomes full, or has space again.
     Full(Target, bool),
-    /// Syncs take this long, in milliseconds.
+    /// Sets the duration of a sync in milliseconds.
     Slow(Target, u16),
-    /// A change of the members is asked of the leader.
-    Change(Asked, Target, Target),
-    /// The owner hands over a snapshot unasked.
+    /// A membership change is requested from the leader.
+    Change(ChangeKind, Target, Target),
+    /// The owner passes in an unsolicited snapshot.
     Snapshot(Target),
 }
 
-/// Which way a member is cut off.
+/// The direction in which a member is isolated.
 #[derive(Clone, Copy, Debug)]
-pub enum Way {
-    /// Nothing reaches it.
+pub enum Direction {
+    /// Messages to the member are lost.
     In,
-    /// Nothing leaves it.
+    /// Messages from the member are lost.
     Out,
-    /// Neither.
+    /// Messages in both directions are lost.
     Both,
 }
 
-/// The kind of a change of members.
+/// The kind of a membership change.
 #[derive(Clone, Copy, Debug)]
-pub enum Asked {
+pub enum ChangeKind {
     Add,
     Promote,
     Remove,
@@ -76,30 +76,30 @@
 /// One step of a schedule.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// Time since the step before, in milliseconds.
+    /// Time since the previous step, in milliseconds.
     pub after: u16,
-    /// What happens.
-    pub act: Act,
+    /// The operation to execute.
+    pub operation: Operation,
 }
 
-/// A schedule: it and its seed decide all that happens.
+/// A deterministic schedule: together with the seed, it determines the whole run.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// Decides delays, losses and clock rates.
+    /// Seed for delays, losses and clock rates.
     pub seed: u64,
-    /// Voters at the start; 0 has a founder and admits the others.
+    /// Initial number of voters; with 0, one member bootstraps the group and admits the others.
     pub voters: u8,
-    /// Members besides that start with empty disks.
-    pub others: u8,
-    /// Lost messages in a thousand.
+    /// Number of further members, which start with empty disks.
+    pub joiners: u8,
+    /// Probability of message loss, in thousandths.
     pub loss: u16,
-    /// Doubled messages in a thousand.
-    pub doubled: u16,
-    /// Longest delay of a message in milliseconds.
+    /// Probability of message duplication, in thousandths.
+    pub duplicated: u16,
+    /// Maximum message delay in milliseconds.
     pub delay: u16,
-    /// What happens, in order.
+    /// The steps in order.
     pub steps: Vec<Step>,
-    /// A fault in the core, put in on purpose.
+    /// The fault injected into the core, if any.
     pub fault: Option<Fault>,
 }
 
@@ -107,45 +107,49 @@
     prop_oneof![3 => 0..5_u8, 2 => Just(LEADER)]
 }
 
-fn act() -> impl Strategy<Value = Act> {
-    let way = prop_oneof![Just(Way::In), Just(Way::Out), Just(Way::Both)];
-    let asked = prop_oneof![
-        2 => Just(Asked::Add),
-        2 => Just(Asked::Promote),
-        1 => Just(Asked::Remove),
-        2 => Just(Asked::Replace),
+fn operation() -> impl Strategy<Value = Operation> {
+    let direction = prop_oneof![
+        Just(Direction::In),
+        Just(Direction::Out),
+        Just(Direction::Both)
+    ];
+    let kind = prop_oneof![
+        2 => Just(ChangeKind::Add),
+        2 => Just(ChangeKind::Promote),
+        1 => Just(ChangeKind::Remove),
+        2 => Just(ChangeKind::Replace),
     ];
     prop_oneof![
-        8 => target().prop_map(Act::Propose),
-        4 => (target(), 2..9_u8).prop_map(|(t, n)| Act::Burst(t, n)),
-        4 => target().prop_map(Act::Barrier),
-        3 => (target(), 0..4_u8).prop_map(|(t, kept)| Act::Crash(t, kept)),
-        4 => target().prop_map(Act::Restart),
-        2 => (target(), 100..4000_u16).prop_map(|(t, ms)| Act::Pause(t, ms)),
-        2 => target().prop_map(Act::Wipe),
-        2 => (target(), target()).prop_map(|(a, b)| Act::Cut(a, b)),
-        3 => (target(), way).prop_map(|(t, way)| Act::Isolate(t, way)),
-        3 => Just(Act::Heal),
-        2 => (target(), any::<bool>()).prop_map(|(t, full)| Act::Full(t, full)),
-        1 => (target(), 1..3000_u16).prop_map(|(t, ms)| Act::Slow(t, ms)),
-        4 => (asked, target(), target()).prop_map(|(k, a, b)| Act::Change(k, a, b)),
-        2 => target().prop_map(Act::Snapshot),
+        8 => target().prop_map(Operation::Propose),
+        4 => (target(), 2..9_u8).prop_map(|(t, n)| Operation::Burst(t, n)),
+        4 => target().prop_map(Operation::Barrier),
+        3 => (target(), 0..4_u8).prop_map(|(t, kept)| Operation::Crash(t, kept)),
+        4 => target().prop_map(Operation::Restart),
+        2 => (target(), 100..4000_u16).prop_map(|(t, ms)| Operation::Pause(t, ms)),
+        2 => target().prop_map(Operation::Wipe),
+        2 => (target(), target()).prop_map(|(a, b)| Operation::Cut(a, b)),
+        3 => (target(), direction).prop_map(|(t, direction)| Operation::Isolate(t, direction)),
+        3 => Just(Operation::Heal),
+        2 => (target(), any::<bool>()).prop_map(|(t, full)| Operation::Full(t, full)),
+        1 => (target(), 1..3000_u16).prop_map(|(t, ms)| Operation::Slow(t, ms)),
+        4 => (kind, target(), target()).prop_map(|(kind, a, b)| Operation::Change(kind, a, b)),
+        2 => target().prop_map(Operation::Snapshot),
     ]
 }
 
-/// All schedules.
+/// Generates random schedules.
 pub fn schedules() -> impl Strategy<Value = Schedule> {
     let after = prop_oneof![2 => 0..30_u16, 3 => 30..1500_u16];
-    let step = (after, act()).prop_map(|(after, act)| Step { after, act });
+    let step = (after, operation()).prop_map(|(after, operation)| Step { after, operation });
     let voters = prop_oneof![1 => Just(0_u8), 1 => 1..3_u8, 6 => Just(3_u8), 1 => 4..6_u8];
     let net = (0..150_u16, 0..100_u16, prop_oneof![0..40_u16, 0..400_u16]);
     (any::<u64>(), voters, 0..3_u8, net, vec(step, 5..60)).prop_map(
-        |(seed, voters, others, (loss, doubled, delay), steps)| Schedule {
+        |(seed, voters, joiners, (loss, duplicated, delay), steps)| Schedule {
             seed,
             voters,
-            others: if voters == 0 { 3 } else { others },
+            joiners: if voters == 0 { 3 } else { joiners },
             loss,
-            doubled,
+            duplicated,
             delay,
             steps,
             fault: None,
@@ -153,7 +157,7 @@
     )
 }
 
-/// The schedule of a number.
+/// Returns the schedule with the given number.
 pub fn schedule(number: u64) -> Schedule {
     let mut seed = [0; 32];
     seed[..8].copy_from_slice(&number.to_le_bytes());
--- a/crates/quorum/tests/schedule/node.rs
+++ b/crates/quorum/tests/schedule/node.rs
@@ -1,4 +1,4 @@
-//! A member in a schedule: its process, its clock, its disk and its state.
+//! A simulated member: process, clock, disk and state machine.
 
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -13,10 +13,10 @@
 
 const MILLION: u64 = 1_000_000;
 
-/// Bytes of a snapshot besides the state, so that it takes several chunks.
-const PADDING: usize = 200;
+/// Snapshot size in bytes, large enough for several chunks.
+const SNAPSHOT_BYTES: usize = 200;
 
-/// The owner's state: what was applied last, and a hash over all that was applied.
+/// The owner's state machine: the last applied index and a hash over all applied entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct State {
     pub index: Index,
@@ -34,7 +34,7 @@
     }
 
     pub fn encode(self) -> Bytes {
-        let mut data = vec![0; PADDING];
+        let mut data = vec![0; SNAPSHOT_BYTES];
         data[..8].copy_from_slice(&self.hash.to_le_bytes());
         data.into()
     }
@@ -45,19 +45,19 @@
     }
 }
 
-/// A disk with the queue of its writer.
+/// A simulated disk with its write queue.
 #[derive(Debug)]
-pub struct Queue {
+pub struct SimulatedDisk {
     pub memory: MemoryStore,
     pub batches: VecDeque<Batch>,
     pub attempt: u64,
     pub sync: Duration,
-    /// How many batches the sync under way takes.
+    /// Number of batches covered by the sync in progress.
     pub syncing: usize,
 }
 
-impl Queue {
-    /// The sync under way ends, as in the writer's thread.
+impl SimulatedDisk {
+    /// Completes the sync in progress, like the writer thread.
     pub fn finish(&mut self) -> Option<Event> {
         let attempt = self.attempt;
         let batches = self.batches.drain(..self.syncing);
@@ -75,7 +75,7 @@
         Some(Event::PersistFailed { token: first })
     }
 
-    /// A crash: only so many of the records under way last.
+    /// Crashes; only the first `kept` queued records survive.
     pub fn crash(&mut self, kept: usize) {
         let attempt = self.attempt;
         let batches = std::mem::take(&mut self.batches);
@@ -87,25 +87,25 @@
     }
 }
 
-/// A member.
+/// A simulated member.
 #[derive(Debug)]
 pub struct Node {
     pub peer: Peer,
     pub core: Option<Core>,
-    pub disk: Queue,
+    pub disk: SimulatedDisk,
     pub state: State,
-    /// Counts starts, so that what belongs to an earlier process is told apart.
-    pub life: u64,
+    /// Number of process starts; distinguishes events of an earlier process.
+    pub start_count: u64,
     pub paused_until: Duration,
     pub wake: Duration,
-    /// The commit index up to which entries were compared.
+    /// Commit index up to which entries have been checked.
     pub checked: Index,
     started: Duration,
-    /// Difference of the clock's rate from real time, in millionths.
-    drift: i64,
+    /// Deviation of the clock rate from real time, in parts per million.
+    drift_ppm: i64,
 }
 
-/// Small limits, so that few entries reach them.
+/// A configuration with small limits, so that few entries reach them.
 pub fn config(founder: bool, fault: Option<Fault>) -> Config {
     Config {
         peers: (0..8).collect(),
@@ -125,7 +125,7 @@
         let peer = recovered.identity.peer;
         let sync = Duration::from_millis(2);
         let memory = MemoryStore::new(recovered);
-        let disk = Queue {
+        let disk = SimulatedDisk {
             memory,
             batches: VecDeque::new(),
             attempt: 0,
@@ -137,22 +137,22 @@
             core: None,
             disk,
             state: State::default(),
-            life: 0,
+            start_count: 0,
             paused_until: Duration::ZERO,
             wake: Duration::ZERO,
             checked: 0,
             started: Duration::ZERO,
-            drift: 0,
+            drift_ppm: 0,
         }
     }
 
-    /// Starts the process at a real time with some clock rate.
+    /// Starts the process at a real time, with a clock rate derived from the seed.
     pub fn start(&mut self, config: Config, seed: u64, now: Duration) {
         let bound = i64::from(DRIFT_PPM);
-        self.drift =
+        self.drift_ppm =
             [-bound, bound, 0, i64::try_from(seed % 100).unwrap()][(seed >> 8) as usize % 4];
         self.started = now;
-        self.life += 1;
+        self.start_count += 1;
         self.checked = 0;
         self.state = State::default();
         self.wake = Duration::MAX;
@@ -181,20 +181,20 @@
     }
 
     fn rate(&self) -> u64 {
-        MILLION.checked_add_signed(self.drift).unwrap()
+        MILLION.checked_add_signed(self.drift_ppm).unwrap()
     }
 
-    /// The process's clock at a real time.
+    /// Converts real time to the process's clock.
     pub fn local(&self, real: Duration) -> Time {
         scale(real.saturating_sub(self.started), self.rate(), MILLION)
     }
 
-    /// The first real time at which the process's clock shows `local`.
+    /// Returns the first real time at which the process's clock shows `local`.
     pub fn real(&self, local: Time) -> Duration {
         self.started + scale(local, MILLION, self.rate()) + Duration::from_nanos(1)
     }
 
-    /// The latest members that this one knows, in memory and on disk.
+    /// The latest memberships known to this member, on disk and in memory.
     pub fn memberships(&self) -> Vec<Membership> {
         let disk = self.disk.memory.synced();
         let in_log = disk
--- a/crates/quorum/tests/schedule/world.rs
+++ b/crates/quorum/tests/schedule/simulation.rs
@@ -1,4 +1,4 @@
-//! Runs a schedule: the network, the clients and the faults.
+//! Runs a schedule: simulates the network, the clients and the faults.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -10,61 +10,61 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::ledger::{Check, Ledger, Rule, Violation, ensure};
+use super::checker::{Check, Checker, Invariant, Violation, ensure};
 use super::node::{Node, State, config};
-use super::{Act, Asked, LEADER, Schedule, Target, Way};
+use super::{ChangeKind, Direction, LEADER, Operation, Schedule, Target};
 
-/// How long the end of a schedule may take to make progress, with all faults over.
-const RECOVERY: Duration = Duration::from_secs(20);
+/// Time within which the group must make progress after all faults have ended.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
 const CLUSTER: u64 = 7;
 
-/// What is due at a time.
+/// A pending simulation event.
 #[derive(Debug)]
-enum Due {
+enum Pending {
     Tick { node: usize },
     Message(Envelope),
-    Synced { node: usize, life: u64 },
+    Synced { node: usize, start_count: u64 },
 }
 
 /// A running schedule.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     schedule: Schedule,
     rng: SmallRng,
     pub now: Duration,
     pub nodes: Vec<Node>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    due: BTreeMap<u64, Due>,
+    pending: BTreeMap<u64, Pending>,
     sequence: u64,
-    cuts: BTreeSet<(MemberId, MemberId)>,
-    pub ledger: Ledger,
+    blocked_links: BTreeSet<(MemberId, MemberId)>,
+    pub checker: Checker,
     requests: RequestId,
     incarnations: u64,
-    quiet: bool,
-    /// Whether a leader's owner admits members that ask.
-    pub admits: bool,
-    /// What was sent, for tests that look at it.
+    faults_disabled: bool,
+    /// Whether the leader's owner admits members that ask to join.
+    pub admit_joiners: bool,
+    /// Records all sent messages if set.
     pub sent: Option<Vec<Envelope>>,
 }
 
-/// Runs a schedule to its end.
+/// Runs a schedule to its end and checks recovery.
 pub fn run(schedule: Schedule) -> Check {
-    let mut world = World::new(schedule);
-    for step in std::mem::take(&mut world.schedule.steps) {
-        world.run_for(Duration::from_millis(step.after.into()))?;
-        world.act(&step.act)?;
+    let mut sim = Simulation::new(schedule);
+    for step in std::mem::take(&mut sim.schedule.steps) {
+        sim.run_for(Duration::from_millis(step.after.into()))?;
+        sim.execute(&step.operation)?;
     }
-    world.recover()
+    sim.recover()
 }
 
-impl World {
+impl Simulation {
     pub fn new(schedule: Schedule) -> Self {
         let voters: Vec<Peer> = (0..u64::from(schedule.voters))
             .map(|id| Peer { id, incarnation: 1 })
             .collect();
         let members = Membership::of(&voters);
-        let count = u64::from(schedule.voters + schedule.others);
+        let count = u64::from(schedule.voters + schedule.joiners);
         let node = |id| {
             let peer = Peer { id, incarnation: 1 };
             let identity = Identity {
@@ -80,24 +80,24 @@
                 Recovered::empty(identity)
             })
         };
-        let mut world = Self {
+        let mut sim = Self {
             rng: SmallRng::seed_from_u64(schedule.seed),
             now: Duration::ZERO,
             nodes: (0..count).map(node).collect(),
             queue: BinaryHeap::new(),
-            due: BTreeMap::new(),
+            pending: BTreeMap::new(),
             sequence: 0,
-            cuts: BTreeSet::new(),
-            ledger: Ledger::default(),
+            blocked_links: BTreeSet::new(),
+            checker: Checker::default(),
             requests: 0,
             incarnations: 1,
-            quiet: false,
-            admits: true,
+            faults_disabled: false,
+            admit_joiners: true,
             sent: None,
             schedule,
         };
-        (0..world.nodes.len()).for_each(|at| world.start(at));
-        world
+        (0..sim.nodes.len()).for_each(|at| sim.start(at));
+        sim
     }
 
     fn start(&mut self, at: usize) {
@@ -109,10 +109,10 @@
         self.wake(at);
     }
 
-    fn push(&mut self, at: Duration, due: Due) {
+    fn push(&mut self, at: Duration, pending: Pending) {
         self.sequence += 1;
         self.queue.push(Reverse((at, self.sequence)));
-        self.due.insert(self.sequence, due);
+        self.pending.insert(self.sequence, pending);
     }
 
     fn wake(&mut self, at: usize) {
@@ -122,7 +122,7 @@
         let wake = node.real(wake).max(self.now);
         if wake != node.wake {
             node.wake = wake;
-            self.push(wake, Due::Tick { node: at });
+            self.push(wake, Pending::Tick { node: at });
         }
     }
 
@@ -134,47 +134,49 @@
             }
             self.queue.pop();
             self.now = at;
-            if let Some(due) = self.due.remove(&sequence) {
-                self.happen(due)?;
+            if let Some(pending) = self.pending.remove(&sequence) {
+                self.process(pending)?;
             }
         }
         self.now = end;
         Ok(())
     }
 
-    fn happen(&mut self, due: Due) -> Check {
-        let at = match &due {
-            Due::Tick { node } | Due::Synced { node, .. } => *node,
-            Due::Message(message) => usize::try_from(message.to).unwrap(),
+    fn process(&mut self, pending: Pending) -> Check {
+        let at = match &pending {
+            Pending::Tick { node } | Pending::Synced { node, .. } => *node,
+            Pending::Message(message) => usize::try_from(message.to).unwrap(),
         };
         if at >= self.nodes.len() || self.nodes[at].core.is_none() {
             return Ok(());
         }
         let paused = self.nodes[at].paused_until;
         if paused > self.now {
-            self.push(paused, due);
+            self.push(paused, pending);
             return Ok(());
         }
-        match due {
-            Due::Tick { .. } if self.nodes[at].wake > self.now => Ok(()),
-            Due::Tick { .. } => self.handle(at, Event::Tick),
-            Due::Message(message) => {
+        match pending {
+            Pending::Tick { .. } if self.nodes[at].wake > self.now => Ok(()),
+            Pending::Tick { .. } => self.handle(at, Event::Tick),
+            Pending::Message(message) => {
                 let from = message.from.id;
-                if self.cuts.contains(&(from, message.to)) {
+                if self.blocked_links.contains(&(from, message.to)) {
                     return Ok(());
                 }
                 self.handle(at, Event::Receive { from, message })
             }
-            Due::Synced { life, .. } if life != self.nodes[at].life => Ok(()),
-            Due::Synced { .. } => {
+            Pending::Synced { start_count, .. } if start_count != self.nodes[at].start_count => {
+                Ok(())
+            }
+            Pending::Synced { .. } => {
                 let event = self.nodes[at].disk.finish();
-                self.sync(at);
+                self.start_sync(at);
                 event.map_or(Ok(()), |event| self.handle(at, event))
             }
         }
     }
 
-    /// Gives a member an event, carries out what it asks, and checks the rules.
+    /// Passes an event to a member, executes the resulting actions and checks the invariants.
     pub fn handle(&mut self, at: usize, event: Event) -> Check {
         let now = self.now;
         let node = &mut self.nodes[at];
@@ -184,11 +186,11 @@
         };
         let actions = core.handle(event, local);
         for action in actions {
-            if let Some(event) = self.carry_out(at, action)? {
+            if let Some(event) = self.execute_action(at, action)? {
                 self.handle(at, event)?;
             }
         }
-        self.ledger.compare(&mut self.nodes[at])?;
+        self.checker.check_node(&mut self.nodes[at])?;
         self.check_leases()?;
         self.wake(at);
         Ok(())
@@ -202,35 +204,35 @@
         {
             let Some(core) = &node.core else { continue };
             if let Some(lease) = core.lease(node.local(self.now)) {
-                self.ledger
-                    .lease(node.peer.id, self.now, node.real(lease.until))?;
+                self.checker
+                    .lease_held(node.peer.id, self.now, node.real(lease.until))?;
             }
         }
         Ok(())
     }
 
-    /// What the owner answers at once, if anything.
-    fn carry_out(&mut self, at: usize, action: Action) -> Result<Option<Event>, Violation> {
+    /// Executes an action. Returns the event with which the owner responds at once, if any.
+    fn execute_action(&mut self, at: usize, action: Action) -> Result<Option<Event>, Violation> {
         let peer = self.nodes[at].peer;
         match action {
             Action::Persist(batch) => {
                 self.nodes[at].disk.batches.push_back(batch);
-                self.sync(at);
+                self.start_sync(at);
             }
             Action::Send { message, .. } => {
-                Ledger::sent(&self.nodes[at], &message)?;
+                Checker::message_sent(&self.nodes[at], &message)?;
                 self.send(&message);
             }
             Action::Apply(entry) => self.apply(at, &entry)?,
             Action::Restore(snapshot) => {
                 self.nodes[at].state = State::decode(&snapshot.data, snapshot.index);
-                self.ledger.state(peer, self.nodes[at].state)?;
+                self.checker.state_changed(peer, self.nodes[at].state)?;
             }
             Action::NeedSnapshot => return Ok(Some(self.snapshot(at))),
             Action::Rejected { id, reason, .. } => {
-                self.ledger.outcomes.insert(id, Err(reason));
+                self.checker.outcomes.insert(id, Err(reason));
                 if reason != Reason::Unknown {
-                    self.ledger.refused(id)?;
+                    self.checker.request_rejected(id)?;
                 }
             }
             Action::BarrierDone { id } => {
@@ -238,35 +240,35 @@
                     .core
                     .as_ref()
                     .map_or(0, |c| c.status().applied);
-                self.ledger.read(id, applied)?;
+                self.checker.read_completed(id, applied)?;
             }
-            Action::Joining(peer) if self.admits => return Ok(Some(self.admit(at, peer))),
+            Action::Joining(peer) if self.admit_joiners => return Ok(Some(self.admit(at, peer))),
             Action::Role {
                 role: Role::Leader,
                 term,
                 ..
-            } => self.ledger.lead(peer, term)?,
-            Action::Changed { id } => drop(self.ledger.outcomes.insert(id, Ok(()))),
+            } => self.checker.leader_elected(peer, term)?,
+            Action::Changed { id } => drop(self.checker.outcomes.insert(id, Ok(()))),
             Action::Joining(_) | Action::Role { .. } => {}
         }
         Ok(None)
     }
 
-    /// Starts a sync of all batches that are there, if none is under way.
-    fn sync(&mut self, at: usize) {
+    /// Starts a sync of all queued batches unless one is in progress.
+    fn start_sync(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         if node.disk.syncing > 0 || node.disk.batches.is_empty() {
             return;
         }
         node.disk.syncing = node.disk.batches.len();
-        let (due, done) = (
-            Due::Synced {
+        let (pending, done) = (
+            Pending::Synced {
                 node: at,
-                life: node.life,
+                start_count: node.start_count,
             },
             self.now + node.disk.sync,
         );
-        self.push(done, due);
+        self.push(done, pending);
     }
 
     fn send(&mut self, message: &Envelope) {
@@ -274,15 +276,19 @@
             sent.push(message.clone());
         }
         let copies = match self.rng.random_range(0..1000) {
-            _ if self.quiet => 1,
+            _ if self.faults_disabled => 1,
             dice if dice < self.schedule.loss => 0,
-            dice if dice < self.schedule.loss + self.schedule.doubled => 2,
+            dice if dice < self.schedule.loss + self.schedule.duplicated => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let most = if self.quiet { 20 } else { self.schedule.delay };
+            let most = if self.faults_disabled {
+                20
+            } else {
+                self.schedule.delay
+            };
             let delay = Duration::from_micros(self.rng.random_range(0..=u64::from(most) * 1000));
-            self.push(self.now + delay, Due::Message(message.clone()));
+            self.push(self.now + delay, Pending::Message(message.clone()));
         }
     }
 
@@ -290,13 +296,13 @@
         let node = &mut self.nodes[at];
         node.state.apply(entry);
         let (peer, state) = (node.peer, node.state);
-        self.ledger.state(peer, state)?;
+        self.checker.state_changed(peer, state)?;
         let id = u64::from_le_bytes(entry.payload[..8].try_into().unwrap());
         let own = entry.id.is_none_or(|own| own == id);
-        ensure(own, Rule::Linearizable, || {
-            format!("request {id} is answered as another")
+        ensure(own, Invariant::Linearizable, || {
+            format!("request {id} is completed under another ID")
         })?;
-        self.ledger.applied(id, entry.index)
+        self.checker.entry_applied(id, entry.index)
     }
 
     fn snapshot(&self, at: usize) -> Event {
@@ -307,7 +313,7 @@
         }
     }
 
-    /// A leader's owner admits a member that asks.
+    /// Returns the event with which the leader's owner admits a joining member.
     fn admit(&mut self, at: usize, peer: Peer) -> Event {
         let members = self.members(at);
         let change = if members.contains_key(&peer.id) {
@@ -324,7 +330,7 @@
         }
     }
 
-    /// The members that a member knows.
+    /// The latest membership known to a member.
     pub fn members(&self, at: usize) -> Membership {
         self.nodes[at]
             .core
@@ -345,14 +351,14 @@
     }
 
     /// The leader of the latest term, if it holds a lease.
-    pub fn leased(&self) -> Option<usize> {
+    pub fn leader_with_lease(&self) -> Option<usize> {
         let at = self.leader()?;
         let node = &self.nodes[at];
         let core = node.core.as_ref()?;
         core.lease(node.local(self.now)).map(|_| at)
     }
 
-    fn pick(&self, target: Target) -> usize {
+    fn index_of(&self, target: Target) -> usize {
         let leader = if target >= LEADER {
             self.leader()
         } else {
@@ -364,48 +370,50 @@
     pub fn propose(&mut self, at: usize) -> Result<RequestId, Violation> {
         let id = self.request();
         if self.nodes[at].core.is_some() && self.nodes[at].paused_until <= self.now {
-            self.ledger.ask(id);
+            self.checker.request_started(id);
             let payload = Bytes::copy_from_slice(&id.to_le_bytes());
             self.handle(at, Event::Propose { id, payload })?;
         }
         Ok(id)
     }
 
-    /// Does what a step says.
-    pub fn act(&mut self, act: &Act) -> Check {
-        match *act {
-            Act::Propose(target) => self.propose(self.pick(target)).map(drop)?,
-            Act::Burst(target, count) => {
+    /// Executes an operation.
+    pub fn execute(&mut self, operation: &Operation) -> Check {
+        match *operation {
+            Operation::Propose(target) => self.propose(self.index_of(target)).map(drop)?,
+            Operation::Burst(target, count) => {
                 for _ in 0..count {
-                    self.propose(self.pick(target))?;
+                    self.propose(self.index_of(target))?;
                 }
             }
-            Act::Barrier(target) => return self.barrier(self.pick(target)),
-            Act::Crash(target, kept) => {
-                let at = self.pick(target);
+            Operation::Barrier(target) => return self.barrier(self.index_of(target)),
+            Operation::Crash(target, kept) => {
+                let at = self.index_of(target);
                 self.nodes[at].crash(kept.into());
             }
-            Act::Restart(target) => self.restart(self.pick(target)),
-            Act::Pause(target, ms) => {
-                let at = self.pick(target);
+            Operation::Restart(target) => self.restart(self.index_of(target)),
+            Operation::Pause(target, ms) => {
+                let at = self.index_of(target);
                 let until = self.now + Duration::from_millis(ms.into());
                 self.nodes[at].paused_until = until.max(self.nodes[at].paused_until);
             }
-            Act::Wipe(target) => self.wipe(self.pick(target)),
-            Act::Cut(from, to) => self.cut(self.pick(from), self.pick(to)),
-            Act::Isolate(target, way) => self.isolate(self.pick(target), way),
-            Act::Heal => self.cuts.clear(),
-            Act::Full(target, full) => {
-                let at = self.pick(target);
+            Operation::Wipe(target) => self.wipe(self.index_of(target)),
+            Operation::Cut(from, to) => self.cut(self.index_of(from), self.index_of(to)),
+            Operation::Isolate(target, direction) => self.isolate(self.index_of(target), direction),
+            Operation::Heal => self.blocked_links.clear(),
+            Operation::Full(target, full) => {
+                let at = self.index_of(target);
                 self.nodes[at].disk.memory.full = full;
             }
-            Act::Slow(target, ms) => {
-                let at = self.pick(target);
+            Operation::Slow(target, ms) => {
+                let at = self.index_of(target);
                 self.nodes[at].disk.sync = Duration::from_millis(ms.into());
             }
-            Act::Change(asked, a, b) => return self.ask_change(asked, self.pick(a), self.pick(b)),
-            Act::Snapshot(target) => {
-                let at = self.pick(target);
+            Operation::Change(kind, a, b) => {
+                return self.execute_change(kind, self.index_of(a), self.index_of(b));
+            }
+            Operation::Snapshot(target) => {
+                let at = self.index_of(target);
                 let event = self.snapshot(at);
                 return self.handle(at, event);
             }
@@ -418,7 +426,7 @@
             return Ok(());
         }
         let id = self.request();
-        self.ledger.ask(id);
+        self.checker.request_started(id);
         self.handle(at, Event::Barrier { id })
     }
 
@@ -427,7 +435,8 @@
         self.start(at);
     }
 
-    /// Empties a disk if the other voters of each group that anyone knows stay a quorum.
+    /// Wipes a disk, unless the other voters of some membership known to any member would not form
+    /// a quorum.
     fn wipe(&mut self, at: usize) {
         if self.quorum_without(Some(at)) {
             self.incarnations += 1;
@@ -436,7 +445,8 @@
         }
     }
 
-    /// Whether a quorum of each group that anyone knows has whole disks, leaving one out.
+    /// Whether each membership known to any member has a quorum of voters with intact disks, not
+    /// counting `at`.
     fn quorum_without(&self, at: Option<usize>) -> bool {
         let left = at.map(|at| self.nodes[at].peer);
         let whole: Vec<Peer> = self
@@ -456,15 +466,15 @@
 
     fn cut(&mut self, from: usize, to: usize) {
         let ids = (self.nodes[from].peer.id, self.nodes[to].peer.id);
-        self.cuts.insert(ids);
+        self.blocked_links.insert(ids);
     }
 
-    fn isolate(&mut self, at: usize, way: Way) {
+    fn isolate(&mut self, at: usize, direction: Direction) {
         for other in 0..self.nodes.len() {
-            match way {
-                Way::In => self.cut(other, at),
-                Way::Out => self.cut(at, other),
-                Way::Both => {
+            match direction {
+                Direction::In => self.cut(other, at),
+                Direction::Out => self.cut(at, other),
+                Direction::Both => {
                     self.cut(other, at);
                     self.cut(at, other);
                 }
@@ -472,18 +482,18 @@
         }
     }
 
-    fn ask_change(&mut self, asked: Asked, a: usize, b: usize) -> Check {
+    fn execute_change(&mut self, kind: ChangeKind, a: usize, b: usize) -> Check {
         let (a, b) = (self.nodes[a].peer, self.nodes[b].peer);
-        let change = match asked {
-            Asked::Add => Change::Add(a),
-            Asked::Promote => Change::Promote(a.id),
-            Asked::Remove => Change::Remove(a.id),
-            Asked::Replace => Change::Replace { old: a.id, new: b },
+        let change = match kind {
+            ChangeKind::Add => Change::Add(a),
+            ChangeKind::Promote => Change::Promote(a.id),
+            ChangeKind::Remove => Change::Remove(a.id),
+            ChangeKind::Replace => Change::Replace { old: a.id, new: b },
         };
         self.change(change).map(drop)
     }
 
-    /// Asks whoever leads for a change.
+    /// Requests a membership change from the leader.
     pub fn change(&mut self, change: Change) -> Result<RequestId, Violation> {
         let id = self.request();
         if let Some(leader) = self.leader() {
@@ -492,10 +502,11 @@
         Ok(id)
     }
 
-    /// Ends all faults: a leader must come, commit a new proposal, and all members follow it.
+    /// Ends all faults, after which a leader must be elected, a new proposal committed and all
+    /// members caught up.
     pub fn recover(&mut self) -> Check {
-        self.cuts.clear();
-        self.quiet = true;
+        self.blocked_links.clear();
+        self.faults_disabled = true;
         for at in 0..self.nodes.len() {
             self.nodes[at].disk.memory.full = false;
             self.nodes[at].disk.sync = Duration::from_millis(2);
@@ -503,11 +514,11 @@
                 self.start(at);
             }
         }
-        let end = self.now + RECOVERY;
+        let end = self.now + RECOVERY_TIMEOUT;
         let mut proposed = Vec::new();
         while self.now < end {
             self.run_for(Duration::from_millis(250))?;
-            let done = proposed.iter().any(|id| self.ledger.is_applied(*id));
+            let done = proposed.iter().any(|id| self.checker.is_applied(*id));
             if let (Some(at), false) = (self.leader(), done) {
                 proposed.push(self.propose(at)?);
             }
@@ -515,25 +526,27 @@
         if !self.quorum_without(None) {
             return Ok(());
         }
-        let done = proposed.iter().any(|id| self.ledger.is_applied(*id));
-        ensure(done, Rule::Progress, || {
-            self.describe("no proposal is committed")
+        let done = proposed.iter().any(|id| self.checker.is_applied(*id));
+        ensure(done, Invariant::Progress, || {
+            self.describe("no proposal was committed")
         })?;
         self.all_follow()
     }
 
     fn all_follow(&self) -> Check {
         let Some(leader) = self.leader() else {
-            return ensure(false, Rule::Progress, || self.describe("nobody leads"));
+            return ensure(false, Invariant::Progress, || self.describe("no leader"));
         };
         let members = self.members(leader);
         let state = self.nodes[leader].state;
         let follows = |node: &Node| !members.admits(node.peer) || node.state.hash == state.hash;
         let all = self.nodes.iter().all(follows);
-        ensure(all, Rule::Progress, || self.describe("a member is behind"))
+        ensure(all, Invariant::Progress, || {
+            self.describe("a member has not caught up")
+        })
     }
 
-    /// What is wrong, with the status of all members.
+    /// Formats a problem with the status of all members.
     pub fn describe(&self, what: &str) -> String {
         let status = |node: &Node| {
             node.core
--- a/crates/quorum/tests/schedules.rs
+++ b/crates/quorum/tests/schedules.rs
@@ -1,4 +1,5 @@
-//! The rules hold in random schedules of faults, and each is broken by a fault put in on purpose.
+//! Simulation tests: the invariants hold in random fault schedules, and injecting a fault into the
+//! core violates the invariant that it targets.
 
 mod schedule;
 
@@ -8,18 +9,18 @@
 use rayon::prelude::*;
 use strum::IntoEnumIterator;
 
-use schedule::ledger::Rule;
-use schedule::{Act, LEADER, Step, world};
+use schedule::checker::Invariant;
+use schedule::{LEADER, Operation, Step, simulation};
 
-/// Schedules in each CI run.
-const CASES: u32 = 400;
+/// Number of random schedules per run.
+const SCHEDULES_PER_RUN: u32 = 400;
 
-/// Schedules that may pass before a fault is noticed.
-const TRIES: u64 = 1000;
+/// Number of schedules within which an injected fault must be detected.
+const MAX_SCHEDULES: u64 = 1000;
 
 proptest! {
     #![proptest_config(ProptestConfig {
-        cases: CASES,
+        cases: SCHEDULES_PER_RUN,
         rng_seed: RngSeed::Fixed(4),
         failure_persistence: None,
         max_shrink_iters: 2000,
@@ -27,58 +28,61 @@
     })]
 
     #[test]
-    fn the_rules_hold(schedule in schedule::schedules()) {
-        let check = world::run(schedule);
+    fn invariants_hold_in_random_schedules(schedule in schedule::schedules()) {
+        let check = simulation::run(schedule);
         check.map_err(|violation| TestCaseError::fail(format!("{violation:?}")))?;
     }
 }
 
-/// Steps that make a fault show which is rare in all schedules: disks are wiped often, or one
-/// member misses its leader and asks for votes just after another one restarted.
-fn trigger(fault: Fault, at: u8) -> Option<Step> {
-    let (after, act) = match (fault, at % 4) {
-        (Fault::AnyIncarnation, 0) => (200, Act::Wipe(at % 5)),
-        (Fault::ForgetPromise, 0) => (500, Act::Heal),
-        (Fault::ForgetPromise, 1) => (1500, Act::Cut(LEADER, 0)),
-        (Fault::ForgetPromise, 2) => (1000, Act::Cut(LEADER, 1)),
-        (Fault::ForgetPromise, _) => (5, Act::Restart(1)),
+/// Returns a step that provokes faults that rarely show in random schedules: disks are wiped often,
+/// or one member loses its leader and campaigns just after another one restarted.
+fn provoking_step(fault: Fault, at: u8) -> Option<Step> {
+    let (after, operation) = match (fault, at % 4) {
+        (Fault::AnyIncarnation, 0) => (200, Operation::Wipe(at % 5)),
+        (Fault::ForgetPromise, 0) => (500, Operation::Heal),
+        (Fault::ForgetPromise, 1) => (1500, Operation::Cut(LEADER, 0)),
+        (Fault::ForgetPromise, 2) => (1000, Operation::Cut(LEADER, 1)),
+        (Fault::ForgetPromise, _) => (5, Operation::Restart(1)),
         _ => return None,
     };
-    Some(Step { after, act })
+    Some(Step { after, operation })
 }
 
-/// The first schedule in which a fault breaks a rule.
-fn noticed(fault: Fault, rule: Rule) -> Option<u64> {
-    (0..TRIES).into_par_iter().find_first(|number| {
+/// Returns the first schedule in which a fault violates an invariant.
+fn first_violation(fault: Fault, invariant: Invariant) -> Option<u64> {
+    (0..MAX_SCHEDULES).into_par_iter().find_first(|number| {
         let mut schedule = schedule::schedule(*number);
         schedule.fault = Some(fault);
         for (at, step) in (0..).zip(&mut schedule.steps) {
-            *step = trigger(fault, at).unwrap_or_else(|| step.clone());
+            *step = provoking_step(fault, at).unwrap_or_else(|| step.clone());
         }
-        world::run(schedule).is_err_and(|violation| violation.rule == rule)
+        simulation::run(schedule).is_err_and(|violation| violation.invariant == invariant)
     })
 }
 
-/// Each fault, and the rule that it breaks.
-const BROKEN: [(Fault, Rule); 10] = [
-    (Fault::VoteTwice, Rule::OneLeaderPerTerm),
-    (Fault::AckBeforeSync, Rule::SyncedBeforeSent),
-    (Fault::CommitAlone, Rule::CommittedStays),
-    (Fault::LongLease, Rule::LeaseExclusive),
-    (Fault::ForgetPromise, Rule::LeaseExclusive),
-    (Fault::StaleBarrier, Rule::Linearizable),
-    (Fault::ApplyTwice, Rule::SameState),
-    (Fault::AnyIncarnation, Rule::CommittedStays),
-    (Fault::AnyIncarnation, Rule::Progress),
-    (Fault::ManyChanges, Rule::OneChangeAtATime),
+/// Each fault with the invariant that it violates.
+const VIOLATIONS: [(Fault, Invariant); 10] = [
+    (Fault::VoteTwice, Invariant::OneLeaderPerTerm),
+    (Fault::AckBeforeSync, Invariant::SyncedBeforeSent),
+    (Fault::CommitAlone, Invariant::CommittedStays),
+    (Fault::LongLease, Invariant::LeaseExclusive),
+    (Fault::ForgetPromise, Invariant::LeaseExclusive),
+    (Fault::StaleBarrier, Invariant::Linearizable),
+    (Fault::ApplyTwice, Invariant::SameState),
+    (Fault::AnyIncarnation, Invariant::CommittedStays),
+    (Fault::AnyIncarnation, Invariant::Progress),
+    (Fault::ManyChanges, Invariant::OneChangeAtATime),
 ];
 
 #[test]
-fn each_fault_is_noticed() {
-    for (fault, rule) in BROKEN {
-        let found = noticed(fault, rule);
-        println!("{fault} breaks {rule} in schedule {found:?}");
-        assert!(found.is_some(), "{fault} passes {TRIES} schedules");
+fn each_injected_fault_is_detected() {
+    for (fault, invariant) in VIOLATIONS {
+        let found = first_violation(fault, invariant);
+        println!("{fault} violates {invariant} in schedule {found:?}");
+        assert!(
+            found.is_some(),
+            "{fault} is not detected in {MAX_SCHEDULES} schedules"
+        );
     }
-    assert!(Fault::iter().all(|fault| BROKEN.iter().any(|(broken, _)| *broken == fault)));
+    assert!(Fault::iter().all(|fault| VIOLATIONS.iter().any(|(broken, _)| *broken == fault)));
 }
--- a/crates/quorum/tests/steward.rs
+++ b/crates/quorum/tests/steward.rs
@@ -1,4 +1,4 @@
-//! Which change of the members a leader makes next.
+//! Tests of automatic membership changes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use cornelhitch_quorum::status::{Role, Status};
 use cornelhitch_quorum::steward::{Joiners, Steward};
 
-/// A member in the life of its disk that has its number.
+/// A member whose incarnation equals its ID.
 fn peer(id: MemberId) -> Peer {
     Peer {
         id,
@@ -17,7 +17,8 @@
     }
 }
 
-/// The status of host 1 as the leader of some voters and learners, some of them silent for seconds.
+/// The status of host 1 as leader of the given voters and learners, with the seconds that some have
+/// not responded.
 fn status(voters: &[MemberId], learners: &[MemberId], silent: &[(MemberId, u64)]) -> Status {
     let voters: Vec<Peer> = voters.iter().map(|id| peer(*id)).collect();
     let members = Membership::of(&voters);
@@ -53,44 +54,44 @@
         .collect()
 }
 
-/// One situation and the change that is due, of a steward that wants three voters.
-struct Row {
+/// A group state, and the change expected from a policy with a target of three voters.
+struct Case {
     name: &'static str,
     voters: &'static [MemberId],
     learners: &'static [MemberId],
     silent: &'static [(MemberId, u64)],
-    joins: Vec<Peer>,
-    due: Option<Change>,
+    joiners: Vec<Peer>,
+    expected: Option<Change>,
 }
 
 #[test]
 #[rustfmt::skip]
-fn the_next_change() {
+fn next_change_for_each_group_state() {
     let wiped = Peer { id: 2, incarnation: 99 };
-    let rows = [
-        Row { name: "all is well", voters: &[1, 2, 3], learners: &[], silent: &[], joins: vec![], due: None },
-        Row { name: "a host asks", voters: &[1, 2, 3], learners: &[], silent: &[], joins: vec![peer(4)], due: Some(Change::Add(peer(4))) },
-        Row { name: "a member asks again", voters: &[1, 2, 3], learners: &[4], silent: &[], joins: vec![peer(4)], due: None },
-        Row { name: "a spare waits", voters: &[1, 2, 3], learners: &[4], silent: &[], joins: vec![], due: None },
-        Row { name: "a voter is silent", voters: &[1, 2, 3], learners: &[4], silent: &[(2, 5)], joins: vec![], due: Some(Change::Replace { old: 2, new: peer(4) }) },
-        Row { name: "a voter is silent for a moment", voters: &[1, 2, 3], learners: &[4], silent: &[(2, 2)], joins: vec![], due: None },
-        Row { name: "a voter is silent and none can follow", voters: &[1, 2, 3], learners: &[], silent: &[(2, 5)], joins: vec![], due: None },
-        Row { name: "a voter and the spare are silent", voters: &[1, 2, 3], learners: &[4], silent: &[(2, 5), (4, 5)], joins: vec![], due: None },
-        Row { name: "the group is small", voters: &[1, 2], learners: &[4], silent: &[], joins: vec![], due: Some(Change::Promote(4)) },
-        Row { name: "the group is small, the spare silent", voters: &[1, 2], learners: &[4], silent: &[(4, 5)], joins: vec![], due: None },
-        Row { name: "a spare is gone", voters: &[1, 2, 3], learners: &[4], silent: &[(4, 11)], joins: vec![], due: Some(Change::Remove(4)) },
-        Row { name: "a voter lost its disk", voters: &[1, 2, 3], learners: &[], silent: &[], joins: vec![wiped], due: Some(Change::Replace { old: 2, new: wiped }) },
-        Row { name: "the leader is never silent to itself", voters: &[1, 2, 3], learners: &[4], silent: &[(1, 60)], joins: vec![], due: None },
+    let cases = [
+        Case { name: "healthy group", voters: &[1, 2, 3], learners: &[], silent: &[], joiners: vec![], expected: None },
+        Case { name: "a new host asks to join", voters: &[1, 2, 3], learners: &[], silent: &[], joiners: vec![peer(4)], expected: Some(Change::Add(peer(4))) },
+        Case { name: "a learner asks again to join", voters: &[1, 2, 3], learners: &[4], silent: &[], joiners: vec![peer(4)], expected: None },
+        Case { name: "a spare learner", voters: &[1, 2, 3], learners: &[4], silent: &[], joiners: vec![], expected: None },
+        Case { name: "a silent voter and a learner", voters: &[1, 2, 3], learners: &[4], silent: &[(2, 5)], joiners: vec![], expected: Some(Change::Replace { old: 2, new: peer(4) }) },
+        Case { name: "a briefly silent voter", voters: &[1, 2, 3], learners: &[4], silent: &[(2, 2)], joiners: vec![], expected: None },
+        Case { name: "a silent voter without a learner", voters: &[1, 2, 3], learners: &[], silent: &[(2, 5)], joiners: vec![], expected: None },
+        Case { name: "voter and learner silent", voters: &[1, 2, 3], learners: &[4], silent: &[(2, 5), (4, 5)], joiners: vec![], expected: None },
+        Case { name: "too few voters", voters: &[1, 2], learners: &[4], silent: &[], joiners: vec![], expected: Some(Change::Promote(4)) },
+        Case { name: "too few voters, learner silent", voters: &[1, 2], learners: &[4], silent: &[(4, 5)], joiners: vec![], expected: None },
+        Case { name: "a learner silent for long", voters: &[1, 2, 3], learners: &[4], silent: &[(4, 11)], joiners: vec![], expected: Some(Change::Remove(4)) },
+        Case { name: "a voter with a wiped disk", voters: &[1, 2, 3], learners: &[], silent: &[], joiners: vec![wiped], expected: Some(Change::Replace { old: 2, new: wiped }) },
+        Case { name: "the leader does not count as silent", voters: &[1, 2, 3], learners: &[4], silent: &[(1, 60)], joiners: vec![], expected: None },
     ];
-    for row in rows {
-        let status = status(row.voters, row.learners, row.silent);
-        let due = Steward::default().next(&status, &joiners(&row.joins));
-        assert_eq!(due, row.due, "{}", row.name);
+    for case in cases {
+        let status = status(case.voters, case.learners, case.silent);
+        let expected = Steward::default().next(&status, &joiners(&case.joiners));
+        assert_eq!(expected, case.expected, "{}", case.name);
     }
 }
 
 #[test]
-fn only_a_leader_changes_the_members() {
+fn only_the_leader_changes_membership() {
     for role in [Role::Follower, Role::PreCandidate, Role::Candidate] {
         let status = Status {
             role,
