--- a/crates/quorum/examples/commits.rs
+++ b/crates/quorum/examples/commits.rs
@@ -1,7 +1,7 @@
-//! Commits of three voters in threads with real disks: `commits [SECONDS] [FOLDER]`.
+//! Benchmarks commits of three voters in threads with real disks: `commits [SECONDS] [DIR]`.
 //!
-//! Messages pass through channels, encoded with postcard. A single client waits for each commit;
-//! a batch of clients keeps many proposals under way. Then: how long a start takes.
+//! Messages pass through channels, encoded with postcard. Measures commit latency and throughput
+//! with one proposal in flight and with many, then the time that a restart takes.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -16,14 +16,14 @@
 
 const VOTERS: u64 = 3;
 
-/// Proposals under way when they are batched.
-const BATCH: usize = 256;
+/// Number of proposals in flight in the batched run.
+const MAX_IN_FLIGHT: usize = 256;
 
-/// Bytes of a proposal.
-const PAYLOAD: usize = 128;
+/// Size of a proposal.
+const PAYLOAD_BYTES: usize = 128;
 
-/// Events that a voter takes at once.
-const EVENTS: usize = 512;
+/// Maximum number of events that a voter processes in one call, besides the first.
+const MAX_EVENTS_PER_CALL: usize = 512;
 
 enum Input {
     Event(Event),
@@ -31,7 +31,7 @@
     Stop,
 }
 
-/// What a voter tells the clients.
+/// What a voter reports to the clients.
 enum Output {
     Leads(MemberId),
     Applied(RequestId),
@@ -53,7 +53,10 @@
             let wake = self.core.next_wake().saturating_sub(self.start.elapsed());
             let first = self.inputs.recv_timeout(wake).ok();
             let mut events = Vec::new();
-            for input in first.into_iter().chain(self.inputs.try_iter().take(EVENTS)) {
+            for input in first
+                .into_iter()
+                .chain(self.inputs.try_iter().take(MAX_EVENTS_PER_CALL))
+            {
                 match input {
                     Input::Event(event) => events.push(event),
                     Input::Message(bytes) => events.extend(decode(&bytes)),
@@ -62,13 +65,13 @@
             }
             let actions = self.core.handle_all(events, self.start.elapsed());
             for action in actions {
-                self.carry_out(action);
+                self.execute(action);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
-        let told = match action {
+    fn execute(&mut self, action: Action) {
+        let output = match action {
             Action::Persist(batch) => return self.writer.submit(batch),
             Action::Send { to, message } => {
                 let bytes = postcard::to_allocvec(&message).expect("messages can be encoded");
@@ -82,8 +85,8 @@
             Action::Rejected { .. } => Some(Output::Rejected),
             _ => None,
         };
-        if let Some(told) = told {
-            drop(self.output.send(told));
+        if let Some(output) = output {
+            drop(self.output.send(output));
         }
     }
 }
@@ -105,9 +108,9 @@
     }
 }
 
-/// Opens a folder and gives it the first entries of a group of three.
-fn open(folder: &Path, member: MemberId) -> Disk {
-    let mut disk = Disk::open(folder.join(member.to_string()), owner(member)).expect("a folder");
+/// Opens a directory, seeding it with a group of three if it is empty.
+fn open(dir: &Path, member: MemberId) -> Disk {
+    let mut disk = Disk::open(dir.join(member.to_string()), owner(member)).expect("a directory");
     if disk.recovered().entries.is_empty() {
         let peers: Vec<Peer> = (0..VOTERS).map(|id| Peer { id, incarnation: 1 }).collect();
         let seeded = Recovered::seeded(disk.recovered().identity, &Membership::of(&peers));
@@ -126,13 +129,13 @@
 }
 
 impl Group {
-    fn start(folder: &Path) -> Self {
+    fn start(dir: &Path) -> Self {
         let (inputs, queues): (Vec<_>, Vec<_>) = (0..VOTERS).map(|_| channel()).unzip();
-        let (output, told) = channel();
+        let (output, outputs) = channel();
         let start = Instant::now();
         let mut threads = Vec::new();
         for (member, queue) in (0..VOTERS).zip(queues) {
-            let disk = open(folder, member);
+            let disk = open(dir, member);
             let config = Config {
                 snapshot_threshold_entries: u64::MAX,
                 ..Config::default()
@@ -154,7 +157,7 @@
         }
         let mut group = Self {
             inputs,
-            output: told,
+            output: outputs,
             threads,
             leader: 0,
         };
@@ -163,41 +166,41 @@
     }
 
     fn wait(&mut self) -> Output {
-        let told = self.output.recv().expect("voters run");
-        if let Output::Leads(id) = told {
+        let output = self.output.recv().expect("voters run");
+        if let Output::Leads(id) = output {
             self.leader = usize::try_from(id).expect("few voters");
         }
-        told
+        output
     }
 
     fn propose(&self, id: RequestId) {
-        let payload = Bytes::from(vec![7; PAYLOAD]);
+        let payload = Bytes::from(vec![7; PAYLOAD_BYTES]);
         drop(self.inputs[self.leader].send(Input::Event(Event::Propose { id, payload })));
     }
 
-    /// Keeps so many proposals under way for a time; returns how long each took.
-    fn load(&mut self, under_way: usize, time: Duration) -> Vec<Duration> {
+    /// Keeps `in_flight` proposals in flight for `time` and returns the latency of each.
+    fn load(&mut self, in_flight: usize, time: Duration) -> Vec<Duration> {
         let start = Instant::now();
-        let mut asked = HashMap::new();
-        let mut took = Vec::new();
+        let mut pending = HashMap::new();
+        let mut latencies = Vec::new();
         let mut next = 0;
         while start.elapsed() < time {
-            while asked.len() < under_way {
+            while pending.len() < in_flight {
                 next += 1;
-                asked.insert(next, Instant::now());
+                pending.insert(next, Instant::now());
                 self.propose(next);
             }
             match self.wait() {
-                Output::Applied(id) => took.extend(asked.remove(&id).map(|at| at.elapsed())),
-                Output::Leads(_) | Output::Rejected => asked.clear(),
+                Output::Applied(id) => latencies.extend(pending.remove(&id).map(|at| at.elapsed())),
+                Output::Leads(_) | Output::Rejected => pending.clear(),
             }
         }
-        while !asked.is_empty() {
+        while !pending.is_empty() {
             if let Output::Applied(id) = self.wait() {
-                asked.remove(&id);
+                pending.remove(&id);
             }
         }
-        took
+        latencies
     }
 
     fn stop(self) {
@@ -210,10 +213,10 @@
     }
 }
 
-fn report(what: &str, mut took: Vec<Duration>, time: Duration) {
-    took.sort_unstable();
-    let part = |percent: usize| took[(took.len() - 1) * percent / 100];
-    let rate = f64::from(u32::try_from(took.len()).unwrap_or(u32::MAX)) / time.as_secs_f64();
+fn report(what: &str, mut latencies: Vec<Duration>, time: Duration) {
+    latencies.sort_unstable();
+    let part = |percent: usize| latencies[(latencies.len() - 1) * percent / 100];
+    let rate = f64::from(u32::try_from(latencies.len()).unwrap_or(u32::MAX)) / time.as_secs_f64();
     println!(
         "{what}: {rate:.0} commits/s, p50 {:?}, p99 {:?}",
         part(50),
@@ -221,11 +224,12 @@
     );
 }
 
-/// How long a member with so many entries takes from opening its folder to its first actions.
-fn restart(folder: &Path, entries: u64) {
-    let folder = folder.join(format!("restart-{entries}"));
-    let mut disk = Disk::open(&folder, owner(0)).expect("a folder");
-    let data = Bytes::from(vec![7; PAYLOAD]);
+/// Measures the time from opening the directory of a member with `entries` entries to its first
+/// actions.
+fn measure_restart(dir: &Path, entries: u64) {
+    let dir = dir.join(format!("restart-{entries}"));
+    let mut disk = Disk::open(&dir, owner(0)).expect("a directory");
+    let data = Bytes::from(vec![7; PAYLOAD_BYTES]);
     let entry = |index| Entry {
         index,
         term: 1,
@@ -246,7 +250,7 @@
         .for_each(|part| disk.append(part).expect("room on the disk"));
     drop(disk);
     let start = Instant::now();
-    let disk = Disk::open(&folder, owner(0)).expect("a folder");
+    let disk = Disk::open(&dir, owner(0)).expect("a directory");
     let mut core = Core::new(Config::default(), disk.recovered(), 1, Time::ZERO);
     core.handle(Event::Tick, Time::ZERO);
     println!("start with {entries} entries: {:?}", start.elapsed());
@@ -258,15 +262,15 @@
         .and_then(|text| text.parse().ok())
         .unwrap_or(5);
     let time = Duration::from_secs(seconds);
-    let folder = match std::env::args().nth(2) {
+    let dir = match std::env::args().nth(2) {
         Some(path) => tempfile::tempdir_in(path),
         None => tempfile::tempdir(),
     };
-    let folder = folder.expect("a temporary folder");
-    let mut group = Group::start(folder.path());
+    let dir = dir.expect("a temporary directory");
+    let mut group = Group::start(dir.path());
     report("single", group.load(1, time), time);
-    report("batched", group.load(BATCH, time), time);
+    report("batched", group.load(MAX_IN_FLIGHT, time), time);
     group.stop();
-    restart(folder.path(), 500);
-    restart(folder.path(), 100_000);
+    measure_restart(dir.path(), 500);
+    measure_restart(dir.path(), 100_000);
 }
--- a/crates/quorum/examples/failover.rs
+++ b/crates/quorum/examples/failover.rs
@@ -1,4 +1,5 @@
-//! Time from the loss of a leader to the next decision, in virtual time: `failover [COUNT]`.
+//! Measures the time from the loss of a leader to the next commit, in virtual time: `failover
+//! [COUNT]`.
 
 #[path = "../tests/schedule/mod.rs"]
 mod schedule;
@@ -7,7 +8,7 @@
 
 use rayon::prelude::*;
 
-use schedule::failover::{Loss, measure};
+use schedule::failover::{Loss, measure_failover};
 
 fn main() {
     let count = std::env::args()
@@ -17,7 +18,7 @@
     for loss in [Loss::Crash, Loss::Isolation] {
         let mut times: Vec<Duration> = (0..count)
             .into_par_iter()
-            .map(|seed| measure(seed, loss))
+            .map(|seed| measure_failover(seed, loss))
             .collect();
         times.sort_unstable();
         let part = |percent: usize| times[(times.len() - 1) * percent / 100];
--- a/crates/quorum/examples/schedules.rs
+++ b/crates/quorum/examples/schedules.rs
@@ -1,4 +1,4 @@
-//! Runs as many random schedules as asked: `schedules [COUNT] [FIRST]`.
+//! Runs random simulation schedules: `schedules [COUNT] [FIRST]`.
 
 #[path = "../tests/schedule/mod.rs"]
 mod schedule;
@@ -7,8 +7,8 @@
 
 use rayon::prelude::*;
 
-/// Failures that are printed.
-const SHOWN: usize = 10;
+/// Number of failures to print.
+const MAX_PRINTED_FAILURES: usize = 10;
 
 fn argument(at: usize, default: u64) -> u64 {
     std::env::args()
@@ -23,12 +23,15 @@
     let failed: Vec<(u64, String)> = (first..first + count)
         .into_par_iter()
         .filter_map(|number| {
-            let violation = schedule::world::run(schedule::schedule(number)).err()?;
-            Some((number, format!("{}: {}", violation.rule, violation.detail)))
+            let violation = schedule::simulation::run(schedule::schedule(number)).err()?;
+            Some((
+                number,
+                format!("{}: {}", violation.invariant, violation.detail),
+            ))
         })
         .collect();
     let seconds = start.elapsed().as_secs_f64();
-    for (number, what) in failed.iter().take(SHOWN) {
+    for (number, what) in failed.iter().take(MAX_PRINTED_FAILURES) {
         println!("schedule {number}: {what}");
     }
     let rate = f64::from(u32::try_from(count).unwrap_or(u32::MAX)) / seconds;
