--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -1,8 +1,8 @@
-//! One UDP packet between two processes that know each other's incarnation.
+//! Authenticated UDP datagrams between two processes that know each other's incarnation.
 //!
-//! A datagram names the life of its receiver, which the sender learned over a
-//! [`crate::link`]; so one that was recorded before the receiver restarted is
-//! refused, and a [`Window`] refuses one that was recorded since.
+//! A datagram carries the incarnation of its receiver, which the sender learned over a
+//! [`crate::link`]. A datagram recorded before the receiver restarted is therefore rejected; one
+//! recorded since is rejected by a [`ReplayWindow`].
 
 use std::collections::HashMap;
 
@@ -13,90 +13,91 @@
 
 use crate::hello::{Identity, Peer, VERSION};
 use crate::key::MAC_BYTES;
-use crate::window::Window;
+use crate::window::ReplayWindow;
 
-/// The largest datagram in bytes; it fits one Ethernet frame.
+/// Maximum datagram size in bytes; fits into one Ethernet frame.
 pub const LIMIT: usize = 1_400;
 
-/// What stands before the payload.
+/// The header that precedes the payload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// [`VERSION`] of the sender.
+    /// The sender's [`VERSION`].
     pub version: u8,
-    /// Its cluster.
+    /// The sender's cluster.
     pub cluster: u64,
-    /// The key that the code was made with.
+    /// ID of the key used for the message authentication code.
     pub key: u32,
-    /// The sender.
+    /// The sending process.
     pub from: Peer,
-    /// The receiver.
+    /// The receiving process.
     pub to: Peer,
-    /// Counts the datagrams of the sender's life to this receiver, from 1.
+    /// Sequence number of the datagram within the sender's incarnation and for this receiver, from
+    /// 1.
     pub counter: u64,
 }
 
-/// Why a datagram is dropped.
+/// Why a datagram is rejected.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum Error {
-    /// It is too long to send.
-    #[snafu(display("a datagram of {length} bytes is over the limit of {LIMIT}"))]
-    Long {
-        /// Its length in bytes.
+    /// The datagram is too long to send.
+    #[snafu(display("a datagram of {length} bytes exceeds the limit of {LIMIT} bytes"))]
+    TooLong {
+        /// Length of the datagram in bytes.
         length: usize,
     },
-    /// It is no datagram of ours.
-    #[snafu(display("not a datagram: {source}"))]
+    /// The header cannot be encoded or decoded.
+    #[snafu(display("invalid datagram header: {source}"))]
     Header {
-        /// Why.
+        /// The cause.
         source: postcard::Error,
     },
-    /// It is cut off, or another version.
-    #[snafu(display("a datagram that is cut off or has another version"))]
-    Garbage,
-    /// It belongs to another cluster.
-    #[snafu(display("a datagram of another cluster"))]
-    Cluster,
-    /// It was made with a key that is not known here.
+    /// The datagram is truncated or has another version.
+    #[snafu(display("a datagram that is truncated or not of version {VERSION}"))]
+    Malformed,
+    /// The sender belongs to another cluster.
+    #[snafu(display("a datagram from another cluster"))]
+    WrongCluster,
+    /// The key is not in this process's keyring.
     #[snafu(display("host {} uses a key that is not in the key file", from.host))]
-    Key {
-        /// Who it says it is.
+    UnknownKey {
+        /// The claimed sender, not authenticated.
         from: Peer,
     },
-    /// Its code is wrong.
-    #[snafu(display("a datagram that host {} did not seal", from.host))]
-    Forged {
-        /// Who it says it is.
+    /// The message authentication code is wrong.
+    #[snafu(display("a datagram claimed to be from host {} has a wrong authentication code", from.host))]
+    InvalidMac {
+        /// The claimed sender, not authenticated.
         from: Peer,
     },
-    /// It is for another host, or for an earlier life of this one.
-    #[snafu(display("a datagram of host {} for another life or host", from.host))]
-    Receiver {
-        /// The sender.
+    /// The datagram is addressed to another host or to another incarnation of this one.
+    #[snafu(display("a datagram from host {} for another host or incarnation", from.host))]
+    WrongReceiver {
+        /// The sending process.
         from: Peer,
     },
-    /// It was seen before, or its sender has restarted since.
-    #[snafu(display("a datagram of host {} that is repeated or too old", from.host))]
+    /// The datagram was received before or is too old, or its sender has restarted since.
+    #[snafu(display("a datagram from host {} is replayed or too old", from.host))]
     Replayed {
-        /// The sender.
+        /// The sending process.
         from: Peer,
     },
 }
 
-/// Seals what a process sends.
+/// Creates authenticated datagrams.
 #[derive(Debug, Default)]
 pub struct Sealer {
     counters: HashMap<HostId, u64>,
 }
 
 impl Sealer {
-    /// Seals one payload for a peer.
+    /// Creates a datagram with `payload` for a peer.
     ///
     /// # Errors
-    /// The payload is too long.
+    /// [`Error::TooLong`] if the datagram would exceed [`LIMIT`].
     pub fn seal(&mut self, identity: &Identity, to: Peer, payload: &[u8]) -> Result<Bytes, Error> {
         let counter = self.counters.entry(to.host).or_insert(0);
         *counter += 1;
-        let key = identity.keys.first();
+        let key = identity.keys.sending_key();
         let header = Header {
             version: VERSION,
             cluster: identity.cluster,
@@ -113,60 +114,65 @@
         let mac = key.mac(&[&out]);
         out.put_slice(&mac);
         let length = out.len();
-        ensure!(length <= LIMIT, LongSnafu { length });
+        ensure!(length <= LIMIT, TooLongSnafu { length });
         Ok(out.freeze())
     }
 }
 
-/// Opens what a process receives.
+/// Verifies received datagrams.
 #[derive(Debug, Default)]
 pub struct Opener {
     senders: HashMap<HostId, Sender>,
 }
 
-/// What is remembered of one sender.
+/// Replay protection state of one sender.
 #[derive(Debug, Default)]
 struct Sender {
     incarnation: Incarnation,
-    window: Window,
+    window: ReplayWindow,
 }
 
 impl Opener {
-    /// Checks one datagram and returns its sender and payload.
+    /// Verifies a datagram and returns its sender and payload.
     ///
     /// # Errors
-    /// It is not an authentic, fresh datagram for this life of this host.
+    /// Fails unless the datagram is authentic, not a replay, and addressed to this incarnation of
+    /// this host.
     pub fn open(&mut self, identity: &Identity, datagram: &[u8]) -> Result<(Peer, Bytes), Error> {
         let end = datagram
             .len()
             .checked_sub(MAC_BYTES)
-            .context(GarbageSnafu)?;
-        let (sealed, mac) = datagram.split_at(end);
+            .context(MalformedSnafu)?;
+        let (authenticated, mac) = datagram.split_at(end);
         let (header, payload): (Header, _) =
-            postcard::take_from_bytes(sealed).context(HeaderSnafu)?;
+            postcard::take_from_bytes(authenticated).context(HeaderSnafu)?;
         let from = header.from;
-        ensure!(header.version == VERSION, GarbageSnafu);
-        ensure!(header.cluster == identity.cluster, ClusterSnafu);
-        let key = identity.keys.find(header.key).context(KeySnafu { from })?;
-        ensure!(key.verify(&[sealed], mac), ForgedSnafu { from });
+        ensure!(header.version == VERSION, MalformedSnafu);
+        ensure!(header.cluster == identity.cluster, WrongClusterSnafu);
+        let key = identity
+            .keys
+            .find(header.key)
+            .context(UnknownKeySnafu { from })?;
+        ensure!(key.verify(&[authenticated], mac), InvalidMacSnafu { from });
         let me = Peer {
             host: identity.host,
             incarnation: identity.incarnation,
         };
-        ensure!(header.to == me, ReceiverSnafu { from });
-        ensure!(self.fresh(&header), ReplayedSnafu { from });
+        ensure!(header.to == me, WrongReceiverSnafu { from });
+        ensure!(self.accept_counter(&header), ReplayedSnafu { from });
         Ok((from, Bytes::copy_from_slice(payload)))
     }
 
-    /// Whether a datagram was not seen before.
-    fn fresh(&mut self, header: &Header) -> bool {
+    /// Records a datagram's counter. Returns whether it is new and not from an earlier incarnation
+    /// of the sender.
+    fn accept_counter(&mut self, header: &Header) -> bool {
         let sender = self.senders.entry(header.from.host).or_default();
         if header.from.incarnation < sender.incarnation {
             return false;
         }
         if header.from.incarnation > sender.incarnation {
             sender.incarnation = header.from.incarnation;
-            sender.window = Window::default();
+            sender.window = ReplayWindow::default();
         }
         sender.window.accept(header.counter)
     }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! A payload with its length before it and its code behind it.
+//! Framing on a link: length prefix, payload, message authentication code.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use snafu::{Snafu, ensure};
@@ -6,36 +6,40 @@
 
 use crate::key::{Key, MAC_BYTES};
 
-/// The largest payload in bytes.
-pub const LIMIT: usize = 16 << 20;
+/// Maximum payload size in bytes.
+pub const MAX_PAYLOAD_BYTES: usize = 16 << 20;
 
-/// Bytes of the length before a payload.
+/// Size of the length prefix.
 const LENGTH_BYTES: usize = 4;
 
-/// Why a frame is refused; the link is closed then.
+/// Why a frame is rejected. The link must then be closed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The payload is over the limit.
-    #[snafu(display("a frame of {length} bytes is over the limit of {LIMIT}"))]
-    Long {
-        /// Its length in bytes.
+    /// The payload exceeds [`MAX_PAYLOAD_BYTES`].
+    #[snafu(display(
+        "a frame payload of {length} bytes exceeds the limit of {MAX_PAYLOAD_BYTES} bytes"
+    ))]
+    TooLong {
+        /// Length of the payload in bytes.
         length: usize,
     },
-    /// The code is wrong: another key, a changed, repeated or reordered frame.
-    #[snafu(display("the code of frame {counter} is wrong"))]
-    Forged {
-        /// The number of the frame on its link and direction.
+    /// The message authentication code is wrong, because of another key or because the frame was
+    /// altered, repeated or reordered.
+    #[snafu(display("frame {counter} has a wrong authentication code"))]
+    InvalidMac {
+        /// Expected sequence number of the frame in its direction of the link.
         counter: u64,
     },
     /// The connection failed.
     #[snafu(display("the connection failed: {source}"), context(false))]
     Io {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
 }
 
-/// Frames of one direction of a link, each bound to its place by a counter.
+/// Encodes or decodes the frames of one direction of a link. A counter that is part of the
+/// authentication code binds each frame to its position.
 #[derive(Debug)]
 pub struct Codec {
     key: Key,
@@ -53,21 +57,21 @@
     type Error = Error;
 
     fn decode(&mut self, source: &mut BytesMut) -> Result<Option<Bytes>, Error> {
-        let Some(head) = source.first_chunk::<LENGTH_BYTES>() else {
+        let Some(prefix) = source.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
-        let length = usize::try_from(u32::from_be_bytes(*head)).unwrap_or(usize::MAX);
-        ensure!(length <= LIMIT, LongSnafu { length });
-        let whole = LENGTH_BYTES + length + MAC_BYTES;
-        if source.len() < whole {
+        let length = usize::try_from(u32::from_be_bytes(*prefix)).unwrap_or(usize::MAX);
+        ensure!(length <= MAX_PAYLOAD_BYTES, TooLongSnafu { length });
+        let frame_length = LENGTH_BYTES + length + MAC_BYTES;
+        if source.len() < frame_length {
             return Ok(None);
         }
         source.advance(LENGTH_BYTES);
         let payload = source.split_to(length).freeze();
         let mac = source.split_to(MAC_BYTES);
         let counter = self.counter;
-        let right = self.key.verify(&[&counter.to_be_bytes(), &payload], &mac);
-        ensure!(right, ForgedSnafu { counter });
+        let valid = self.key.verify(&[&counter.to_be_bytes(), &payload], &mac);
+        ensure!(valid, InvalidMacSnafu { counter });
         self.counter += 1;
         Ok(Some(payload))
     }
@@ -78,7 +82,7 @@
 
     fn encode(&mut self, payload: Bytes, out: &mut BytesMut) -> Result<(), Error> {
         let length = payload.len();
-        ensure!(length <= LIMIT, LongSnafu { length });
+        ensure!(length <= MAX_PAYLOAD_BYTES, TooLongSnafu { length });
         out.reserve(LENGTH_BYTES + length + MAC_BYTES);
         out.put_u32(u32::try_from(length).unwrap_or(u32::MAX));
         out.put_slice(&payload);
--- a/crates/wire/src/hello.rs
+++ b/crates/wire/src/hello.rs
@@ -1,4 +1,4 @@
-//! The first message of each side of a link.
+//! The unauthenticated first message of each side of a link.
 
 use std::net::SocketAddr;
 
@@ -7,25 +7,25 @@
 
 use crate::key::Keyring;
 
-/// The version of the frames; both sides must have the same.
+/// Protocol version; both sides must have the same.
 pub const VERSION: u8 = 3;
 
-/// Who a process is towards its peers.
+/// The identity of this process towards its peers.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// The cluster, see [`cluster`].
+    /// The cluster ID, see [`cluster`].
     pub cluster: u64,
-    /// The host's number.
+    /// The host ID.
     pub host: HostId,
-    /// The life of the process.
+    /// The incarnation of the process; changes with each restart.
     pub incarnation: Incarnation,
-    /// Where peers reach it, over UDP and TCP.
+    /// The address at which peers reach this process over UDP and TCP.
     pub address: SocketAddr,
-    /// The keys it accepts.
+    /// The accepted keys.
     pub keys: Keyring,
 }
 
-/// The number of a cluster, from its name.
+/// Derives a cluster ID from the cluster's name.
 ///
 /// ```
 /// use cornelhitch_wire::hello::cluster;
@@ -40,34 +40,34 @@
     u64::from_le_bytes(number)
 }
 
-/// The other side of a link.
+/// A process of the cluster: host and incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its number.
+    /// The host ID.
     pub host: HostId,
-    /// Its life.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
 }
 
-/// The first message of each side; its length in one byte stands before it.
+/// The first message of each side, preceded on the wire by its length in one byte.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// [`VERSION`] of the sender.
+    /// The sender's [`VERSION`].
     pub version: u8,
-    /// Its cluster.
+    /// The sender's cluster.
     pub cluster: u64,
-    /// Who it is.
+    /// The sender.
     pub peer: Peer,
-    /// Where peers reach it; the host part may be unspecified.
+    /// The address at which peers reach the sender; the IP address may be unspecified.
     pub address: SocketAddr,
-    /// The key it sends with.
+    /// ID of the key that the sender uses.
     pub key: u32,
-    /// Fresh for each link, so that no old link can be played again.
+    /// Random for each link, so that a recorded link cannot be replayed.
     pub nonce: [u8; 16],
 }
 
 impl Hello {
-    /// The hello of a new link.
+    /// Creates the hello for a new link, with a random nonce.
     #[must_use]
     pub fn new(identity: &Identity, key: u32) -> Self {
         Self {
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Where to reach the sender, whose connection comes from `remote`.
+    /// Returns the address at which to reach the sender, whose connection comes from `remote`.
     ///
-    /// A process that listens on all addresses of its machine cannot tell which
-    /// of them is reached from here: then it is the one that it connects from.
+    /// A process that listens on all addresses of its machine cannot tell which of them is
+    /// reachable from here; in that case the address that it connects from is used.
     #[must_use]
-    pub fn reached(&self, remote: SocketAddr) -> SocketAddr {
+    pub fn reachable_address(&self, remote: SocketAddr) -> SocketAddr {
         if self.address.ip().is_unspecified() {
             SocketAddr::new(remote.ip(), self.address.port())
         } else {
--- a/crates/wire/src/key.rs
+++ b/crates/wire/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys that the processes of a cluster share.
+//! Keys shared by the processes of a cluster.
 
 use std::fmt;
 use std::ops::Deref;
@@ -6,22 +6,22 @@
 
 use snafu::{Snafu, ensure};
 
-/// The shortest secret in bytes.
-pub const SHORTEST: usize = 16;
+/// Minimum length of a secret in bytes.
+pub const MIN_SECRET_BYTES: usize = 16;
 
-/// Separates these keys from other uses of the same secret.
+/// Key derivation context: separates these keys from other uses of the same secret.
 const CONTEXT: &str = "cornelhitch 2026-12 peer key";
 
-/// Bytes of a message authentication code on the wire.
+/// Size of a message authentication code on the wire.
 pub const MAC_BYTES: usize = 16;
 
-/// A message authentication code: keyed BLAKE3, cut to 128 bits.
+/// A message authentication code: keyed BLAKE3 truncated to 128 bits.
 pub type Mac = [u8; MAC_BYTES];
 
-/// One shared key.
+/// A shared key.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key {
-    /// A short id, so that a receiver finds the key among several.
+    /// A short ID by which a receiver finds the key in its keyring.
     pub id: u32,
     secret: [u8; 32],
 }
@@ -35,7 +35,7 @@
 }
 
 impl Key {
-    /// Derives a key from a secret.
+    /// Derives a key and its ID from a secret.
     #[must_use]
     pub fn new(secret: &[u8]) -> Self {
         let secret = blake3::derive_key(CONTEXT, secret);
@@ -48,9 +48,9 @@
         }
     }
 
-    /// Derives the key of one session and direction.
+    /// Derives the key for one direction of a session.
     #[must_use]
-    pub fn session(&self, transcript: &[u8], direction: u8) -> Self {
+    pub fn session_key(&self, transcript: &[u8], direction: u8) -> Self {
         let mut hasher = blake3::Hasher::new_keyed(&self.secret);
         hasher.update(&[direction]);
         hasher.update(transcript);
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The code of some parts, one after another.
+    /// Computes the message authentication code of the concatenated parts.
     #[must_use]
     pub fn mac(&self, parts: &[&[u8]]) -> Mac {
         let mut hasher = blake3::Hasher::new_keyed(&self.secret);
@@ -72,7 +72,7 @@
         mac
     }
 
-    /// Whether a code is right, compared in constant time.
+    /// Verifies a message authentication code in constant time.
     #[must_use]
     pub fn verify(&self, parts: &[&[u8]], mac: &[u8]) -> bool {
         use subtle::ConstantTimeEq;
@@ -80,37 +80,39 @@
     }
 }
 
-/// The keys that are accepted; the first one is used to send.
+/// The accepted keys, never empty; the first one is used for sending.
 ///
-/// A key is rotated in three steps: add the new one last everywhere, move it
-/// to the front everywhere, remove the old one everywhere.
+/// To rotate a key, complete each step on all hosts before the next: append the new key, move it to
+/// the front, remove the old key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Keyring(Vec<Key>);
 
-/// Why a key file is refused.
+/// Why a key file is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// No key at all.
-    #[snafu(display("the key file has no key"))]
+    /// The file contains no key.
+    #[snafu(display("the key file contains no key"))]
     Empty,
-    /// A secret is too short.
-    #[snafu(display("line {line}: the secret has {length} bytes, at least {SHORTEST} are needed"))]
-    Short {
-        /// The line, from 1.
+    /// A secret is shorter than [`MIN_SECRET_BYTES`].
+    #[snafu(display(
+        "line {line}: the secret has {length} bytes, expected at least {MIN_SECRET_BYTES}"
+    ))]
+    TooShort {
+        /// Line number, from 1.
         line: usize,
-        /// Its length in bytes.
+        /// Length of the secret in bytes.
         length: usize,
     },
 }
 
 impl Keyring {
-    /// The key to send with.
+    /// The key used for sending.
     #[must_use]
-    pub fn first(&self) -> &Key {
+    pub fn sending_key(&self) -> &Key {
         &self.0[0]
     }
 
-    /// The key of that id.
+    /// Returns the key with an ID; `None` if it is not accepted.
     #[must_use]
     pub fn find(&self, id: u32) -> Option<&Key> {
         self.0.iter().find(|key| key.id == id)
@@ -136,8 +138,8 @@
                 continue;
             }
             ensure!(
-                secret.len() >= SHORTEST,
-                ShortSnafu {
+                secret.len() >= MIN_SECRET_BYTES,
+                TooShortSnafu {
                     line: index + 1,
                     length: secret.len()
                 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,8 @@
 //! Frames and authenticated transport between cornelhitch processes.
 //!
-//! Two ways carry frames. A [`link::Link`] is a TCP connection on which both
-//! sides proved that they hold a shared key; a [`datagram`] is one UDP packet.
-//! Both are authenticated with keyed BLAKE3 and refuse replays. The payload is
-//! opaque here.
+//! There are two transports. A [`link::Link`] is a TCP connection on which both sides have proved
+//! that they hold a shared key; a [`datagram`] is a single UDP packet. Both authenticate every
+//! payload with keyed BLAKE3 and reject replays. Neither encrypts or interprets the payload.
 //!
 //! ```
 //! use cornelhitch_wire::key::Keyring;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,4 +1,4 @@
-//! A TCP connection between two processes that proved to hold the same key.
+//! Authenticated TCP connections between two processes that hold the same key.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -14,167 +14,175 @@
 use crate::frame::{self, Codec};
 use crate::hello::{Hello, Identity, Peer, VERSION};
 
-/// How long the two hellos may take.
-pub const HANDSHAKE: Duration = Duration::from_secs(3);
+/// Time limit for connecting, and again for the handshake.
+pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The direction from the side that connected.
-const DIALLED: u8 = 1;
+/// Direction from the side that connected.
+const DIALER_TO_ACCEPTOR: u8 = 1;
 
-/// The direction from the side that accepted.
-const ACCEPTED: u8 = 2;
+/// Direction from the side that accepted.
+const ACCEPTOR_TO_DIALER: u8 = 2;
 
-/// What the two sides prove to each other right after the hellos.
+/// Payload of the first frame in each direction; its authentication code proves possession of the
+/// key.
 const PROOF: &[u8] = b"cornelhitch";
 
-/// Why there is no link.
+/// Why a link could not be established.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The address cannot be reached.
-    #[snafu(display("{address} cannot be reached: {source}"))]
+    /// Connecting failed.
+    #[snafu(display("cannot connect to {address}: {source}"))]
     Connect {
-        /// The address.
+        /// The peer's address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The other side was silent.
-    #[snafu(display("the hello took longer than {HANDSHAKE:?}"))]
+    /// Connecting or the handshake took longer than [`HANDSHAKE_TIMEOUT`].
+    #[snafu(display("connecting or the handshake took longer than {HANDSHAKE_TIMEOUT:?}"))]
     Timeout,
-    /// The connection failed or was closed before the hello.
-    #[snafu(display("the connection failed before the hello: {source}"))]
+    /// The connection failed or was closed during the handshake.
+    #[snafu(display("the connection failed during the handshake: {source}"))]
     Io {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A frame was refused.
+    /// Sending the proof failed.
     #[snafu(display("{source}"), context(false))]
     Frame {
-        /// Why.
+        /// The cause.
         source: frame::Error,
     },
-    /// The first bytes are no hello.
-    #[snafu(display("the first frame is no hello: {source}"))]
-    Hello {
-        /// Why.
+    /// The hello cannot be encoded or decoded.
+    #[snafu(display("invalid hello: {source}"))]
+    InvalidHello {
+        /// The cause.
         source: postcard::Error,
     },
-    /// The other side speaks another version.
-    #[snafu(display("the peer has version {found} of the frames, this process {VERSION}"))]
-    Version {
-        /// Its version.
+    /// The peer has another protocol version.
+    #[snafu(display("expected protocol version {VERSION}, but the peer has version {found}"))]
+    VersionMismatch {
+        /// The peer's version.
         found: u8,
     },
-    /// The other side belongs to another cluster.
+    /// The peer belongs to another cluster.
     #[snafu(display("host {} belongs to another cluster", peer.host))]
-    Cluster {
-        /// Who it says it is.
+    WrongCluster {
+        /// The claimed peer, not authenticated.
         peer: Peer,
     },
-    /// The other side uses a key that is not known here.
+    /// The peer uses a key that is not in this process's keyring.
     #[snafu(display("host {} uses a key that is not in the key file", peer.host))]
-    Key {
-        /// Who it says it is.
+    UnknownKey {
+        /// The claimed peer, not authenticated.
         peer: Peer,
     },
-    /// The other side does not hold the key.
+    /// The peer did not prove that it holds the key.
     #[snafu(display("host {} did not prove that it holds the key", peer.host))]
-    Proof {
-        /// Who it says it is.
+    ProofFailed {
+        /// The claimed peer, not authenticated.
         peer: Peer,
     },
 }
 
-/// An authenticated connection.
+/// An authenticated connection to a peer.
 #[derive(Debug)]
 pub struct Link {
-    /// The other side.
+    /// The peer.
     pub peer: Peer,
-    /// Where peers reach it, as it told under its key.
+    /// The address at which the peer is reached, authenticated as part of the handshake.
     pub address: SocketAddr,
-    /// For sending.
+    /// The sending half.
     pub sender: Sender,
-    /// For receiving.
+    /// The receiving half.
     pub receiver: Receiver,
 }
 
-/// The sending half.
+/// The sending half of a link.
 #[derive(Debug)]
 pub struct Sender(FramedWrite<OwnedWriteHalf, Codec>);
 
-/// The receiving half.
+/// The receiving half of a link.
 #[derive(Debug)]
 pub struct Receiver(FramedRead<OwnedReadHalf, Codec>);
 
 impl Sender {
-    /// Sends one payload and flushes.
+    /// Sends a payload and flushes.
     ///
     /// # Errors
-    /// The connection failed, or the payload is over the limit.
+    /// Fails if the connection failed or the payload exceeds [`frame::MAX_PAYLOAD_BYTES`].
     pub async fn send(&mut self, payload: Bytes) -> Result<(), frame::Error> {
         self.0.send(payload).await
     }
 
-    /// Queues one payload; it leaves with the next flush or when the buffer is full.
+    /// Buffers a payload; it is sent on the next flush or when the buffer is full.
     ///
     /// # Errors
-    /// The connection failed, or the payload is over the limit.
+    /// Fails if the connection failed or the payload exceeds [`frame::MAX_PAYLOAD_BYTES`].
     pub async fn feed(&mut self, payload: Bytes) -> Result<(), frame::Error> {
         self.0.feed(payload).await
     }
 
-    /// Sends what is queued.
+    /// Sends all buffered payloads.
     ///
     /// # Errors
-    /// The connection failed.
+    /// Fails if the connection failed.
     pub async fn flush(&mut self) -> Result<(), frame::Error> {
         SinkExt::<Bytes>::flush(&mut self.0).await
     }
 }
 
 impl Receiver {
-    /// The next payload, or none once the other side closed the link.
+    /// Returns the next payload, or `None` once the peer has closed the link.
     ///
     /// # Errors
-    /// The connection failed, or a frame was refused.
+    /// Fails if the connection failed or a frame is rejected.
     pub async fn next(&mut self) -> Result<Option<Bytes>, frame::Error> {
         self.0.next().await.transpose()
     }
 }
 
-/// Connects to a peer.
+/// Connects to a peer and performs the handshake.
 ///
 /// # Errors
-/// The peer is not there, or does not prove to hold a key of this cluster.
+/// Fails if the peer cannot be reached or does not prove that it holds a key of this cluster.
 pub async fn dial(address: SocketAddr, identity: &Identity) -> Result<Link, Error> {
     dial_from(None, address, identity).await
 }
 
-/// Connects to a peer from one of this host's own addresses.
+/// Connects to a peer like [`dial`], from the given local address if any.
 ///
 /// # Errors
-/// The peer is not there, or does not prove to hold a key of this cluster.
+/// Fails if the peer cannot be reached or does not prove that it holds a key of this cluster.
 pub async fn dial_from(
     local: Option<IpAddr>,
     address: SocketAddr,
     identity: &Identity,
 ) -> Result<Link, Error> {
-    let connected = tokio::time::timeout(HANDSHAKE, connect(local, address)).await;
+    let connected = tokio::time::timeout(HANDSHAKE_TIMEOUT, connect(local, address)).await;
     let mut stream = connected
         .ok()
         .context(TimeoutSnafu)?
         .context(ConnectSnafu { address })?;
-    let work = async {
-        let mine = Hello::new(identity, identity.keys.first().id);
-        let sent = say(&mut stream, &mine).await?;
-        let (theirs, received) = hear(&mut stream, identity).await?;
+    let handshake = async {
+        let own_hello = Hello::new(identity, identity.keys.sending_key().id);
+        let sent = send_hello(&mut stream, &own_hello).await?;
+        let (peer_hello, received) = receive_hello(&mut stream, identity).await?;
         let transcript = [&sent[..], &received[..]].concat();
-        seal(stream, identity, &theirs, &transcript, DIALLED).await
+        authenticate(
+            stream,
+            identity,
+            &peer_hello,
+            &transcript,
+            DIALER_TO_ACCEPTOR,
+        )
+        .await
     };
-    let limited = tokio::time::timeout(HANDSHAKE, work).await;
-    limited.ok().context(TimeoutSnafu)?
+    let result = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await;
+    result.ok().context(TimeoutSnafu)?
 }
 
-/// Opens a connection, from one of this host's own addresses if that matters.
+/// Opens a TCP connection, from the given local address if any.
 async fn connect(local: Option<IpAddr>, address: SocketAddr) -> std::io::Result<TcpStream> {
     let Some(local) = local else {
         return TcpStream::connect(address).await;
@@ -187,66 +195,83 @@
     socket.connect(address).await
 }
 
-/// Takes a connection that a peer opened.
+/// Performs the handshake on a connection opened by a peer.
 ///
 /// # Errors
-/// The peer does not prove to hold a key of this cluster.
+/// Fails if the peer does not prove that it holds a key of this cluster.
 pub async fn accept(mut stream: TcpStream, identity: &Identity) -> Result<Link, Error> {
-    let work = async {
-        let (theirs, received) = hear(&mut stream, identity).await?;
-        let mine = Hello::new(identity, theirs.key);
-        let sent = say(&mut stream, &mine).await?;
+    let handshake = async {
+        let (peer_hello, received) = receive_hello(&mut stream, identity).await?;
+        let own_hello = Hello::new(identity, peer_hello.key);
+        let sent = send_hello(&mut stream, &own_hello).await?;
         let transcript = [&received[..], &sent[..]].concat();
-        seal(stream, identity, &theirs, &transcript, ACCEPTED).await
+        authenticate(
+            stream,
+            identity,
+            &peer_hello,
+            &transcript,
+            ACCEPTOR_TO_DIALER,
+        )
+        .await
     };
-    let limited = tokio::time::timeout(HANDSHAKE, work).await;
-    limited.ok().context(TimeoutSnafu)?
+    let result = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await;
+    result.ok().context(TimeoutSnafu)?
 }
 
-/// Sends a hello and returns its bytes.
-async fn say(stream: &mut TcpStream, hello: &Hello) -> Result<Vec<u8>, Error> {
+/// Sends a hello and returns its encoded bytes.
+async fn send_hello(stream: &mut TcpStream, hello: &Hello) -> Result<Vec<u8>, Error> {
     stream.set_nodelay(true).context(IoSnafu)?;
-    let bytes = postcard::to_stdvec(hello).context(HelloSnafu)?;
+    let bytes = postcard::to_stdvec(hello).context(InvalidHelloSnafu)?;
     let length = u8::try_from(bytes.len()).unwrap_or(u8::MAX);
     let packet = [&[length], &bytes[..]].concat();
     stream.write_all(&packet).await.context(IoSnafu)?;
     Ok(bytes)
 }
 
-/// Receives the other side's hello, checks it, and returns it with its bytes.
+/// Receives and checks the peer's hello and returns it with its encoded bytes.
 ///
-/// Reads no byte beyond it; those belong to the sealed frames.
-async fn hear(stream: &mut TcpStream, identity: &Identity) -> Result<(Hello, Vec<u8>), Error> {
+/// Reads nothing beyond the hello, since the following bytes belong to authenticated frames.
+async fn receive_hello(
+    stream: &mut TcpStream,
+    identity: &Identity,
+) -> Result<(Hello, Vec<u8>), Error> {
     let length = stream.read_u8().await.context(IoSnafu)?;
     let mut bytes = vec![0; usize::from(length)];
     stream.read_exact(&mut bytes).await.context(IoSnafu)?;
-    let hello: Hello = postcard::from_bytes(&bytes).context(HelloSnafu)?;
+    let hello: Hello = postcard::from_bytes(&bytes).context(InvalidHelloSnafu)?;
     let (found, peer) = (hello.version, hello.peer);
-    ensure!(found == VERSION, VersionSnafu { found });
-    ensure!(hello.cluster == identity.cluster, ClusterSnafu { peer });
+    ensure!(found == VERSION, VersionMismatchSnafu { found });
+    ensure!(
+        hello.cluster == identity.cluster,
+        WrongClusterSnafu { peer }
+    );
     Ok((hello, bytes))
 }
 
-/// Turns the hellos into a link once both sides proved that they hold the key.
-async fn seal(
+/// Exchanges proofs under session keys derived from both hellos and returns the link if the peer
+/// holds the key.
+async fn authenticate(
     stream: TcpStream,
     identity: &Identity,
-    theirs: &Hello,
+    peer_hello: &Hello,
     transcript: &[u8],
-    side: u8,
+    outgoing_direction: u8,
 ) -> Result<Link, Error> {
-    let peer = theirs.peer;
-    let key = identity.keys.find(theirs.key).context(KeySnafu { peer })?;
-    let other = DIALLED + ACCEPTED - side;
-    let address = theirs.reached(stream.peer_addr().context(IoSnafu)?);
+    let peer = peer_hello.peer;
+    let key = identity
+        .keys
+        .find(peer_hello.key)
+        .context(UnknownKeySnafu { peer })?;
+    let incoming_direction = DIALER_TO_ACCEPTOR + ACCEPTOR_TO_DIALER - outgoing_direction;
+    let address = peer_hello.reachable_address(stream.peer_addr().context(IoSnafu)?);
     let (read, write) = stream.into_split();
-    let incoming = Codec::from(key.session(transcript, other));
-    let outgoing = Codec::from(key.session(transcript, side));
+    let incoming = Codec::from(key.session_key(transcript, incoming_direction));
+    let outgoing = Codec::from(key.session_key(transcript, outgoing_direction));
     let mut sender = Sender(FramedWrite::new(write, outgoing));
     let mut receiver = Receiver(FramedRead::new(read, incoming));
     sender.send(Bytes::from_static(PROOF)).await?;
     let proof = receiver.next().await.ok().flatten();
-    ensure!(proof.as_deref() == Some(PROOF), ProofSnafu { peer });
+    ensure!(proof.as_deref() == Some(PROOF), ProofFailedSnafu { peer });
     Ok(Link {
         peer,
         address,
--- a/crates/wire/src/prelude.rs
+++ b/crates/wire/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for a glob import.
+//! Re-exports of common types for glob imports.
 
 pub use crate::hello::Identity;
 pub use crate::key::Keyring;
--- a/crates/wire/src/window.rs
+++ b/crates/wire/src/window.rs
@@ -1,40 +1,45 @@
-//! Which numbers were seen before, after the anti-replay window of RFC 4303.
+//! Replay protection with a sliding window of sequence numbers, as in RFC 4303.
 
-/// Numbers that the window reaches back.
+/// Size of the window in sequence numbers.
 const WIDTH: u64 = 64;
 
-/// The newest numbers of one sender, each accepted once.
+/// The most recent sequence numbers of one sender; each is accepted once.
 ///
 /// ```
-/// use cornelhitch_wire::window::Window;
+/// use cornelhitch_wire::window::ReplayWindow;
 ///
-/// let mut window = Window::default();
+/// let mut window = ReplayWindow::default();
 /// assert!(window.accept(7));
 /// assert!(!window.accept(7));
 /// ```
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Window {
-    newest: u64,
-    seen: u64,
+pub struct ReplayWindow {
+    highest: u64,
+    accepted_mask: u64,
 }
 
-impl Window {
-    /// Whether a number is new; it is not from then on. Numbers start from 1.
+impl ReplayWindow {
+    /// Records a sequence number. Returns `false` if it was accepted before, is too old for the
+    /// window, or is 0; numbers start at 1.
     pub fn accept(&mut self, number: u64) -> bool {
-        if number > self.newest {
-            let step = number - self.newest;
-            self.seen = if step < WIDTH { self.seen << step } else { 0 };
-            self.seen |= 1;
-            self.newest = number;
+        if number > self.highest {
+            let shift = number - self.highest;
+            self.accepted_mask = if shift < WIDTH {
+                self.accepted_mask << shift
+            } else {
+                0
+            };
+            self.accepted_mask |= 1;
+            self.highest = number;
             return true;
         }
-        let back = self.newest - number;
-        if back >= WIDTH || number == 0 {
+        let age = self.highest - number;
+        if age >= WIDTH || number == 0 {
             return false;
         }
-        let bit = 1 << back;
-        let fresh = self.seen & bit == 0;
-        self.seen |= bit;
-        fresh
+        let bit = 1 << age;
+        let is_new = self.accepted_mask & bit == 0;
+        self.accepted_mask |= bit;
+        is_new
     }
 }
--- a/crates/wire/tests/datagram.rs
+++ b/crates/wire/tests/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams: what is accepted, and what is dropped for which reason.
+//! Tests of datagram verification.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use cornelhitch_wire::hello::{Identity, Peer, cluster};
 use proptest::prelude::*;
 
-/// An identity with the keys named.
+/// An identity with the given cluster name and keys.
 fn identity(host: u64, incarnation: u64, name: &str, keys: &str) -> Identity {
     Identity {
         cluster: cluster(name),
@@ -22,21 +22,21 @@
 const BOTH: &str = "the new secret of peers\nthe old secret of peers";
 const NEW: &str = "the new secret of peers";
 
-/// One datagram from host 1 to life 5 of host 2, and what host 2 makes of it.
-struct Row {
+/// A datagram from host 1 to incarnation 5 of host 2, and whether host 2 accepts it.
+struct Case {
     name: &'static str,
     cluster: &'static str,
     sender: &'static str,
     receiver: &'static str,
     to: Peer,
-    /// The byte that is changed on the way.
+    /// Index of the byte altered in transit.
     changed: Option<usize>,
-    /// Bytes that are cut from the end.
-    cut: usize,
+    /// Number of bytes removed from the end.
+    truncated_by: usize,
     accepted: bool,
 }
 
-const RIGHT: Row = Row {
+const VALID: Case = Case {
     name: "as sent",
     cluster: "co-op",
     sender: OLD,
@@ -46,12 +46,12 @@
         incarnation: 5,
     },
     changed: None,
-    cut: 0,
+    truncated_by: 0,
     accepted: true,
 };
 
 #[test]
-fn each_row_is_accepted_or_dropped() {
+fn only_authentic_datagrams_for_this_incarnation_are_accepted() {
     let earlier = Peer {
         host: 2,
         incarnation: 4,
@@ -61,38 +61,38 @@
         incarnation: 5,
     };
     #[rustfmt::skip]
-    let rows = [
-        RIGHT,
-        Row { name: "rotation: receiver has both", receiver: BOTH, ..RIGHT },
-        Row { name: "rotation: sender moved on", sender: BOTH, receiver: BOTH, ..RIGHT },
-        Row { name: "unknown key", sender: NEW, accepted: false, ..RIGHT },
-        Row { name: "other cluster", cluster: "office", accepted: false, ..RIGHT },
-        Row { name: "earlier life", to: earlier, accepted: false, ..RIGHT },
-        Row { name: "other host", to: other, accepted: false, ..RIGHT },
-        Row { name: "changed payload", changed: Some(60), accepted: false, ..RIGHT },
-        Row { name: "changed header", changed: Some(0), accepted: false, ..RIGHT },
-        Row { name: "cut off", cut: 3, accepted: false, ..RIGHT },
-        Row { name: "almost nothing left", cut: 75, accepted: false, ..RIGHT },
+    let cases = [
+        VALID,
+        Case { name: "rotation: receiver has both", receiver: BOTH, ..VALID },
+        Case { name: "rotation: sender already has both", sender: BOTH, receiver: BOTH, ..VALID },
+        Case { name: "unknown key", sender: NEW, accepted: false, ..VALID },
+        Case { name: "other cluster", cluster: "office", accepted: false, ..VALID },
+        Case { name: "earlier incarnation", to: earlier, accepted: false, ..VALID },
+        Case { name: "other host", to: other, accepted: false, ..VALID },
+        Case { name: "changed payload", changed: Some(60), accepted: false, ..VALID },
+        Case { name: "changed header", changed: Some(0), accepted: false, ..VALID },
+        Case { name: "truncated", truncated_by: 3, accepted: false, ..VALID },
+        Case { name: "truncated to almost nothing", truncated_by: 75, accepted: false, ..VALID },
     ];
-    for row in rows {
-        let from = identity(1, 9, row.cluster, row.sender);
-        let to = identity(2, 5, "co-op", row.receiver);
+    for case in cases {
+        let from = identity(1, 9, case.cluster, case.sender);
+        let to = identity(2, 5, "co-op", case.receiver);
         let payload = [7; 64];
-        let sealed = Sealer::default().seal(&from, row.to, &payload);
+        let sealed = Sealer::default().seal(&from, case.to, &payload);
         let mut datagram = sealed.expect("seal").to_vec();
-        if let Some(place) = row.changed {
-            datagram[place] ^= 1;
+        if let Some(position) = case.changed {
+            datagram[position] ^= 1;
         }
-        datagram.truncate(datagram.len() - row.cut);
+        datagram.truncate(datagram.len() - case.truncated_by);
         let opened = Opener::default().open(&to, &datagram);
-        assert_eq!(opened.is_ok(), row.accepted, "{}: {opened:?}", row.name);
+        assert_eq!(opened.is_ok(), case.accepted, "{}: {opened:?}", case.name);
     }
 }
 
 #[test]
-fn a_repeated_datagram_and_an_earlier_life_are_refused() {
+fn replayed_datagrams_and_earlier_incarnations_are_rejected() {
     let to = identity(2, 5, "co-op", OLD);
-    let peer = RIGHT.to;
+    let peer = VALID.to;
     let mut opener = Opener::default();
     let old = Sealer::default()
         .seal(&identity(1, 8, "co-op", OLD), peer, b"old")
@@ -108,34 +108,34 @@
 }
 
 #[test]
-fn too_long_a_payload_is_refused() {
+fn oversized_payload_is_rejected() {
     let from = identity(1, 9, "co-op", OLD);
-    let sealed = Sealer::default().seal(&from, RIGHT.to, &[0; 1_400]);
-    assert!(matches!(sealed, Err(Error::Long { .. })));
+    let sealed = Sealer::default().seal(&from, VALID.to, &[0; 1_400]);
+    assert!(matches!(sealed, Err(Error::TooLong { .. })));
 }
 
 proptest! {
-    /// Whatever comes in is dropped, without a panic.
+    /// Arbitrary bytes are rejected without a panic.
     #[test]
-    fn garbage_is_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..2_000)) {
+    fn arbitrary_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..2_000)) {
         let to = identity(2, 5, "co-op", OLD);
         prop_assert!(Opener::default().open(&to, &bytes).is_err());
     }
 
-    /// In any order and with any repeats, each datagram is opened at most once.
+    /// In any order and with any repetitions, each datagram is accepted exactly once.
     #[test]
-    fn each_is_opened_once(order in proptest::collection::vec(0..20_usize, 0..60)) {
+    fn each_datagram_is_accepted_once(order in proptest::collection::vec(0..20_usize, 0..60)) {
         let from = identity(1, 9, "co-op", OLD);
         let to = identity(2, 5, "co-op", OLD);
         let mut sealer = Sealer::default();
         let sealed: Vec<Bytes> = (0..20_u8)
-            .map(|n| sealer.seal(&from, RIGHT.to, &[n]).expect("seal"))
+            .map(|n| sealer.seal(&from, VALID.to, &[n]).expect("seal"))
             .collect();
         let mut opener = Opener::default();
         let mut seen = std::collections::BTreeSet::new();
-        for place in order {
-            let result = opener.open(&to, &sealed[place]);
-            prop_assert_eq!(result.is_ok(), seen.insert(place));
+        for index in order {
+            let result = opener.open(&to, &sealed[index]);
+            prop_assert_eq!(result.is_ok(), seen.insert(index));
         }
     }
 }
--- a/crates/wire/tests/link.rs
+++ b/crates/wire/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links: who gets one, and what is refused on it.
+//! Tests of link establishment and frame verification.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// An identity of a cluster with the keys named.
+/// An identity with the given cluster name and keys.
 fn identity(host: u64, name: &str, keys: &str) -> Identity {
     Identity {
         cluster: cluster(name),
@@ -23,7 +23,7 @@
     }
 }
 
-/// Both ends of a link, or why there is none.
+/// Connects two identities; returns the result of each side.
 async fn pair(
     dials: Identity,
     accepts: Identity,
@@ -43,44 +43,44 @@
 const BA: &str = "the new secret of peers\nthe old secret of peers";
 
 #[tokio::test]
-async fn only_holders_of_a_shared_key_get_a_link() {
-    let rows = [
+async fn link_requires_a_shared_key_and_cluster() {
+    let cases = [
         ("same key", "co-op", A, "co-op", A, true),
-        ("rotation, dialler behind", "co-op", AB, "co-op", BA, true),
-        ("rotation, dialler ahead", "co-op", BA, "co-op", AB, true),
+        ("rotation, dialer behind", "co-op", AB, "co-op", BA, true),
+        ("rotation, dialer ahead", "co-op", BA, "co-op", AB, true),
         ("other key", "co-op", A, "co-op", B, false),
         ("other cluster", "co-op", A, "office", A, false),
     ];
-    for (name, dial_cluster, dial_keys, accept_cluster, accept_keys, linked) in rows {
+    for (name, dial_cluster, dial_keys, accept_cluster, accept_keys, linked) in cases {
         let dials = identity(1, dial_cluster, dial_keys);
         let accepts = identity(2, accept_cluster, accept_keys);
-        let (dialled, accepted) = pair(dials, accepts).await;
-        assert_eq!(dialled.is_ok(), linked, "{name}: {dialled:?}");
+        let (dialed, accepted) = pair(dials, accepts).await;
+        assert_eq!(dialed.is_ok(), linked, "{name}: {dialed:?}");
         assert_eq!(accepted.is_ok(), linked, "{name}: {accepted:?}");
     }
 }
 
 #[tokio::test]
-async fn payloads_arrive_in_order_on_both_ways() {
-    let (dialled, accepted) = pair(identity(1, "co-op", A), identity(2, "co-op", A)).await;
-    let (mut dialled, mut accepted) = (dialled.expect("link"), accepted.expect("link"));
-    assert_eq!((dialled.peer.host, accepted.peer.host), (2, 1));
+async fn payloads_arrive_in_order_in_both_directions() {
+    let (dialed, accepted) = pair(identity(1, "co-op", A), identity(2, "co-op", A)).await;
+    let (mut dialed, mut accepted) = (dialed.expect("link"), accepted.expect("link"));
+    assert_eq!((dialed.peer.host, accepted.peer.host), (2, 1));
     for n in 0..100_u8 {
         let payload = Bytes::from(vec![n; usize::from(n) * 50]);
-        dialled.sender.send(payload.clone()).await.expect("send");
+        dialed.sender.send(payload.clone()).await.expect("send");
         accepted.sender.send(payload.clone()).await.expect("send");
         assert_eq!(
             accepted.receiver.next().await.expect("frame"),
             Some(payload.clone())
         );
-        assert_eq!(dialled.receiver.next().await.expect("frame"), Some(payload));
+        assert_eq!(dialed.receiver.next().await.expect("frame"), Some(payload));
     }
 }
 
 #[tokio::test]
-async fn garbage_in_place_of_a_hello_is_refused() {
-    let rows: [&[u8]; 4] = [b"GET / HTTP/1.1\r\n\r\n", &[0xff; 64], &[3, 1, 2, 3], b""];
-    for bytes in rows {
+async fn invalid_hello_is_rejected_without_response() {
+    let cases: [&[u8]; 4] = [b"GET / HTTP/1.1\r\n\r\n", &[0xff; 64], &[3, 1, 2, 3], b""];
+    for bytes in cases {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         let mut stream = TcpStream::connect(address).await.expect("connect");
@@ -91,12 +91,15 @@
         assert!(linked.is_err(), "{bytes:?}");
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest).await;
-        assert!(rest.is_empty(), "nothing is told to strangers: {rest:?}");
+        assert!(
+            rest.is_empty(),
+            "an unauthenticated peer must get no response: {rest:?}"
+        );
     }
 }
 
-/// A frame of a session as it stands on the wire.
-fn sealed(codec: &mut Codec, payload: &[u8]) -> BytesMut {
+/// Encodes a frame as sent on the wire.
+fn encode_frame(codec: &mut Codec, payload: &[u8]) -> BytesMut {
     let mut out = BytesMut::new();
     codec
         .encode(Bytes::copy_from_slice(payload), &mut out)
@@ -105,29 +108,33 @@
 }
 
 #[test]
-fn a_repeated_or_reordered_frame_is_refused() {
-    let key = Key::new(b"secret").session(b"transcript", 1);
+fn repeated_or_reordered_frames_are_rejected() {
+    let key = Key::new(b"secret").session_key(b"transcript", 1);
     let mut sender = Codec::from(key.clone());
-    let (first, second) = (sealed(&mut sender, b"one"), sealed(&mut sender, b"two"));
-    let rows = [
+    let (first, second) = (
+        encode_frame(&mut sender, b"one"),
+        encode_frame(&mut sender, b"two"),
+    );
+    let cases = [
         ("in order", vec![&first, &second], true),
         ("repeated", vec![&first, &first], false),
         ("reordered", vec![&second, &first], false),
     ];
-    for (name, frames, right) in rows {
+    for (name, frames, accepted) in cases {
         let mut receiver = Codec::from(key.clone());
         let mut all = true;
         for frame in frames {
             all &= receiver.decode(&mut frame.clone()).is_ok();
         }
-        assert_eq!(all, right, "{name}");
+        assert_eq!(all, accepted, "{name}");
     }
 }
 
 proptest! {
-    /// Arbitrary bytes neither panic nor pass, and reserve nothing beyond them.
+    /// Arbitrary bytes neither cause a panic nor pass as a frame, and no memory is reserved beyond
+    /// their size.
     #[test]
-    fn garbage_is_no_frame(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_not_a_frame(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let mut source = BytesMut::from(&bytes[..]);
         let mut codec = Codec::from(Key::new(b"secret"));
         prop_assert!(!matches!(codec.decode(&mut source), Ok(Some(_))));
