--- a/crates/quorum/src/core.rs
+++ b/crates/quorum/src/core.rs
@@ -62,19 +62,24 @@
     votes_withheld_until: Time,
     election_at: Time,
     votes: BTreeSet<MemberId>,
+    /// Peers that reported that they belong to no group.
     without_group: BTreeSet<MemberId>,
     /// Replication progress of the other members; only on a leader.
     progress: BTreeMap<MemberId, Progress>,
     heartbeat_at: Time,
     leader_since: Time,
+    /// Index of the first entry of this leader's term.
     term_start_index: Index,
+    /// The latest stamp sent as a leader.
     stamp: Time,
     barriers: VecDeque<Barrier>,
     pending_change: Option<change::PendingChange>,
     writes: WriteQueue,
     /// Messages to send once the batch with the given token is synced.
     awaiting_sync: VecDeque<(u64, Envelope)>,
+    /// Proposals of this member's owner without a known outcome, by index.
     proposals: BTreeMap<Index, (Term, RequestId)>,
+    /// Total size of this leader's uncommitted entries.
     uncommitted_bytes: usize,
     incoming_snapshot: Option<IncomingSnapshot>,
     /// Index of the last entry or snapshot handed to the owner.
--- a/crates/quorum/src/core/persist.rs
+++ b/crates/quorum/src/core/persist.rs
@@ -17,7 +17,7 @@
     /// Last log index covered once the batch is synced; lowered if the log is truncated.
     last: Index,
     records: Vec<Record>,
-    since: Time,
+    submitted_at: Time,
 }
 
 /// Records staged or submitted for writing, and the health of the disk.
@@ -86,7 +86,7 @@
         }
         self.pending
             .front()
-            .map(|pending| pending.since + config.stall_timeout)
+            .map(|pending| pending.submitted_at + config.stall_timeout)
     }
 
     /// Total size of the unsynced entries in bytes.
@@ -113,7 +113,7 @@
             token,
             last,
             records: records.clone(),
-            since: now,
+            submitted_at: now,
         });
         Some(Batch {
             token,
@@ -174,7 +174,7 @@
             token,
             last,
             records,
-            since: self.now,
+            submitted_at: self.now,
         });
         if self.has_fault(Fault::AckBeforeSync) {
             self.writes.durable = last;
@@ -233,7 +233,11 @@
             let batch = self.writes.merge_pending(self.now);
             self.actions.extend(batch.map(Action::Persist));
         }
-        let oldest = self.writes.pending.front().map(|pending| pending.since);
+        let oldest = self
+            .writes
+            .pending
+            .front()
+            .map(|pending| pending.submitted_at);
         if oldest.is_some_and(|since| self.now >= since + self.config.stall_timeout) {
             self.writes.stalled = true;
             self.step_down();
--- a/crates/quorum/src/steward.rs
+++ b/crates/quorum/src/steward.rs
@@ -70,8 +70,8 @@
     fn responsive_learner(&self, status: &Status) -> Option<Peer> {
         let mut learners = status.members.iter();
         let (id, _) = learners.find(|(id, member)| {
-            let answers = silence(status, **id) < self.replace_after;
-            member.kind == MemberKind::Learner && answers
+            let responsive = silence(status, **id) < self.replace_after;
+            member.kind == MemberKind::Learner && responsive
         })?;
         status.members.peer(*id)
     }
@@ -79,10 +79,10 @@
     /// Removes a learner that stopped responding.
     fn remove_silent_learner(&self, status: &Status) -> Option<Change> {
         let mut learners = status.members.iter();
-        let gone = learners.find(|(id, member)| {
+        let silent_learner = learners.find(|(id, member)| {
             member.kind == MemberKind::Learner && silence(status, **id) >= self.remove_after
         });
-        gone.map(|(id, _)| Change::Remove(*id))
+        silent_learner.map(|(id, _)| Change::Remove(*id))
     }
 }
 
--- a/crates/quorum/tests/disk.rs
+++ b/crates/quorum/tests/disk.rs
@@ -224,9 +224,12 @@
         assert!(disk.append(&[entry(10)]).is_err());
         assert_eq!(disk.recovered().last(), 9);
         disk.append(&[entry(10), entry(11)]).unwrap();
-        let kept = disk.recovered();
+        let recovered = disk.recovered();
         drop(disk);
-        assert_eq!(Disk::open(dir.path(), OWNER).unwrap().recovered(), kept);
+        assert_eq!(
+            Disk::open(dir.path(), OWNER).unwrap().recovered(),
+            recovered
+        );
     }
 }
 
@@ -312,13 +315,13 @@
 #[test]
 fn crash_at_any_byte_of_a_write_keeps_synced_entries() {
     let (dir, log) = dir_with_entries();
-    let whole = fs::read(&log).unwrap();
-    let frames = scan(&whole).blocks;
+    let original = fs::read(&log).unwrap();
+    let frames = scan(&original).blocks;
     let from = usize::try_from(frames[9].0).unwrap();
-    for length in from..=whole.len() {
-        fs::write(&log, &whole[..length]).unwrap();
+    for length in from..=original.len() {
+        fs::write(&log, &original[..length]).unwrap();
         let last = Disk::open(dir.path(), OWNER).unwrap().recovered().last();
-        assert_eq!(last, if length == whole.len() { 9 } else { 8 });
+        assert_eq!(last, if length == original.len() { 9 } else { 8 });
     }
 }
 
@@ -329,12 +332,12 @@
     disk.append(&[snapshot(4), entry(10)]).unwrap();
     disk.append(&[snapshot(6)]).unwrap();
     fs::write(dir.path().join("unfinished"), "half a file").unwrap();
-    let kept = disk.recovered();
+    let recovered = disk.recovered();
     drop(disk);
     let disk = Disk::open(dir.path(), OWNER).unwrap();
-    assert_eq!(disk.recovered(), kept);
-    assert_eq!(kept.entries.first().map(|entry| entry.index), Some(7));
-    assert_eq!(kept.last(), 10);
+    assert_eq!(disk.recovered(), recovered);
+    assert_eq!(recovered.entries.first().map(|entry| entry.index), Some(7));
+    assert_eq!(recovered.last(), 10);
     assert_eq!(
         fs::read_dir(dir.path()).unwrap().count(),
         3,
@@ -435,12 +438,12 @@
     fn any_flipped_byte_is_truncated_or_rejected(at in any::<prop::sample::Index>(), flip in 1..=255_u8) {
         let (dir, log) = dir_with_entries();
         let mut bytes = fs::read(&log).unwrap();
-        let whole = scan(&bytes).blocks;
+        let original = scan(&bytes).blocks;
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
         let mut file = OpenOptions::new().write(true).truncate(true).open(&log).unwrap();
         file.write_all(&bytes).unwrap();
-        let in_last_frame = whole.last().is_some_and(|(start, _)| at as u64 >= *start);
+        let in_last_frame = original.last().is_some_and(|(start, _)| at as u64 >= *start);
         match Disk::open(dir.path(), OWNER) {
             Ok(disk) => prop_assert!(in_last_frame && disk.recovered().last() == 8),
             Err(error) => prop_assert!(!in_last_frame, "{}", error),
--- a/crates/quorum/tests/group.rs
+++ b/crates/quorum/tests/group.rs
@@ -108,7 +108,7 @@
     sim.run_for(5 * SECOND).unwrap();
     let old = sim.members(leader).peer(peer.id).unwrap();
     assert_ne!(old.incarnation, peer.incarnation);
-    let answers = |e: &Envelope| {
+    let is_response = |e: &Envelope| {
         matches!(
             e.message,
             Message::AppendResponse(_) | Message::VoteResponse(_)
@@ -116,7 +116,7 @@
     };
     let sent = sim.sent.take().unwrap();
     assert!(
-        !sent.iter().any(|e| e.from == peer && answers(e)),
+        !sent.iter().any(|e| e.from == peer && is_response(e)),
         "a wiped member responds"
     );
     let replace = Change::Replace {
@@ -182,8 +182,8 @@
         (Change::Remove(8), Ok(())),
     ];
     let (mut sim, _, _) = settled(6);
-    for (asked, outcome) in cases {
-        assert_eq!(change(&mut sim, asked), outcome, "{asked:?}");
+    for (requested, outcome) in cases {
+        assert_eq!(change(&mut sim, requested), outcome, "{requested:?}");
     }
     let first = sim
         .change(Change::Replace {
@@ -226,16 +226,19 @@
             commit_proposal(&mut sim);
         }
         sim.run_for(SECOND).unwrap();
-        let (unhealthy, leads) = (status(&sim, at), sim.leader().unwrap());
-        assert!(leads != at && unhealthy.disk_unhealthy, "{unhealthy:?}");
+        let (unhealthy, new_leader) = (status(&sim, at), sim.leader().unwrap());
+        assert!(
+            new_leader != at && unhealthy.disk_unhealthy,
+            "{unhealthy:?}"
+        );
         assert_eq!(
             unhealthy.commit,
-            status(&sim, leads).commit,
+            status(&sim, new_leader).commit,
             "the member follows in memory"
         );
         assert!(
             unhealthy.durable < unhealthy.commit
-                && status(&sim, leads).matched[&member_id(at)] <= unhealthy.durable
+                && status(&sim, new_leader).matched[&member_id(at)] <= unhealthy.durable
         );
         sim.execute(&Operation::Full(member_id(at).try_into().unwrap(), false))
             .unwrap();
--- a/crates/quorum/tests/schedule/simulation.rs
+++ b/crates/quorum/tests/schedule/simulation.rs
@@ -96,44 +96,44 @@
             sent: None,
             schedule,
         };
-        (0..sim.nodes.len()).for_each(|at| sim.start(at));
+        (0..sim.nodes.len()).for_each(|index| sim.start(index));
         sim
     }
 
-    fn start(&mut self, at: usize) {
-        let founder = self.schedule.voters == 0 && at == 0;
+    fn start(&mut self, index: usize) {
+        let founder = self.schedule.voters == 0 && index == 0;
         let mut config = config(founder, self.schedule.fault);
         config.peers = self.nodes.iter().map(|node| node.peer.id).collect();
         let seed = self.rng.random();
-        self.nodes[at].start(config, seed, self.now);
-        self.wake(at);
+        self.nodes[index].start(config, seed, self.now);
+        self.wake(index);
     }
 
-    fn push(&mut self, at: Duration, pending: Pending) {
+    fn push(&mut self, due_at: Duration, pending: Pending) {
         self.sequence += 1;
-        self.queue.push(Reverse((at, self.sequence)));
+        self.queue.push(Reverse((due_at, self.sequence)));
         self.pending.insert(self.sequence, pending);
     }
 
-    fn wake(&mut self, at: usize) {
-        let node = &mut self.nodes[at];
+    fn wake(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
         let Some(core) = &node.core else { return };
         let wake = core.next_wake();
         let wake = node.real(wake).max(self.now);
         if wake != node.wake {
             node.wake = wake;
-            self.push(wake, Pending::Tick { node: at });
+            self.push(wake, Pending::Tick { node: index });
         }
     }
 
     pub fn run_for(&mut self, time: Duration) -> Check {
         let end = self.now + time;
-        while let Some(Reverse((at, sequence))) = self.queue.peek().copied() {
-            if at > end {
+        while let Some(Reverse((due_at, sequence))) = self.queue.peek().copied() {
+            if due_at > end {
                 break;
             }
             self.queue.pop();
-            self.now = at;
+            self.now = due_at;
             if let Some(pending) = self.pending.remove(&sequence) {
                 self.process(pending)?;
             }
@@ -143,56 +143,56 @@
     }
 
     fn process(&mut self, pending: Pending) -> Check {
-        let at = match &pending {
+        let index = match &pending {
             Pending::Tick { node } | Pending::Synced { node, .. } => *node,
             Pending::Message(message) => usize::try_from(message.to).unwrap(),
         };
-        if at >= self.nodes.len() || self.nodes[at].core.is_none() {
+        if index >= self.nodes.len() || self.nodes[index].core.is_none() {
             return Ok(());
         }
-        let paused = self.nodes[at].paused_until;
+        let paused = self.nodes[index].paused_until;
         if paused > self.now {
             self.push(paused, pending);
             return Ok(());
         }
         match pending {
-            Pending::Tick { .. } if self.nodes[at].wake > self.now => Ok(()),
-            Pending::Tick { .. } => self.handle(at, Event::Tick),
+            Pending::Tick { .. } if self.nodes[index].wake > self.now => Ok(()),
+            Pending::Tick { .. } => self.handle(index, Event::Tick),
             Pending::Message(message) => {
                 let from = message.from.id;
                 if self.blocked_links.contains(&(from, message.to)) {
                     return Ok(());
                 }
-                self.handle(at, Event::Receive { from, message })
+                self.handle(index, Event::Receive { from, message })
             }
-            Pending::Synced { start_count, .. } if start_count != self.nodes[at].start_count => {
+            Pending::Synced { start_count, .. } if start_count != self.nodes[index].start_count => {
                 Ok(())
             }
             Pending::Synced { .. } => {
-                let event = self.nodes[at].disk.finish();
-                self.start_sync(at);
-                event.map_or(Ok(()), |event| self.handle(at, event))
+                let event = self.nodes[index].disk.finish();
+                self.start_sync(index);
+                event.map_or(Ok(()), |event| self.handle(index, event))
             }
         }
     }
 
     /// Passes an event to a member, executes the resulting actions and checks the invariants.
-    pub fn handle(&mut self, at: usize, event: Event) -> Check {
+    pub fn handle(&mut self, index: usize, event: Event) -> Check {
         let now = self.now;
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[index];
         let local = node.local(now);
         let Some(core) = &mut node.core else {
             return Ok(());
         };
         let actions = core.handle(event, local);
         for action in actions {
-            if let Some(event) = self.execute_action(at, action)? {
-                self.handle(at, event)?;
+            if let Some(event) = self.execute_action(index, action)? {
+                self.handle(index, event)?;
             }
         }
-        self.checker.check_node(&mut self.nodes[at])?;
+        self.checker.check_node(&mut self.nodes[index])?;
         self.check_leases()?;
-        self.wake(at);
+        self.wake(index);
         Ok(())
     }
 
@@ -212,23 +212,23 @@
     }
 
     /// Executes an action. Returns the event with which the owner responds at once, if any.
-    fn execute_action(&mut self, at: usize, action: Action) -> Result<Option<Event>, Violation> {
-        let peer = self.nodes[at].peer;
+    fn execute_action(&mut self, index: usize, action: Action) -> Result<Option<Event>, Violation> {
+        let peer = self.nodes[index].peer;
         match action {
             Action::Persist(batch) => {
-                self.nodes[at].disk.batches.push_back(batch);
-                self.start_sync(at);
+                self.nodes[index].disk.batches.push_back(batch);
+                self.start_sync(index);
             }
             Action::Send { message, .. } => {
-                Checker::message_sent(&self.nodes[at], &message)?;
+                Checker::message_sent(&self.nodes[index], &message)?;
                 self.send(&message);
             }
-            Action::Apply(entry) => self.apply(at, &entry)?,
+            Action::Apply(entry) => self.apply(index, &entry)?,
             Action::Restore(snapshot) => {
-                self.nodes[at].state = State::decode(&snapshot.data, snapshot.index);
-                self.checker.state_changed(peer, self.nodes[at].state)?;
+                self.nodes[index].state = State::decode(&snapshot.data, snapshot.index);
+                self.checker.state_changed(peer, self.nodes[index].state)?;
             }
-            Action::NeedSnapshot => return Ok(Some(self.snapshot(at))),
+            Action::NeedSnapshot => return Ok(Some(self.snapshot(index))),
             Action::Rejected { id, reason, .. } => {
                 self.checker.outcomes.insert(id, Err(reason));
                 if reason != Reason::Unknown {
@@ -236,13 +236,15 @@
                 }
             }
             Action::BarrierDone { id } => {
-                let applied = self.nodes[at]
+                let applied = self.nodes[index]
                     .core
                     .as_ref()
                     .map_or(0, |c| c.status().applied);
                 self.checker.read_completed(id, applied)?;
             }
-            Action::Joining(peer) if self.admit_joiners => return Ok(Some(self.admit(at, peer))),
+            Action::Joining(peer) if self.admit_joiners => {
+                return Ok(Some(self.admit(index, peer)));
+            }
             Action::Role {
                 role: Role::Leader,
                 term,
@@ -255,15 +257,15 @@
     }
 
     /// Starts a sync of all queued batches unless one is in progress.
-    fn start_sync(&mut self, at: usize) {
-        let node = &mut self.nodes[at];
+    fn start_sync(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
         if node.disk.syncing > 0 || node.disk.batches.is_empty() {
             return;
         }
         node.disk.syncing = node.disk.batches.len();
         let (pending, done) = (
             Pending::Synced {
-                node: at,
+                node: index,
                 start_count: node.start_count,
             },
             self.now + node.disk.sync,
@@ -292,8 +294,8 @@
         }
     }
 
-    fn apply(&mut self, at: usize, entry: &cornelhitch_quorum::action::Entry) -> Check {
-        let node = &mut self.nodes[at];
+    fn apply(&mut self, index: usize, entry: &cornelhitch_quorum::action::Entry) -> Check {
+        let node = &mut self.nodes[index];
         node.state.apply(entry);
         let (peer, state) = (node.peer, node.state);
         self.checker.state_changed(peer, state)?;
@@ -305,8 +307,8 @@
         self.checker.entry_applied(id, entry.index)
     }
 
-    fn snapshot(&self, at: usize) -> Event {
-        let state = self.nodes[at].state;
+    fn snapshot(&self, index: usize) -> Event {
+        let state = self.nodes[index].state;
         Event::Snapshot {
             index: state.index,
             data: state.encode(),
@@ -314,8 +316,8 @@
     }
 
     /// Returns the event with which the leader's owner admits a joining member.
-    fn admit(&mut self, at: usize, peer: Peer) -> Event {
-        let members = self.members(at);
+    fn admit(&mut self, index: usize, peer: Peer) -> Event {
+        let members = self.members(index);
         let change = if members.contains_key(&peer.id) {
             Change::Replace {
                 old: peer.id,
@@ -331,8 +333,8 @@
     }
 
     /// The latest membership known to a member.
-    pub fn members(&self, at: usize) -> Membership {
-        self.nodes[at]
+    pub fn members(&self, index: usize) -> Membership {
+        self.nodes[index]
             .core
             .as_ref()
             .map(|core| core.status().members)
@@ -345,17 +347,27 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |at: &usize| self.nodes[*at].core.as_ref().is_some_and(Core::is_leader);
-        let term = |at: &usize| self.nodes[*at].core.as_ref().map(|core| core.status().term);
+        let leads = |index: &usize| {
+            self.nodes[*index]
+                .core
+                .as_ref()
+                .is_some_and(Core::is_leader)
+        };
+        let term = |index: &usize| {
+            self.nodes[*index]
+                .core
+                .as_ref()
+                .map(|core| core.status().term)
+        };
         (0..self.nodes.len()).filter(leads).max_by_key(term)
     }
 
     /// The leader of the latest term, if it holds a lease.
     pub fn leader_with_lease(&self) -> Option<usize> {
-        let at = self.leader()?;
-        let node = &self.nodes[at];
+        let index = self.leader()?;
+        let node = &self.nodes[index];
         let core = node.core.as_ref()?;
-        core.lease(node.local(self.now)).map(|_| at)
+        core.lease(node.local(self.now)).map(|_| index)
     }
 
     fn index_of(&self, target: Target) -> usize {
@@ -367,12 +379,12 @@
         leader.unwrap_or(usize::from(target) % self.nodes.len())
     }
 
-    pub fn propose(&mut self, at: usize) -> Result<RequestId, Violation> {
+    pub fn propose(&mut self, index: usize) -> Result<RequestId, Violation> {
         let id = self.request();
-        if self.nodes[at].core.is_some() && self.nodes[at].paused_until <= self.now {
+        if self.nodes[index].core.is_some() && self.nodes[index].paused_until <= self.now {
             self.checker.request_started(id);
             let payload = Bytes::copy_from_slice(&id.to_le_bytes());
-            self.handle(at, Event::Propose { id, payload })?;
+            self.handle(index, Event::Propose { id, payload })?;
         }
         Ok(id)
     }
@@ -388,79 +400,80 @@
             }
             Operation::Barrier(target) => return self.barrier(self.index_of(target)),
             Operation::Crash(target, kept) => {
-                let at = self.index_of(target);
-                self.nodes[at].crash(kept.into());
+                let index = self.index_of(target);
+                self.nodes[index].crash(kept.into());
             }
             Operation::Restart(target) => self.restart(self.index_of(target)),
             Operation::Pause(target, ms) => {
-                let at = self.index_of(target);
+                let index = self.index_of(target);
                 let until = self.now + Duration::from_millis(ms.into());
-                self.nodes[at].paused_until = until.max(self.nodes[at].paused_until);
+                self.nodes[index].paused_until = until.max(self.nodes[index].paused_until);
             }
             Operation::Wipe(target) => self.wipe(self.index_of(target)),
             Operation::Cut(from, to) => self.cut(self.index_of(from), self.index_of(to)),
             Operation::Isolate(target, direction) => self.isolate(self.index_of(target), direction),
             Operation::Heal => self.blocked_links.clear(),
             Operation::Full(target, full) => {
-                let at = self.index_of(target);
-                self.nodes[at].disk.memory.full = full;
+                let index = self.index_of(target);
+                self.nodes[index].disk.memory.full = full;
             }
             Operation::Slow(target, ms) => {
-                let at = self.index_of(target);
-                self.nodes[at].disk.sync = Duration::from_millis(ms.into());
+                let index = self.index_of(target);
+                self.nodes[index].disk.sync = Duration::from_millis(ms.into());
             }
             Operation::Change(kind, a, b) => {
                 return self.execute_change(kind, self.index_of(a), self.index_of(b));
             }
             Operation::Snapshot(target) => {
-                let at = self.index_of(target);
-                let event = self.snapshot(at);
-                return self.handle(at, event);
+                let index = self.index_of(target);
+                let event = self.snapshot(index);
+                return self.handle(index, event);
             }
         }
         Ok(())
     }
 
-    fn barrier(&mut self, at: usize) -> Check {
-        if self.nodes[at].core.is_none() || self.nodes[at].paused_until > self.now {
+    fn barrier(&mut self, index: usize) -> Check {
+        if self.nodes[index].core.is_none() || self.nodes[index].paused_until > self.now {
             return Ok(());
         }
         let id = self.request();
         self.checker.request_started(id);
-        self.handle(at, Event::Barrier { id })
+        self.handle(index, Event::Barrier { id })
     }
 
-    fn restart(&mut self, at: usize) {
-        self.nodes[at].crash(1);
-        self.start(at);
+    fn restart(&mut self, index: usize) {
+        self.nodes[index].crash(1);
+        self.start(index);
     }
 
     /// Wipes a disk, unless the other voters of some membership known to any member would not form
     /// a quorum.
-    fn wipe(&mut self, at: usize) {
-        if self.quorum_without(Some(at)) {
+    fn wipe(&mut self, index: usize) {
+        if self.quorum_without(Some(index)) {
             self.incarnations += 1;
-            self.nodes[at].wipe(self.incarnations);
-            self.start(at);
+            self.nodes[index].wipe(self.incarnations);
+            self.start(index);
         }
     }
 
     /// Whether each membership known to any member has a quorum of voters with intact disks, not
     /// counting `at`.
-    fn quorum_without(&self, at: Option<usize>) -> bool {
-        let left = at.map(|at| self.nodes[at].peer);
-        let whole: Vec<Peer> = self
+    fn quorum_without(&self, excluded: Option<usize>) -> bool {
+        let excluded = excluded.map(|index| self.nodes[index].peer);
+        let intact: Vec<Peer> = self
             .nodes
             .iter()
             .map(|n| n.peer)
-            .filter(|p| Some(*p) != left)
+            .filter(|p| Some(*p) != excluded)
             .collect();
         self.nodes
             .iter()
             .flat_map(Node::memberships)
             .all(|members| {
-                let stays = |id: &MemberId| whole.iter().any(|p| p.id == *id && members.admits(*p));
-                members.is_empty() || members.voters().filter(stays).count() >= members.quorum()
+                let remains =
+                    |id: &MemberId| intact.iter().any(|p| p.id == *id && members.admits(*p));
+                members.is_empty() || members.voters().filter(remains).count() >= members.quorum()
             })
     }
 
@@ -469,14 +482,14 @@
         self.blocked_links.insert(ids);
     }
 
-    fn isolate(&mut self, at: usize, direction: Direction) {
+    fn isolate(&mut self, index: usize, direction: Direction) {
         for other in 0..self.nodes.len() {
             match direction {
-                Direction::In => self.cut(other, at),
-                Direction::Out => self.cut(at, other),
+                Direction::In => self.cut(other, index),
+                Direction::Out => self.cut(index, other),
                 Direction::Both => {
-                    self.cut(other, at);
-                    self.cut(at, other);
+                    self.cut(other, index);
+                    self.cut(index, other);
                 }
             }
         }
@@ -507,11 +520,11 @@
     pub fn recover(&mut self) -> Check {
         self.blocked_links.clear();
         self.faults_disabled = true;
-        for at in 0..self.nodes.len() {
-            self.nodes[at].disk.memory.full = false;
-            self.nodes[at].disk.sync = Duration::from_millis(2);
-            if self.nodes[at].core.is_none() {
-                self.start(at);
+        for index in 0..self.nodes.len() {
+            self.nodes[index].disk.memory.full = false;
+            self.nodes[index].disk.sync = Duration::from_millis(2);
+            if self.nodes[index].core.is_none() {
+                self.start(index);
             }
         }
         let end = self.now + RECOVERY_TIMEOUT;
@@ -519,8 +532,8 @@
         while self.now < end {
             self.run_for(Duration::from_millis(250))?;
             let done = proposed.iter().any(|id| self.checker.is_applied(*id));
-            if let (Some(at), false) = (self.leader(), done) {
-                proposed.push(self.propose(at)?);
+            if let (Some(index), false) = (self.leader(), done) {
+                proposed.push(self.propose(index)?);
             }
         }
         if !self.quorum_without(None) {
