--- a/crates/planner/examples/hosting.rs
+++ b/crates/planner/examples/hosting.rs
@@ -1,4 +1,4 @@
-//! The processor time of one plan for workers that take one order at a time, at growing fleets.
+//! Measures the CPU time of one plan of the hosting policy for fleets of growing size.
 //!
 //! `cargo run --release -p cornelhitch-planner --example hosting`
 
@@ -13,28 +13,28 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Workers and models.
+/// Numbers of workers and models.
 const SIZES: [(usize, usize); 4] = [(60, 200), (120, 200), (600, 200), (7_900, 59)];
-/// Models that a worker holds.
+/// Models in a worker's accelerator memory.
 const HELD: usize = 3;
-/// Models that a worker has on its disk.
+/// Models on a worker's disk.
 const NEAR: usize = 9;
-/// Plans at each size.
+/// Plans computed for each size.
 const PLANS: u32 = 50;
 
-/// Processor time of this thread in nanoseconds, which a busy machine does not stretch.
-fn processor() -> u64 {
+/// Returns the CPU time of this thread in nanoseconds, which does not depend on other load.
+fn thread_cpu_ns() -> u64 {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("Linux");
     let first = text.split_whitespace().next().expect("three fields");
     first.parse().expect("nanoseconds")
 }
 
-/// The name of a model.
+/// Returns the id of a model.
 fn name(index: usize) -> ModelId {
     format!("service/model-{index}").into()
 }
 
-/// A model of 70 GB.
+/// Creates a model of 70 GB.
 fn model(index: usize) -> Model {
     Model {
         name: format!("model-{index}").into(),
@@ -47,7 +47,7 @@
     }
 }
 
-/// A full worker with random models.
+/// Creates a full worker with random models.
 fn worker(index: usize, models: usize, random: &mut SmallRng) -> Worker {
     let near: Vec<usize> = (0..NEAR).map(|_| random.random_range(0..models)).collect();
     let held = near.iter().take(HELD).map(|model| Held {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Demand of which one model in ten waits.
+/// Creates the demand for a model; requests are waiting for one model in ten.
 fn wish(index: usize, random: &mut SmallRng) -> Wish {
     let rate = 20.0 / f64::from(u32::try_from(index + 1).unwrap_or(u32::MAX));
     Wish {
@@ -94,7 +94,7 @@
         start_interval: Duration::from_millis(100),
         models: Vec::new(),
     };
-    println!("workers  models  us a plan");
+    println!("workers  models  us/plan");
     for (workers, count) in SIZES {
         let mut random = SmallRng::seed_from_u64(1);
         let models: BTreeMap<ModelId, Model> = (0..count).map(|it| (name(it), model(it))).collect();
@@ -110,11 +110,11 @@
             fetching: 0,
             store_open: true,
         };
-        let before = processor();
+        let before = thread_cpu_ns();
         for _ in 0..PLANS {
             std::hint::black_box(Policy::default().plan(&scene));
         }
-        let each = (processor() - before) / u64::from(PLANS) / 1_000;
-        println!("{workers:7} {count:7} {each:10}");
+        let us_per_plan = (thread_cpu_ns() - before) / u64::from(PLANS) / 1_000;
+        println!("{workers:7} {count:7} {us_per_plan:10}");
     }
 }
--- a/crates/planner/examples/replay.rs
+++ b/crates/planner/examples/replay.rs
@@ -1,7 +1,7 @@
-//! Replays arrivals in virtual time against the planner and its baselines.
+//! Replays synthetic request traces in virtual time against the planner and its baselines.
 //!
 //! `cargo run --release -p cornelhitch-planner --example replay -- FOLDER tuning|held-out [DEPLOYMENT [POLICY]]`
-//! writes a CSV file and plots into the folder and prints one table a deployment.
+//! writes CSV files and plots into the folder and prints tables for each deployment.
 
 #[path = "replay/cache.rs"]
 mod cache;
@@ -23,7 +23,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cornelhitch_planner::baseline::{Forever, Full, Timeout};
+use cornelhitch_planner::baseline::{IdleTimeout, LeastRecentlyUsed, NeverUnload};
 use cornelhitch_planner::policy::Policy;
 use cornelhitch_settings::fleet::Fleet;
 use rayon::prelude::*;
@@ -34,13 +34,13 @@
 
 /// Seeds of traces that the planner is tuned on.
 const TUNING: [u64; 3] = [1, 2, 3];
-/// Seeds of traces that it is not tuned on.
+/// Seeds of traces that are held out for evaluation.
 const HELD_OUT: [u64; 4] = [101, 102, 103, 104];
-/// The policy that costs are divided by.
+/// The policy that the others' costs are relative to.
 const REFERENCE: &str = "time-out 10 min";
-/// The least tail that costs are divided by, in seconds.
-const LEAST_TAIL_S: f64 = 1.0;
-/// The policies in the order of the tables.
+/// Lower bound of the reference tail latency that costs are relative to, in seconds.
+const MIN_REFERENCE_TAIL_S: f64 = 1.0;
+/// The policies, in the order of the table rows.
 const POLICIES: [&str; 7] = [
     "planner",
     "keep for ever",
@@ -50,20 +50,20 @@
     REFERENCE,
     "time-out 30 min",
 ];
-/// The example settings.
+/// The example deployments and their settings.
 const DEPLOYMENTS: [(&str, &str); 2] = [
     ("co-op", include_str!("../../../examples/co-op.yaml")),
     ("office", include_str!("../../../examples/office.yaml")),
 ];
 
-/// The planner with a policy of keeping.
+/// Creates a planner with the named keep-alive policy.
 fn policy(name: &str) -> Policy {
-    let minutes = |count: u64| Timeout {
+    let minutes = |count: u64| IdleTimeout {
         after: Duration::from_secs(60 * count),
     };
     match name {
-        "keep for ever" => Policy::new(Box::new(Forever)),
-        "evict when full" => Policy::new(Box::new(Full)),
+        "keep for ever" => Policy::new(Box::new(NeverUnload)),
+        "evict when full" => Policy::new(Box::new(LeastRecentlyUsed)),
         "time-out 1 min" => Policy::new(Box::new(minutes(1))),
         "time-out 5 min" => Policy::new(Box::new(minutes(5))),
         REFERENCE => Policy::new(Box::new(minutes(10))),
@@ -72,7 +72,7 @@
     }
 }
 
-/// Every policy on one trace, with costs.
+/// Replays one trace with each policy and computes the costs.
 fn compare(
     name: &str,
     fleet: &Arc<Fleet>,
@@ -92,7 +92,7 @@
     };
     let keeping = &fleet.keeping;
     for row in &mut rows {
-        let tail = row.p99_s / reference.p99_s.max(LEAST_TAIL_S);
+        let tail = row.p99_s / reference.p99_s.max(MIN_REFERENCE_TAIL_S);
         let idle = row.idle_h / reference.idle_h;
         row.cost = keeping.cold_start_weight * tail + keeping.idle_weight * idle;
     }
@@ -108,7 +108,7 @@
         Some("held-out") => &HELD_OUT,
         _ => return Err(usage.into()),
     };
-    let only = arguments.next();
+    let only_deployment = arguments.next();
     let policies = match arguments.next() {
         Some(one) => POLICIES
             .into_iter()
@@ -119,7 +119,7 @@
     let folder = Path::new(&folder);
     std::fs::create_dir_all(folder)?;
     for (name, text) in DEPLOYMENTS {
-        if only.as_deref().is_some_and(|only| only != name) {
+        if only_deployment.as_deref().is_some_and(|only| only != name) {
             continue;
         }
         let fleet: Arc<Fleet> = Arc::new(text.parse()?);
--- a/crates/planner/examples/replay/cache.rs
+++ b/crates/planner/examples/replay/cache.rs
@@ -1,38 +1,38 @@
-//! Copies of models on a worker, where the one used longest ago gives way.
+//! An LRU cache of model copies on a worker.
 
 use cornelhitch_types::id::ModelId;
 
-/// A cache of copies with a size in bytes.
+/// A cache of copies, least recently added first.
 #[derive(Debug, Clone)]
 pub struct Cache {
-    size: u64,
+    capacity_bytes: u64,
     copies: Vec<(ModelId, u64)>,
 }
 
 impl Cache {
-    /// An empty cache.
-    pub fn new(size: u64) -> Self {
+    /// Creates an empty cache.
+    pub fn new(capacity_bytes: u64) -> Self {
         Self {
-            size,
+            capacity_bytes,
             copies: Vec::new(),
         }
     }
 
-    /// Adds a copy as the newest, and drops the oldest until all fit.
+    /// Adds a copy as the newest, and evicts the oldest ones until all fit.
     pub fn add(&mut self, model: &ModelId, bytes: u64) {
         self.copies.retain(|(known, _)| known != model);
         self.copies.push((model.clone(), bytes));
-        while self.copies.iter().map(|(_, bytes)| bytes).sum::<u64>() > self.size {
+        while self.copies.iter().map(|(_, bytes)| bytes).sum::<u64>() > self.capacity_bytes {
             self.copies.remove(0);
         }
     }
 
-    /// Whether a model is there.
+    /// Returns whether the cache has a copy of the model.
     pub fn has(&self, model: &str) -> bool {
         self.copies.iter().any(|(known, _)| **known == *model)
     }
 
-    /// The models, oldest first.
+    /// Iterates over the models, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &ModelId> {
         self.copies.iter().map(|(model, _)| model)
     }
--- a/crates/planner/examples/replay/host.rs
+++ b/crates/planner/examples/replay/host.rs
@@ -1,4 +1,4 @@
-//! Workers and their caches below accelerator memory.
+//! Simulated workers and their caches in host memory and on disk.
 
 use cornelhitch_planner::picture::{Copy, Worker};
 use cornelhitch_types::id::{ModelId, RegionId};
@@ -7,55 +7,55 @@
 use super::cache::Cache;
 
 /// Accelerator memory of a worker, in bytes.
-const MEMORY: u64 = 48 << 30;
-/// Accelerators of a worker.
+const ACCELERATOR_MEMORY: u64 = 48 << 30;
+/// Number of accelerators of a worker.
 const ACCELERATORS: u32 = 2;
-/// Disk of a worker for copies, in bytes.
-const DISK: u64 = 96 << 30;
+/// Disk space of a worker for copies, in bytes.
+const DISK_CACHE: u64 = 96 << 30;
 /// Host memory of a worker for copies, in bytes.
-const HOST: u64 = 32 << 30;
-/// Zones in a region.
+const HOST_CACHE: u64 = 32 << 30;
+/// Number of zones in a region.
 const ZONES: usize = 2;
 
-/// A worker's caches below accelerator memory.
+/// A worker's caches in host memory and on disk.
 #[derive(Debug, Clone)]
-pub struct Host {
+pub struct WorkerCaches {
     /// Copies on disk.
     pub disk: Cache,
     /// Copies in host memory.
     pub memory: Cache,
 }
 
-impl Host {
-    /// A worker with no copies.
+impl WorkerCaches {
+    /// Creates empty caches.
     pub fn new() -> Self {
         Self {
-            disk: Cache::new(DISK),
-            memory: Cache::new(HOST),
+            disk: Cache::new(DISK_CACHE),
+            memory: Cache::new(HOST_CACHE),
         }
     }
 
-    /// Host memory is lost.
-    pub fn restart(&mut self) {
-        self.memory = Cache::new(HOST);
+    /// Drops the copies in host memory.
+    pub fn lose_host_memory(&mut self) {
+        self.memory = Cache::new(HOST_CACHE);
     }
 
-    /// The copies, as the worker reports them.
+    /// Returns the copies as the worker reports them.
     pub fn copies(&self) -> Vec<Copy> {
-        let of = |cache: &Cache, stage: Stage| -> Vec<Copy> {
+        let list = |cache: &Cache, stage: Stage| -> Vec<Copy> {
             let copy = |model: &ModelId| Copy {
                 model: model.clone(),
                 stage,
             };
             cache.iter().map(copy).collect()
         };
-        let mut copies = of(&self.disk, Stage::Disk);
-        copies.extend(of(&self.memory, Stage::Memory));
+        let mut copies = list(&self.disk, Stage::Disk);
+        copies.extend(list(&self.memory, Stage::Memory));
         copies
     }
 
-    /// Where the nearest copy is.
-    pub fn stage(&self, model: &str) -> Stage {
+    /// Returns the stage of the nearest copy.
+    pub fn nearest_stage(&self, model: &str) -> Stage {
         if self.memory.has(model) {
             Stage::Memory
         } else if self.disk.has(model) {
@@ -66,14 +66,14 @@
     }
 }
 
-/// A worker of a region.
+/// Creates an empty worker in a region.
 pub fn worker(region: &RegionId, index: usize) -> Worker {
     Worker {
         target: format!("{region}-worker-{}", index + 1).into(),
         region: region.clone(),
         zone: format!("{region}-zone-{}", index % ZONES + 1).into(),
-        memory: MEMORY,
-        free: MEMORY,
+        memory: ACCELERATOR_MEMORY,
+        free: ACCELERATOR_MEMORY,
         accelerators: ACCELERATORS,
         open: true,
         copies: Vec::new(),
--- a/crates/planner/examples/replay/report.rs
+++ b/crates/planner/examples/replay/report.rs
@@ -9,24 +9,24 @@
 
 use super::stats::Stats;
 
-/// One policy on one trace.
+/// The result of one policy on one trace.
 #[derive(Debug, Clone, Serialize)]
 pub struct Row {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The seed.
+    /// Seed of the trace.
     pub seed: u64,
-    /// The policy.
+    /// Name of the policy.
     pub policy: String,
-    /// Cold-start time of all requests, median, in seconds.
+    /// Median cold-start delay of all requests, in seconds.
     pub p50_s: f64,
-    /// Cold-start time of all requests, 99th percentile, in seconds.
+    /// 99th percentile of the cold-start delay of all requests, in seconds.
     pub p99_s: f64,
-    /// Cold-start time of all requests, largest, in seconds.
+    /// Largest cold-start delay, in seconds.
     pub max_s: f64,
-    /// The 99th percentile of requests that found no ready replica, in seconds.
+    /// 99th percentile of the cold-start delay of requests that found no ready replica, in seconds.
     pub cold_p99_s: f64,
     /// Requests that found no ready replica, in percent.
     pub cold_percent: f64,
@@ -38,16 +38,16 @@
     pub starts: u64,
     /// Loads from any stage.
     pub loads: u64,
-    /// The share of held accelerator time that loads take, in percent.
+    /// Share of the accelerator time that was spent loading, in percent.
     pub load_percent: f64,
-    /// The weighted cost; 1 is that of a time-out of 10 min.
+    /// Weighted cost, relative to an idle timeout of 10 min.
     pub cost: f64,
 }
 
 impl Row {
-    /// The figures of one replay, without its cost.
+    /// Creates the result of one replay, without its cost.
     pub fn new(deployment: &str, scenario: &str, seed: u64, policy: &str, stats: &Stats) -> Self {
-        let total = share(stats.waits.len());
+        let total = to_f64(stats.waits.len());
         Self {
             deployment: deployment.into(),
             scenario: scenario.into(),
@@ -57,7 +57,7 @@
             p99_s: quantile(&stats.waits, 0.99),
             max_s: quantile(&stats.waits, 1.0),
             cold_p99_s: quantile(&stats.cold, 0.99),
-            cold_percent: 100.0 * share(stats.cold.len()) / total.max(1.0),
+            cold_percent: 100.0 * to_f64(stats.cold.len()) / total.max(1.0),
             idle_h: stats.idle / 3_600.0,
             refusals: stats.refusals,
             starts: stats.starts,
@@ -68,23 +68,23 @@
     }
 }
 
-/// A count as a number.
-fn share(count: u64) -> f64 {
+/// Converts a count to floating point.
+fn to_f64(count: u64) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
 
-/// A quantile of milliseconds in seconds.
+/// Returns a quantile of a histogram of milliseconds, in seconds.
 fn quantile(waits: &hdrhistogram::Histogram<u64>, quantile: f64) -> f64 {
-    share(waits.value_at_quantile(quantile)) / 1_000.0
+    to_f64(waits.value_at_quantile(quantile)) / 1_000.0
 }
 
-/// The mean of a figure over rows.
+/// Returns the mean of a figure over rows.
 pub fn mean(rows: &[&Row], figure: impl Fn(&Row) -> f64) -> f64 {
     let sum: f64 = rows.iter().map(|row| figure(row)).sum();
-    sum / share(rows.len() as u64).max(1.0)
+    sum / to_f64(rows.len() as u64).max(1.0)
 }
 
-/// A table for people, one line a policy, means over the rows.
+/// Formats a Markdown table with one line per policy, averaged over the rows.
 pub fn table(rows: &[Row], policies: &[&str]) -> String {
     let mut text = String::from(
         "| policy | p50 s | p99 s | max s | cold p99 s | cold % | idle h | refused | starts | loads | load % | cost |\n\
@@ -99,9 +99,9 @@
             |row| row.cold_p99_s,
             |row| row.cold_percent,
             |row| row.idle_h,
-            |row| share(row.refusals),
-            |row| share(row.starts),
-            |row| share(row.loads),
+            |row| to_f64(row.refusals),
+            |row| to_f64(row.starts),
+            |row| to_f64(row.loads),
             |row| row.load_percent,
             |row| row.cost,
         ];
@@ -124,7 +124,7 @@
     Ok(())
 }
 
-/// Draws tail cold-start time against idle accelerator hours, one point a policy.
+/// Plots tail cold-start delay against idle accelerator hours, one point per policy.
 pub fn plot(rows: &[Row], policies: &[&str], path: &Path) -> Result<(), Box<dyn Error>> {
     let points: Vec<(f64, f64)> = policies
         .iter()
--- a/crates/planner/examples/replay/run.rs
+++ b/crates/planner/examples/replay/run.rs
@@ -1,4 +1,4 @@
-//! One replay: a trace, a policy, and what came of it.
+//! Replays one trace with one planner and returns its statistics.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use super::trace::{Fault, LENGTH, Trace, WARM_UP};
 use super::world::World;
 
-/// The grain of virtual time.
+/// Step of the virtual time.
 const STEP: Duration = Duration::from_millis(250);
-/// How often the planner is called when nothing happens.
-const QUIET: u32 = 4;
+/// Steps between calls of the planner while nothing happens.
+const IDLE_STEPS_PER_PLAN: u32 = 4;
 
 /// Replays a trace with a planner.
 pub fn run(fleet: &Arc<Fleet>, trace: &Trace, planner: &mut dyn Planner) -> Stats {
@@ -34,12 +34,12 @@
             event = true;
         }
         while let Some((_, fault)) = faults.next_if(|(at, _)| *at <= world.now) {
-            strike(&mut world, *fault);
+            inject(&mut world, *fault);
             event = true;
         }
         world.step(STEP);
         steps += 1;
-        if event || steps % QUIET == 0 {
+        if event || steps % IDLE_STEPS_PER_PLAN == 0 {
             let picture = world.picture();
             for decision in planner.plan(&picture, world.now) {
                 world.apply(&decision);
@@ -49,11 +49,11 @@
     world.stats
 }
 
-/// A fault of the fleet.
-fn strike(world: &mut World, fault: Fault) {
+/// Applies a fault to the simulated fleet.
+fn inject(world: &mut World, fault: Fault) {
     match fault {
-        Fault::Die(worker) => world.kill(worker),
-        Fault::Return(worker) => world.revive(worker),
+        Fault::Fail(worker) => world.fail(worker),
+        Fault::Return(worker) => world.restore(worker),
         Fault::Slow(slowness) => world.slowness = slowness,
     }
 }
--- a/crates/planner/examples/replay/stats.rs
+++ b/crates/planner/examples/replay/stats.rs
@@ -1,4 +1,4 @@
-//! What a replay measures.
+//! Statistics of a replay.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,22 +10,22 @@
 use cornelhitch_types::view::State;
 use hdrhistogram::Histogram;
 
-/// What a replay measures, from [`Stats::from`] on.
+/// Statistics of a replay from [`Stats::from`] on.
 #[derive(Debug, Clone)]
 pub struct Stats {
-    /// Nothing before it is counted.
+    /// Start of the measurement; earlier requests and loads are not counted.
     pub from: Time,
-    /// Cold-start time of every request, in milliseconds; 0 where a replica was ready.
+    /// Cold-start delay of every request in milliseconds; 0 if a replica was ready on arrival.
     pub waits: Histogram<u64>,
-    /// The same of requests that found no ready replica.
+    /// Cold-start delay of the requests that found no ready replica, in milliseconds.
     pub cold: Histogram<u64>,
     /// Idle accelerator seconds.
     pub idle: f64,
-    /// Accelerator seconds of loading.
+    /// Accelerator seconds spent loading.
     pub loading: f64,
-    /// Accelerator seconds of work.
+    /// Accelerator seconds spent serving requests.
     pub working: f64,
-    /// Requests refused.
+    /// Refused requests.
     pub refusals: u64,
     /// Loads from the weight store.
     pub starts: u64,
@@ -50,8 +50,8 @@
 }
 
 impl Stats {
-    /// A request starts on a replica.
-    pub fn start(&mut self, arrived: Time, cold: bool, now: Time) {
+    /// Records the start of a request on a replica.
+    pub fn record_start(&mut self, arrived: Time, cold: bool, now: Time) {
         if arrived < self.from {
             return;
         }
@@ -67,17 +67,17 @@
         }
     }
 
-    /// A request is refused; its wait counts as its cold start, had there been one.
-    pub fn refuse(&mut self, arrived: Time, cold: bool, now: Time) {
+    /// Records a refused request; if it found no ready replica, its wait counts as a cold start.
+    pub fn record_refusal(&mut self, arrived: Time, cold: bool, now: Time) {
         if arrived < self.from {
             return;
         }
         self.refusals += 1;
-        self.start(arrived, cold, now);
+        self.record_start(arrived, cold, now);
     }
 
-    /// A load begins.
-    pub fn load(&mut self, from: Stage, now: Time) {
+    /// Records the start of a load.
+    pub fn record_load(&mut self, from: Stage, now: Time) {
         if now < self.from {
             return;
         }
@@ -85,8 +85,14 @@
         self.starts += u64::from(from == Stage::Remote);
     }
 
-    /// Accelerators are held for some time.
-    pub fn idle(&mut self, replicas: &[Replica], fleet: &Arc<Fleet>, time: Duration, now: Time) {
+    /// Adds the accelerator time of all replicas for the period `time`.
+    pub fn record_accelerator_time(
+        &mut self,
+        replicas: &[Replica],
+        fleet: &Arc<Fleet>,
+        time: Duration,
+        now: Time,
+    ) {
         if now < self.from {
             return;
         }
@@ -103,14 +109,18 @@
         }
     }
 
-    /// The share of held accelerator time that loads take.
+    /// Returns the share of the accelerator time that was spent loading.
     pub fn load_share(&self) -> f64 {
-        let all = self.idle + self.loading + self.working;
-        if all > 0.0 { self.loading / all } else { 0.0 }
+        let total = self.idle + self.loading + self.working;
+        if total > 0.0 {
+            self.loading / total
+        } else {
+            0.0
+        }
     }
 }
 
-/// A histogram of milliseconds up to an hour.
+/// Creates a histogram of milliseconds up to an hour.
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 3_600_000, 3).expect("bounds in order")
+    Histogram::new_with_bounds(1, 3_600_000, 3).expect("histogram bounds are valid")
 }
--- a/crates/planner/examples/replay/trace.rs
+++ b/crates/planner/examples/replay/trace.rs
@@ -1,4 +1,4 @@
-//! Arrivals and faults of one replay, from a seed.
+//! Synthetic request arrivals and faults, generated from a seed.
 
 use std::time::Duration;
 
@@ -10,31 +10,31 @@
 
 use super::world::Call;
 
-/// The length of a replay.
+/// Duration of a replay.
 pub const LENGTH: Duration = Duration::from_hours(8);
-/// Nothing before it is measured, so that every policy has seen each model.
+/// Time before the measurement starts, so that every policy has seen each model.
 pub const WARM_UP: Duration = Duration::from_hours(2);
 
-/// What happens in a replay.
+/// The load and faults of a replay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Scenario {
-    /// Steady rare calls of every model.
+    /// Infrequent requests for every model.
     Rare,
-    /// Auction lanes or school projects over fewer rare calls.
+    /// Infrequent requests, and sessions with bursts of requests for some models.
     Bursts,
-    /// Rare calls and bursts while a zone is dead for a while.
+    /// The load of `Bursts`, with a zone that fails for a while.
     DeadZone,
-    /// Rare calls and bursts while the weight store is slow for a while.
+    /// The load of `Bursts`, with a weight store that is slow for a while.
     SlowStore,
 }
 
-/// A change of the fleet at a time.
+/// A fault of the fleet, or its end.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// A worker dies.
-    Die(usize),
-    /// A worker comes back.
+    /// The worker with this index fails.
+    Fail(usize),
+    /// The worker with this index returns.
     Return(usize),
     /// The weight store becomes this many times slower than declared.
     Slow(f64),
@@ -43,58 +43,58 @@
 /// Arrivals and faults of one replay.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Trace {
-    /// Requests in the order of time.
+    /// Requests in order of arrival.
     pub calls: Vec<Call>,
-    /// Faults in the order of time.
+    /// Faults and their times, in order.
     pub faults: Vec<(Time, Fault)>,
-    /// Copies on disks at the start: worker and model.
+    /// Copies on disk at the start: worker index and model.
     pub copies: Vec<(usize, ModelId)>,
 }
 
-/// Makes one trace.
-struct Maker<'a> {
+/// Generates one trace.
+struct Generator<'a> {
     fleet: &'a Fleet,
     random: SmallRng,
     trace: Trace,
 }
 
 impl Trace {
-    /// The trace of a scenario and a seed.
+    /// Generates the trace of a scenario from a seed.
     pub fn new(fleet: &Fleet, scenario: Scenario, seed: u64) -> Self {
-        let mut maker = Maker {
+        let mut generator = Generator {
             fleet,
             random: SmallRng::seed_from_u64(seed),
             trace: Self::default(),
         };
-        maker.copies();
-        maker.rare();
+        generator.copies();
+        generator.rare();
         if scenario != Scenario::Rare {
-            maker.bursts();
+            generator.bursts();
         }
-        maker.faults(scenario);
-        maker.trace.calls.sort_by_key(|call| call.at);
-        maker.trace
+        generator.faults(scenario);
+        generator.trace.calls.sort_by_key(|call| call.at);
+        generator.trace
     }
 }
 
-impl Maker<'_> {
-    /// A number in a range.
+impl Generator<'_> {
+    /// Returns a uniformly distributed number.
     fn within(&mut self, from: f64, to: f64) -> f64 {
         self.random.random_range(from..to)
     }
 
-    /// A time after which the next of some random events comes.
+    /// Returns an exponentially distributed time to the next event.
     fn wait(&mut self, mean: f64) -> f64 {
         -mean * self.within(f64::EPSILON, 1.0).ln()
     }
 
-    /// A region.
+    /// Picks a random region.
     fn region(&mut self) -> RegionId {
         let index = self.random.random_range(0..self.fleet.regions.len());
         self.fleet.regions[index].name.clone()
     }
 
-    /// Copies that are on disks at the start, unevenly.
+    /// Generates the copies on disk at the start: up to two for each model, on random workers.
     fn copies(&mut self) {
         for model in &self.fleet.models {
             for _ in 0..self.random.random_range(0..3) {
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Rare calls: a model in four is called at regular times, the others at random.
+    /// Generates infrequent requests: at regular times for one model in four, at random for the
+    /// others.
     fn rare(&mut self) {
         let models = self.fleet.models.clone();
         for model in &models {
@@ -123,11 +124,17 @@
         }
     }
 
-    /// Sessions in which the models of the first two groups are called again and again.
+    /// Generates sessions of frequent requests for models of the first two groups.
     fn bursts(&mut self) {
         let models = self.fleet.models.clone();
-        let first: Vec<&Model> = models.iter().filter(|model| self.of(model, 0)).collect();
-        let second: Vec<&Model> = models.iter().filter(|model| self.of(model, 1)).collect();
+        let first: Vec<&Model> = models
+            .iter()
+            .filter(|model| self.in_group(model, 0))
+            .collect();
+        let second: Vec<&Model> = models
+            .iter()
+            .filter(|model| self.in_group(model, 1))
+            .collect();
         let mut at = self.within(600.0, 2_400.0);
         while at < LENGTH.as_secs_f64() {
             let length = self.within(900.0, 2_400.0);
@@ -142,12 +149,12 @@
         }
     }
 
-    /// Whether a model is of the group at an index.
-    fn of(&self, model: &Model, group: usize) -> bool {
+    /// Returns whether a model belongs to the group at an index.
+    fn in_group(&self, model: &Model, group: usize) -> bool {
         model.group.as_ref() == Some(&self.fleet.groups[group].name)
     }
 
-    /// A session of one model: many first requests at once, then steady ones.
+    /// Generates a session of one model: an initial burst, then a steady rate.
     fn session(&mut self, model: &Model, start: f64, length: f64) {
         let size = self.random.random_range(5..=30);
         self.burst(model, start, size, 10.0);
@@ -160,7 +167,7 @@
         }
     }
 
-    /// Requests for one model within a few seconds.
+    /// Generates `size` requests for one model within `spread` seconds.
     fn burst(&mut self, model: &Model, at: f64, size: u32, spread: f64) {
         for _ in 0..size {
             let at = at + self.within(0.0, spread);
@@ -180,16 +187,16 @@
         }
     }
 
-    /// Faults of the scenario.
+    /// Generates the faults of the scenario.
     fn faults(&mut self, scenario: Scenario) {
         let at = |share: f64| LENGTH.mul_f64(share);
         match scenario {
             Scenario::Rare | Scenario::Bursts => {}
             Scenario::DeadZone => {
-                // The workers of one zone: every second one of a region's four.
+                // The workers of one zone are every second one of the four in a region.
                 let first = self.random.random_range(0..3) * 4;
                 let faults = &mut self.trace.faults;
-                faults.extend([0, 2].map(|i| (at(0.5), Fault::Die(first + i))));
+                faults.extend([0, 2].map(|i| (at(0.5), Fault::Fail(first + i))));
                 faults.extend([0, 2].map(|i| (at(0.6), Fault::Return(first + i))));
             }
             Scenario::SlowStore => {
--- a/crates/planner/examples/replay/world.rs
+++ b/crates/planner/examples/replay/world.rs
@@ -1,8 +1,8 @@
-//! A small fleet in virtual time: what the planner's decisions lead to.
+//! Simulation of a small fleet in virtual time that carries out the planner's decisions.
 //!
-//! Requests wait for a replica of their model and are refused at their
-//! deadline. Loads share the weight store. There is no network, no entry host
-//! and no control host: the planner sees the fleet as it is.
+//! Requests wait for a replica of their model and are refused at their deadline. Loads share the
+//! bandwidth of the weight store. There is no network, no entry host and no control host: the
+//! planner sees the exact state of the fleet.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -15,28 +15,28 @@
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
 
-use super::host::{Host, worker};
+use super::host::{WorkerCaches, worker};
 use super::stats::Stats;
 
-/// Workers in a region.
-const PER_REGION: usize = 4;
+/// Number of workers in each region.
+const WORKERS_PER_REGION: usize = 4;
 
-/// A request.
+/// A request of a trace.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
-    /// When it comes.
+    /// Time of arrival.
     pub at: Time,
-    /// Its model.
+    /// The requested model.
     pub model: ModelId,
-    /// The region of the entry host that it comes to.
+    /// The region of the entry host that receives it.
     pub region: RegionId,
-    /// How long a replica works on it.
+    /// Time that a replica takes to serve it.
     pub service: Duration,
-    /// The adapter that it names.
+    /// The adapter that it names, if any.
     pub adapter: Option<Name>,
 }
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug, Clone)]
 struct Waiting {
     call: Call,
@@ -45,31 +45,31 @@
     cold: bool,
 }
 
-/// The work of a replica.
+/// The remaining work of a replica.
 #[derive(Debug, Clone, Default)]
 struct Work {
-    /// Seconds of its load that are left at full speed.
-    left: f64,
-    /// When each of its requests ends.
+    /// Seconds that its load still takes at full speed.
+    load_left_s: f64,
+    /// The time at which each of its requests ends.
     ends: Vec<Time>,
 }
 
-/// A small fleet in virtual time.
+/// A simulated fleet.
 #[derive(Debug)]
 pub struct World {
-    /// The settings.
+    /// The settings in force.
     pub fleet: Arc<Fleet>,
-    /// The workers.
+    /// The workers, without their copies below accelerator memory.
     pub workers: Vec<Worker>,
-    /// The replicas.
+    /// All replicas that hold memory.
     pub replicas: Vec<Replica>,
-    /// What was measured.
+    /// The statistics collected so far.
     pub stats: Stats,
-    /// How many times slower the weight store is than declared.
+    /// Factor by which the weight store is slower than declared.
     pub slowness: f64,
-    /// The time.
+    /// The virtual time.
     pub now: Time,
-    hosts: Vec<Host>,
+    caches: Vec<WorkerCaches>,
     work: BTreeMap<ReplicaId, Work>,
     queues: BTreeMap<(ModelId, RegionId), VecDeque<Waiting>>,
     arrivals: BTreeMap<(ModelId, RegionId), u64>,
@@ -77,17 +77,17 @@
 }
 
 impl World {
-    /// A fleet of twelve workers in the regions of the settings.
+    /// Creates an empty fleet with four workers in each region of the settings.
     pub fn new(fleet: &Arc<Fleet>) -> Self {
         let mut workers = Vec::new();
         for region in &fleet.regions {
-            for index in 0..PER_REGION {
+            for index in 0..WORKERS_PER_REGION {
                 workers.push(worker(&region.name, index));
             }
         }
         Self {
             fleet: Arc::clone(fleet),
-            hosts: vec![Host::new(); workers.len()],
+            caches: vec![WorkerCaches::new(); workers.len()],
             workers,
             replicas: Vec::new(),
             stats: Stats::default(),
@@ -102,10 +102,10 @@
 
     /// Puts a copy of a model on a worker's disk.
     pub fn cache(&mut self, worker: usize, model: &Model) {
-        self.hosts[worker].disk.add(&model.name, model.bytes);
+        self.caches[worker].disk.add(&model.name, model.bytes);
     }
 
-    /// Takes a request in.
+    /// Queues an arriving request.
     pub fn arrive(&mut self, call: Call) {
         let fleet = Arc::clone(&self.fleet);
         let Some(model) = fleet.model(&call.model) else {
@@ -128,24 +128,25 @@
         self.queues.entry(key).or_default().push_back(waiting);
     }
 
-    /// Lets time pass: loads go on, requests end, start or are refused.
+    /// Advances the time: loads make progress, and requests end, start or are refused.
     pub fn step(&mut self, time: Duration) {
         self.now += time;
-        self.load(time.as_secs_f64());
-        self.end();
+        self.advance_loads(time.as_secs_f64());
+        self.end_requests();
         self.dispatch();
         self.refuse();
-        self.stats.idle(&self.replicas, &self.fleet, time, self.now);
+        self.stats
+            .record_accelerator_time(&self.replicas, &self.fleet, time, self.now);
     }
 
-    /// Whether something waits or loads.
+    /// Returns whether requests are queued or replicas are loading or retiring.
     pub fn busy(&self) -> bool {
         let loading = |replica: &Replica| replica.state != State::Ready;
         self.queues.values().any(|queue| !queue.is_empty()) || self.replicas.iter().any(loading)
     }
 
-    /// Loads go on; loads from the store share it.
-    fn load(&mut self, seconds: f64) {
+    /// Advances all loads; those from the weight store share its bandwidth.
+    fn advance_loads(&mut self, seconds: f64) {
         let remote = |r: &&Replica| r.state == State::Loading && r.from == Stage::Remote;
         let loads = u32::try_from(self.replicas.iter().filter(remote).count()).unwrap_or(1);
         let capacity = f64::from(self.fleet.loading.concurrency) / self.slowness;
@@ -155,12 +156,12 @@
                 continue;
             }
             let work = self.work.entry(replica.replica).or_default();
-            work.left -= if replica.from == Stage::Remote {
+            work.load_left_s -= if replica.from == Stage::Remote {
                 seconds * speed
             } else {
                 seconds
             };
-            if work.left <= 0.0 {
+            if work.load_left_s <= 0.0 {
                 replica.state = State::Ready;
                 replica.ready = Some(self.now);
                 replica.used = self.now;
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Ends requests, and unloads replicas on their way out that have none.
-    fn end(&mut self) {
+    /// Ends requests, and removes retiring replicas that have none left.
+    fn end_requests(&mut self) {
         let now = self.now;
         for replica in &mut self.replicas {
             let work = self.work.entry(replica.replica).or_default();
@@ -189,7 +190,7 @@
         self.replicas.retain(|replica| !gone(replica));
     }
 
-    /// Gives waiting requests to ready replicas, the nearest deadline first.
+    /// Dispatches queued requests of each model and region to ready replicas, oldest first.
     fn dispatch(&mut self) {
         for (key, queue) in &mut self.queues {
             let slots = self.fleet.rules(&key.0).concurrency;
@@ -206,43 +207,45 @@
                 work.ends.push(self.now + waiting.call.service);
                 replica.running += 1;
                 replica.used = self.now;
-                self.stats.start(waiting.call.at, waiting.cold, self.now);
+                self.stats
+                    .record_start(waiting.call.at, waiting.cold, self.now);
                 queue.pop_front();
             }
         }
     }
 
-    /// Refuses requests at their deadline.
+    /// Refuses requests whose deadline has passed.
     fn refuse(&mut self) {
         for queue in self.queues.values_mut() {
             while queue.front().is_some_and(|w| w.deadline <= self.now) {
                 if let Some(waiting) = queue.pop_front() {
-                    self.stats.refuse(waiting.call.at, waiting.cold, self.now);
+                    self.stats
+                        .record_refusal(waiting.call.at, waiting.cold, self.now);
                 }
             }
         }
         self.queues.retain(|_, queue| !queue.is_empty());
     }
 
-    /// A worker dies: its accelerator and host memory are lost, its disk is not.
-    pub fn kill(&mut self, worker: usize) {
+    /// Fails a worker: its accelerator and host memory are lost, its disk is not.
+    pub fn fail(&mut self, worker: usize) {
         let target = self.workers[worker].target.clone();
         self.workers[worker].open = false;
         self.workers[worker].free = self.workers[worker].memory;
-        self.hosts[worker].restart();
+        self.caches[worker].lose_host_memory();
         self.replicas.retain(|replica| replica.target != target);
     }
 
-    /// A dead worker comes back.
-    pub fn revive(&mut self, worker: usize) {
+    /// Brings a failed worker back.
+    pub fn restore(&mut self, worker: usize) {
         self.workers[worker].open = true;
     }
 
-    /// What the planner is shown.
+    /// Returns the planner's input.
     pub fn picture(&mut self) -> Picture {
         let mut workers = self.workers.clone();
-        for (worker, host) in workers.iter_mut().zip(&self.hosts) {
-            worker.copies = host.copies();
+        for (worker, caches) in workers.iter_mut().zip(&self.caches) {
+            worker.copies = caches.copies();
         }
         let arrivals = std::mem::take(&mut self.arrivals);
         let mut demand: BTreeMap<(ModelId, RegionId), Demand> = BTreeMap::new();
@@ -273,7 +276,7 @@
         }
     }
 
-    /// Carries a decision out.
+    /// Carries out a decision.
     pub fn apply(&mut self, decision: &Decision) {
         match &decision.action {
             Action::Load {
@@ -285,7 +288,7 @@
                 let Some(worker) = self.workers.iter().position(|w| w.target == *target) else {
                     return;
                 };
-                self.begin(worker, model, version.clone(), *bytes);
+                self.start_load(worker, model, version.clone(), *bytes);
             }
             Action::Unload { replica } => {
                 let mut replicas = self.replicas.iter_mut();
@@ -303,22 +306,22 @@
                 let position = self.workers.iter().position(|w| w.target == *target);
                 let bytes = self.fleet.model(model).map(|model| model.bytes);
                 if let (Some(worker), Some(bytes)) = (position, bytes) {
-                    self.hosts[worker].memory.add(model, bytes);
+                    self.caches[worker].memory.add(model, bytes);
                 }
             }
         }
     }
 
-    /// Begins a load.
-    fn begin(&mut self, worker: usize, model: &ModelId, version: Option<Name>, bytes: u64) {
-        let host = &mut self.hosts[worker];
-        let from = host.stage(model);
-        host.disk.add(model, bytes);
-        host.memory.add(model, bytes);
-        self.stats.load(from, self.now);
+    /// Starts a load.
+    fn start_load(&mut self, worker: usize, model: &ModelId, version: Option<Name>, bytes: u64) {
+        let caches = &mut self.caches[worker];
+        let from = caches.nearest_stage(model);
+        caches.disk.add(model, bytes);
+        caches.memory.add(model, bytes);
+        self.stats.record_load(from, self.now);
         self.workers[worker].free -= bytes;
         let work = Work {
-            left: seconds(&self.fleet, bytes, from),
+            load_left_s: load_seconds(&self.fleet, bytes, from),
             ends: Vec::new(),
         };
         self.work.insert(self.next, work);
@@ -340,7 +343,7 @@
     }
 }
 
-/// A row of demand with nothing in it.
+/// Creates an empty row of demand.
 fn row(key: &(ModelId, RegionId)) -> Demand {
     Demand {
         model: key.0.clone(),
@@ -355,8 +358,8 @@
     }
 }
 
-/// Seconds that a load takes at full speed.
-fn seconds(fleet: &Fleet, bytes: u64, from: Stage) -> f64 {
+/// Returns the duration of a load at full speed, in seconds.
+fn load_seconds(fleet: &Fleet, bytes: u64, from: Stage) -> f64 {
     let ms = match from {
         Stage::Remote => fleet.loading.remote_ms_per_gib,
         Stage::Disk => fleet.loading.disk_ms_per_gib,
--- a/crates/planner/examples/scale.rs
+++ b/crates/planner/examples/scale.rs
@@ -1,4 +1,4 @@
-//! The processor time of one plan at growing fleets, and its slope a worker.
+//! Measures the CPU time of one plan for fleets of growing size, and its slope per worker.
 //!
 //! `cargo run --release -p cornelhitch-planner --example scale`
 
@@ -20,26 +20,26 @@
 const ADAPTERS: usize = 1_700;
 const REGIONS: [&str; 3] = ["perth-a", "bunbury-a", "kalgoorlie-a"];
 const ZONES: usize = 11;
-/// Workers, and accelerators over all of them.
+/// Numbers of workers, and of accelerators in all of them.
 const SIZES: [(usize, u32); 4] = [
     (990, 3_880),
     (1_980, 7_760),
     (3_950, 15_500),
     (7_900, 31_000),
 ];
-/// Plans at each size.
+/// Plans computed for each size.
 const PLANS: u32 = 200;
-/// The time between two plans.
+/// Time between two plans.
 const PERIOD: Duration = Duration::from_millis(500);
 
-/// Processor time of this thread in nanoseconds, which a busy machine does not stretch.
-fn processor() -> u64 {
+/// Returns the CPU time of this thread in nanoseconds, which does not depend on other load.
+fn thread_cpu_ns() -> u64 {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("Linux");
     let first = text.split_whitespace().next().expect("three fields");
     first.parse().expect("nanoseconds")
 }
 
-/// The settings of a large fleet.
+/// Returns the settings of a large fleet.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::default();
     fleet.loading.starts_per_second = 40.0;
@@ -64,7 +64,7 @@
     fleet
 }
 
-/// A fleet with a replica on about every worker, and copies on disks.
+/// Creates a fleet with a replica on every worker and random copies on disk.
 fn picture(workers: usize, accelerators: u32, random: &mut SmallRng) -> Picture {
     let fleet = fleet();
     let each = accelerators / u32::try_from(workers).expect("a small count");
@@ -107,7 +107,7 @@
     picture
 }
 
-/// Demand of every model from every region; a third of the models waits.
+/// Generates demand for every model from every region; requests wait for about a third of the models.
 fn demand(picture: &mut Picture, now: Duration, random: &mut SmallRng) {
     let most = u32::try_from(picture.workers.len() / 20).expect("a small count");
     picture.demand.clear();
@@ -134,7 +134,7 @@
     }
 }
 
-/// Carries decisions out: what was loading is ready, what was on its way out is gone.
+/// Applies decisions, after finishing the loads and unloads of the previous plan.
 fn apply(picture: &mut Picture, decisions: &[Decision], now: Duration) {
     let gone = |replica: &Replica| replica.state == State::Retiring;
     for replica in picture
@@ -171,7 +171,7 @@
     }
 }
 
-/// Begins a load.
+/// Starts a load.
 fn load(picture: &mut Picture, model: &str, target: &str, bytes: u64, now: Duration) {
     let place = picture
         .workers
@@ -199,7 +199,7 @@
 }
 
 fn main() {
-    println!("| workers | accelerators | mean ms a plan | decisions a plan |");
+    println!("| workers | accelerators | mean ms per plan | decisions per plan |");
     println!("| --- | --- | --- | --- |");
     let mut points: Vec<(f64, f64)> = Vec::new();
     for (workers, accelerators) in SIZES {
@@ -214,23 +214,23 @@
             for replica in picture.replicas.iter_mut().step_by(2) {
                 replica.used = now;
             }
-            let start = processor();
+            let start = thread_cpu_ns();
             let decided = policy.plan(&picture, now);
-            spent += processor() - start;
+            spent += thread_cpu_ns() - start;
             decisions += decided.len();
             apply(&mut picture, &decided, now);
         }
         let plans = f64::from(PLANS);
         let mean_ms = Duration::from_nanos(spent).as_secs_f64() * 1_000.0 / plans;
-        let a_plan = f64::from(u32::try_from(decisions).unwrap_or(u32::MAX)) / plans;
-        println!("| {workers} | {accelerators} | {mean_ms:.2} | {a_plan:.1} |");
+        let decisions_per_plan = f64::from(u32::try_from(decisions).unwrap_or(u32::MAX)) / plans;
+        println!("| {workers} | {accelerators} | {mean_ms:.2} | {decisions_per_plan:.1} |");
         let workers = f64::from(u32::try_from(workers).expect("a small count"));
         points.push((workers / 1_000.0, mean_ms));
     }
-    println!("\nslope: {:.3} ms a thousand workers", slope(&points));
+    println!("\nslope: {:.3} ms per thousand workers", slope(&points));
 }
 
-/// The slope of the line with the least squares.
+/// Returns the slope of the least-squares line.
 fn slope(points: &[(f64, f64)]) -> f64 {
     let count = f64::from(u32::try_from(points.len()).expect("a small count"));
     let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
--- a/crates/planner/src/baseline.rs
+++ b/crates/planner/src/baseline.rs
@@ -1,77 +1,78 @@
-//! Keeping policies to compare with: for ever, time-outs, and evict-when-full.
+//! Keep-alive policies to compare with: never unload, fixed idle timeouts, and evict when full.
 //!
-//! All of them share the real planner's placing and loading, so that a
-//! difference between them comes from keeping alone.
+//! All of them share the planner's placement and loading, so that a difference between them comes
+//! from keep-alive alone.
 
 use std::time::Duration;
 
-use crate::keep::{Facts, Keep, Verdict};
+use crate::keep_alive::{KeepAlive, KeepAliveInputs, KeepAlivePolicy};
 
-/// Keeps every replica for ever and pushes none out.
+/// Never unloads or evicts a replica.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Forever;
+pub struct NeverUnload;
 
-/// Unloads a replica once it has been idle for a fixed time.
+/// Unloads a replica after a fixed idle time.
 #[derive(Debug, Clone, Copy)]
-pub struct Timeout {
-    /// The time.
+pub struct IdleTimeout {
+    /// The idle time after which a replica is unloaded.
     pub after: Duration,
 }
 
-/// Unloads a replica only when its memory is needed: the one used longest ago.
+/// Unloads a replica only when its memory is needed, the least recently used first.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Full;
+pub struct LeastRecentlyUsed;
 
-/// The verdict that keeps a replica for as long as can be.
-const KEEP: Verdict = Verdict {
+/// Keeps a replica indefinitely.
+const KEEP_INDEFINITELY: KeepAlive = KeepAlive {
     keep: Duration::MAX,
-    chance: 1.0,
+    call_probability: 1.0,
     cost: 0.0,
 };
 
-impl Keep for Forever {
-    fn verdict(&self, _facts: &Facts) -> Verdict {
-        KEEP
+impl KeepAlivePolicy for NeverUnload {
+    fn keep_alive(&self, _inputs: &KeepAliveInputs) -> KeepAlive {
+        KEEP_INDEFINITELY
     }
 
-    fn price(&self, _facts: &Facts) -> Option<Duration> {
+    fn eviction_cost(&self, _inputs: &KeepAliveInputs) -> Option<Duration> {
         None
     }
 
-    fn surplus(&self) -> Option<Duration> {
+    fn surplus_timeout(&self) -> Option<Duration> {
         None
     }
 }
 
-impl Keep for Timeout {
-    fn verdict(&self, facts: &Facts) -> Verdict {
-        Verdict::fixed(self.after.saturating_sub(facts.idle))
+impl KeepAlivePolicy for IdleTimeout {
+    fn keep_alive(&self, inputs: &KeepAliveInputs) -> KeepAlive {
+        KeepAlive::fixed(self.after.saturating_sub(inputs.idle))
     }
 
-    fn price(&self, facts: &Facts) -> Option<Duration> {
-        Some(oldest(facts))
+    fn eviction_cost(&self, inputs: &KeepAliveInputs) -> Option<Duration> {
+        Some(least_recently_used_cost(inputs))
     }
 
-    fn surplus(&self) -> Option<Duration> {
+    fn surplus_timeout(&self) -> Option<Duration> {
         Some(self.after)
     }
 }
 
-impl Keep for Full {
-    fn verdict(&self, _facts: &Facts) -> Verdict {
-        KEEP
+impl KeepAlivePolicy for LeastRecentlyUsed {
+    fn keep_alive(&self, _inputs: &KeepAliveInputs) -> KeepAlive {
+        KEEP_INDEFINITELY
     }
 
-    fn price(&self, facts: &Facts) -> Option<Duration> {
-        Some(oldest(facts))
+    fn eviction_cost(&self, inputs: &KeepAliveInputs) -> Option<Duration> {
+        Some(least_recently_used_cost(inputs))
     }
 
-    fn surplus(&self) -> Option<Duration> {
+    fn surplus_timeout(&self) -> Option<Duration> {
         None
     }
 }
 
-/// A small price that falls with the idle time, so that the one used longest ago goes first.
-fn oldest(facts: &Facts) -> Duration {
-    Duration::from_secs(1).div_f64(1.0 + facts.idle.as_secs_f64())
+/// Returns a small cost that falls with the idle time, so that the least recently used replica is
+/// evicted first.
+fn least_recently_used_cost(inputs: &KeepAliveInputs) -> Duration {
+    Duration::from_secs(1).div_f64(1.0 + inputs.idle.as_secs_f64())
 }
--- a/crates/planner/src/catalog.rs
+++ b/crates/planner/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The settings, indexed by model.
+//! The settings in force, indexed by model.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,17 +6,19 @@
 use cornelhitch_settings::fleet::{Fleet, Model, Rules};
 use cornelhitch_types::id::{ModelId, Name};
 
-/// What the settings say of one model.
+/// The settings of one model.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Entry {
-    /// The model.
+pub struct ModelEntry {
+    /// The model as declared.
     pub model: Model,
-    /// Defaults with exceptions counted in.
+    /// The default rules with the model's exceptions applied.
     pub rules: Rules,
-    /// Whether the planner may load and unload it.
+    /// Whether the planner may load and unload the model.
     pub managed: bool,
-    /// Whether its class may be moved or queued for the sake of others.
+    /// Whether the model's class tolerates delay: its busy replicas may be evicted for requests of
+    /// a heavier class.
     pub patient: bool,
+    /// The weight of the model's class, at least 1.
     /// The weight of its class.
     pub weight: u32,
 }
@@ -25,11 +27,11 @@
 #[derive(Debug, Default)]
 pub struct Catalog {
     fleet: Arc<Fleet>,
-    entries: BTreeMap<ModelId, Entry>,
+    entries: BTreeMap<ModelId, ModelEntry>,
 }
 
 impl Catalog {
-    /// Takes over settings, and does nothing where they are the ones it has.
+    /// Rebuilds the index if `fleet` is not the settings object that it was built from.
     pub fn refresh(&mut self, fleet: &Arc<Fleet>) {
         if Arc::ptr_eq(&self.fleet, fleet) {
             return;
@@ -38,38 +40,38 @@
         self.entries = fleet
             .models
             .iter()
-            .map(|model| (model.name.clone(), entry(fleet, model)))
+            .map(|model| (model.name.clone(), model_entry(fleet, model)))
             .collect();
     }
 
-    /// The settings.
+    /// Returns the settings that the index was built from.
     #[must_use]
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// What the settings say of a model.
+    /// Returns the settings of a model, or `None` if it is not declared.
     #[must_use]
-    pub fn get(&self, model: &str) -> Option<&Entry> {
+    pub fn get(&self, model: &str) -> Option<&ModelEntry> {
         self.entries.get(model)
     }
 
-    /// Every model, in the order of names.
-    pub fn iter(&self) -> impl Iterator<Item = &Entry> {
+    /// Iterates over all models in order of name.
+    pub fn iter(&self) -> impl Iterator<Item = &ModelEntry> {
         self.entries.values()
     }
 
-    /// The version that a request gets which names none.
+    /// Returns the version that serves requests which name no version.
     #[must_use]
-    pub fn version(&self, model: &str) -> Option<Name> {
+    pub fn default_version(&self, model: &str) -> Option<Name> {
         self.get(model)?.model.version.clone()
     }
 }
 
-/// What the settings say of one model.
-fn entry(fleet: &Fleet, model: &Model) -> Entry {
+/// Resolves the class, group and exceptions of a model.
+fn model_entry(fleet: &Fleet, model: &Model) -> ModelEntry {
     let class = model.class.as_ref().and_then(|name| fleet.class(name));
-    Entry {
+    ModelEntry {
         model: model.clone(),
         rules: fleet.rules(&model.name),
         managed: fleet.managed(model),
--- a/crates/planner/src/decision.rs
+++ b/crates/planner/src/decision.rs
@@ -1,74 +1,74 @@
-//! What the planner decides.
+//! Decisions of the planner and their reasons.
 
 use cornelhitch_types::id::{ModelId, Name, ReplicaId, TargetId};
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumIter};
 
-/// One decision with its reason.
+/// An action together with its reason.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Decision {
-    /// What to do.
+    /// The action to carry out.
     pub action: Action,
-    /// Why.
+    /// The category of the reason.
     pub reason: Reason,
-    /// The figures that decided, in one sentence for operators.
+    /// The figures behind the decision, as one sentence for operators.
     pub detail: Name,
 }
 
-/// What to do.
+/// A change to the models that a worker holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
     /// Reserve memory for a new replica and load it.
     Load {
-        /// The model.
+        /// The model to load.
         model: ModelId,
-        /// The version.
+        /// The version to load; `None` if the model has no versions.
         version: Option<Name>,
-        /// The worker.
+        /// The worker to load it on.
         target: TargetId,
         /// Memory to reserve, in bytes.
         bytes: u64,
     },
-    /// Send a replica nothing new, and unload it once its requests have ended.
+    /// Drain a replica: route no new requests to it and unload it once its requests have ended.
     Unload {
-        /// The replica.
+        /// The replica to unload.
         replica: ReplicaId,
     },
     /// Load an adapter onto a ready replica.
     Adapter {
-        /// The replica.
+        /// The replica that gets the adapter.
         replica: ReplicaId,
-        /// The adapter.
+        /// The adapter to load.
         adapter: Name,
     },
-    /// Bring a model to a worker's host memory or disk.
+    /// Copy a model's weights to a worker's host memory or disk.
     Warm {
-        /// The model.
+        /// The model whose weights are copied.
         model: ModelId,
-        /// The worker.
+        /// The worker that gets the copy.
         target: TargetId,
     },
 }
 
-/// Why a decision was made.
+/// The reason for a decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Display, EnumIter)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reason {
-    /// Requests wait and there is no replica.
+    /// Requests are waiting and the model has no replica.
     Waiting,
-    /// Requests wait and the replicas cannot meet their deadlines.
+    /// Requests are waiting and the existing replicas cannot meet their deadlines.
     Burst,
-    /// A call is expected soon enough to be worth the accelerator.
+    /// A request is expected soon enough to justify holding the accelerator.
     Expected,
-    /// Keeping it costs more than its next cold start.
+    /// Keeping the idle replica costs more than its next cold start.
     Idle,
-    /// Its memory is needed for waiting requests.
+    /// The memory of the replica is needed for waiting requests.
     Preempted,
-    /// There are more replicas than the demand needs.
+    /// The model has more replicas than its demand needs.
     Surplus,
-    /// The settings no longer allow it.
+    /// The settings no longer allow the replica.
     Settings,
-    /// The version in force changed.
+    /// Another version of the model is in force.
     Version,
 }
--- a/crates/planner/src/need.rs
+++ b/crates/planner/src/demand.rs
@@ -1,4 +1,4 @@
-//! The demand of all regions for one model and version.
+//! The demand for one model and version, summed over all regions.
 
 use std::collections::BTreeMap;
 
@@ -9,40 +9,40 @@
 
 /// A model in one version.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key {
-    /// The model.
+pub struct ModelVersion {
+    /// The model's id.
     pub model: ModelId,
-    /// The version, or none where the model has none.
+    /// The version; `None` if the model has no versions.
     pub version: Option<Name>,
 }
 
-/// What waits and runs for one model and version.
+/// The requests for one model and version.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Need {
+pub struct ModelDemand {
     /// The model and version.
-    pub key: Key,
-    /// Requests that wait.
+    pub key: ModelVersion,
+    /// Requests waiting for a replica.
     pub waiting: u32,
     /// Requests in progress.
     pub running: u32,
-    /// Requests that arrived since the last call.
+    /// Requests that arrived since the last call of the planner.
     pub arrivals: u64,
-    /// The nearest deadline of a waiting request.
+    /// The earliest deadline of the waiting requests; [`Time::MAX`] if none waits.
     pub deadline: Time,
-    /// The largest weight among waiting requests, at least 1.
+    /// The largest weight of the waiting requests, at least 1.
     pub weight: u32,
-    /// The region where most requests wait.
+    /// The region with the most waiting requests.
     pub region: RegionId,
     /// Adapters that waiting requests name.
     pub adapters: Vec<Name>,
-    /// Waiting requests of `region`.
-    most: u32,
+    /// The number of requests waiting in `region`.
+    waiting_in_region: u32,
 }
 
-impl Need {
-    /// No request yet, for a call that is expected from a region.
+impl ModelDemand {
+    /// Creates a demand without requests, for a model that is expected to be called from `region`.
     #[must_use]
-    pub fn expected(key: Key, region: RegionId) -> Self {
+    pub fn expected(key: ModelVersion, region: RegionId) -> Self {
         Self {
             key,
             waiting: 0,
@@ -52,7 +52,7 @@
             weight: 1,
             region,
             adapters: Vec::new(),
-            most: 0,
+            waiting_in_region: 0,
         }
     }
 
@@ -66,8 +66,8 @@
         }
         self.deadline = self.deadline.min(demand.deadline);
         self.weight = self.weight.max(demand.weight);
-        if demand.waiting > self.most {
-            self.most = demand.waiting;
+        if demand.waiting > self.waiting_in_region {
+            self.waiting_in_region = demand.waiting;
             self.region = demand.region.clone();
         }
         for adapter in &demand.adapters {
@@ -77,25 +77,25 @@
         }
     }
 
-    /// Time left before the nearest deadline, shorter for heavier classes.
+    /// Returns the time left before the earliest deadline, divided by the class weight.
     #[must_use]
     pub fn urgency(&self, now: Time) -> Time {
         self.deadline.saturating_sub(now) / self.weight.max(1)
     }
 }
 
-/// The demand of all regions, one row a model and version, in the order of names.
+/// Sums the demand of all regions, one entry for each model and version, sorted.
 #[must_use]
-pub fn needs(demand: &[Demand], catalog: &Catalog) -> Vec<Need> {
-    let mut needs: BTreeMap<Key, Need> = BTreeMap::new();
+pub fn aggregate_demand(demand: &[Demand], catalog: &Catalog) -> Vec<ModelDemand> {
+    let mut demands: BTreeMap<ModelVersion, ModelDemand> = BTreeMap::new();
     for row in demand {
         let version = row.version.clone();
-        let key = Key {
+        let key = ModelVersion {
             model: row.model.clone(),
-            version: version.or_else(|| catalog.version(&row.model)),
+            version: version.or_else(|| catalog.default_version(&row.model)),
         };
-        let fresh = || Need::expected(key.clone(), row.region.clone());
-        needs.entry(key.clone()).or_insert_with(fresh).add(row);
+        let fresh = || ModelDemand::expected(key.clone(), row.region.clone());
+        demands.entry(key.clone()).or_insert_with(fresh).add(row);
     }
-    needs.into_values().collect()
+    demands.into_values().collect()
 }
--- a/crates/planner/src/gap.rs
+++ b/crates/planner/src/gap.rs
@@ -1,90 +1,90 @@
 //! A decayed histogram of idle gaps.
 //!
-//! Keeping and loading ahead by a histogram of idle times follows Shahrad et
-//! al., "Serverless in the Wild" (USENIX ATC 2020), with a prior in place of
-//! their fall-back for functions with few calls.
+//! Keeping and preloading by a histogram of idle times follows Shahrad et al.,
+//! "Serverless in the Wild" (USENIX ATC 2020), with a prior in place of their
+//! fallback for functions with few invocations.
 
 use std::time::Duration;
 
-/// Gaps below this belong to one call.
-pub const LEAST: Duration = Duration::from_secs(2);
-/// Buckets; each is [`GROWTH`] times as wide as the one before.
-const BUCKETS: usize = 36;
-/// The growth of the buckets.
-const GROWTH: f64 = std::f64::consts::SQRT_2;
-/// How much a new gap weakens those before it.
+/// Shorter gaps count as part of the same burst.
+pub const MIN_GAP: Duration = Duration::from_secs(2);
+/// Number of buckets; each is [`BUCKET_GROWTH`] times as wide as the one before.
+const BUCKET_COUNT: usize = 36;
+/// Ratio of the widths of adjacent buckets.
+const BUCKET_GROWTH: f64 = std::f64::consts::SQRT_2;
+/// Factor by which each new gap discounts the earlier ones.
 const DECAY: f64 = 0.98;
-/// The weight of the prior, in gaps.
-const PRIOR: f64 = 1.0;
+/// Weight of the uniform prior, in gaps.
+const PRIOR_WEIGHT: f64 = 1.0;
 
 /// A decayed histogram of idle gaps.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Gaps {
-    counts: [f64; BUCKETS],
-    /// Gaps seen, decayed.
+pub struct GapHistogram {
+    counts: [f64; BUCKET_COUNT],
+    /// The decayed number of recorded gaps.
     pub weight: f64,
 }
 
-impl Default for Gaps {
+impl Default for GapHistogram {
     fn default() -> Self {
         Self {
-            counts: [0.0; BUCKETS],
+            counts: [0.0; BUCKET_COUNT],
             weight: 0.0,
         }
     }
 }
 
-/// One bucket with its share of the gaps.
+/// A bucket and its share of the gaps.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bucket {
-    /// Where it begins, in seconds.
+    /// Lower bound in seconds.
     pub from: f64,
-    /// Where it ends, in seconds.
+    /// Upper bound in seconds.
     pub to: f64,
-    /// Its share of the gaps, not normalised.
+    /// Share of the gaps, not normalised.
     pub share: f64,
 }
 
-impl Gaps {
-    /// Adds a gap; a gap below [`LEAST`] is none, and false is returned.
+impl GapHistogram {
+    /// Records a gap; returns false and records nothing if it is shorter than [`MIN_GAP`].
     pub fn add(&mut self, gap: Duration) -> bool {
-        if gap < LEAST {
+        if gap < MIN_GAP {
             return false;
         }
         for count in &mut self.counts {
             *count *= DECAY;
         }
-        self.counts[bucket(gap)] += 1.0;
+        self.counts[bucket_index(gap)] += 1.0;
         self.weight = self.weight * DECAY + 1.0;
         true
     }
 
-    /// The buckets that are not over after an idle time, with the prior counted in.
+    /// Returns the buckets, with the prior added, that a gap of at least `idle` can still fall into.
     pub fn after(&self, idle: Duration) -> impl Iterator<Item = Bucket> + '_ {
         let idle = idle.as_secs_f64();
-        let prior = PRIOR / f64::from(u32::try_from(BUCKETS).unwrap_or(u32::MAX));
-        let mut from = LEAST.as_secs_f64();
+        let prior = PRIOR_WEIGHT / f64::from(u32::try_from(BUCKET_COUNT).unwrap_or(u32::MAX));
+        let mut from = MIN_GAP.as_secs_f64();
         self.counts.iter().filter_map(move |count| {
-            let to = from * GROWTH;
+            let to = from * BUCKET_GROWTH;
             let whole = Bucket {
                 from,
                 to,
                 share: count + prior,
             };
             from = to;
-            whole.rest(idle)
+            whole.beyond(idle)
         })
     }
 
-    /// How soon the next call is expected, given the idle time so far: 1 for at
-    /// once, one half for after the horizon, towards 0 for much later.
+    /// Returns how soon the next request is expected after `idle`: 1 for immediately, one half for
+    /// `horizon` from now, towards 0 for much later.
     #[must_use]
-    pub fn soon(&self, idle: Duration, horizon: Duration) -> f64 {
+    pub fn proximity(&self, idle: Duration, horizon: Duration) -> f64 {
         let horizon = horizon.as_secs_f64();
         let mut all = 0.0;
         let mut soon = 0.0;
         for bucket in self.after(idle) {
-            let left = bucket.middle() - idle.as_secs_f64();
+            let left = bucket.midpoint() - idle.as_secs_f64();
             all += bucket.share;
             soon += bucket.share * horizon / (horizon + left.max(0.0));
         }
@@ -93,8 +93,8 @@
 }
 
 impl Bucket {
-    /// What is left of a bucket after an idle time.
-    fn rest(self, idle: f64) -> Option<Self> {
+    /// Returns the part of the bucket beyond an idle time in seconds, or `None` if there is none.
+    fn beyond(self, idle: f64) -> Option<Self> {
         if idle <= self.from {
             return Some(self);
         }
@@ -109,22 +109,22 @@
         })
     }
 
-    /// The middle of the bucket.
+    /// Returns the midpoint in seconds.
     #[must_use]
-    pub fn middle(&self) -> f64 {
+    pub fn midpoint(&self) -> f64 {
         f64::midpoint(self.from, self.to)
     }
 }
 
-/// The bucket of a gap.
-fn bucket(gap: Duration) -> usize {
-    let mut to = LEAST.as_secs_f64() * GROWTH;
+/// Returns the index of the bucket that a gap falls into.
+fn bucket_index(gap: Duration) -> usize {
+    let mut to = MIN_GAP.as_secs_f64() * BUCKET_GROWTH;
     let gap = gap.as_secs_f64();
-    for index in 0..BUCKETS - 1 {
+    for index in 0..BUCKET_COUNT - 1 {
         if gap < to {
             return index;
         }
-        to *= GROWTH;
+        to *= BUCKET_GROWTH;
     }
-    BUCKETS - 1
+    BUCKET_COUNT - 1
 }
--- a/crates/planner/src/history.rs
+++ b/crates/planner/src/history.rs
@@ -1,66 +1,66 @@
-//! What is learned of the calls of one model.
+//! Statistics learned from the requests for one model.
 
 use std::time::Duration;
 
 use cornelhitch_types::id::{RegionId, Time};
 
-use crate::gap::Gaps;
-use crate::need::Need;
-use crate::number::{count, time};
+use crate::convert::{duration_from_secs, to_f64};
+use crate::demand::ModelDemand;
+use crate::gap::GapHistogram;
 
-/// How much one observation moves a learned average.
-const LEARNING: f64 = 0.2;
+/// Smoothing factor of the learned averages.
+const SMOOTHING: f64 = 0.2;
 
-/// The calls of one model.
+/// Statistics of the requests for one model.
 #[derive(Debug, Clone)]
-pub struct History {
-    /// Idle gaps between calls.
-    pub gaps: Gaps,
-    /// When it was last called, waited for or at work.
+pub struct RequestHistory {
+    /// Idle gaps between bursts of requests.
+    pub gaps: GapHistogram,
+    /// When a request last arrived, waited or was in progress.
     pub used: Option<Time>,
-    /// Requests that arrive while one call keeps the model busy.
+    /// Average number of requests in one burst; 0 before the first burst has ended.
     pub burst: f64,
-    /// Seconds that one request takes, by Little's law.
-    pub service: Option<f64>,
-    /// The region of its last call.
+    /// Average duration of a request in seconds, by Little's law; `None` before one has ended.
+    pub service_s: Option<f64>,
+    /// The region that most of the last waiting requests came from.
     pub region: Option<RegionId>,
-    /// How long its loads take, where one has been seen.
-    pub load: Option<Duration>,
-    /// Whether it was loaded ahead since its last call.
-    pub ahead: bool,
-    /// Requests since the model last woke up.
-    current: u64,
-    /// When the demand was last seen.
-    seen: Time,
-    /// Requests in the system when the demand was last seen.
-    inside: u64,
+    /// Average load time; `None` before a load has been seen.
+    pub load_time: Option<Duration>,
+    /// Whether the model was preloaded since its last request.
+    pub preloaded: bool,
+    /// Requests in the current burst.
+    current_burst: u64,
+    /// When the demand was last observed.
+    observed_at: Time,
+    /// Requests waiting or in progress when the demand was last observed.
+    in_system: u64,
 }
 
-impl Default for History {
+impl Default for RequestHistory {
     fn default() -> Self {
         Self {
-            gaps: Gaps::default(),
+            gaps: GapHistogram::default(),
             used: None,
             burst: 0.0,
-            service: None,
+            service_s: None,
             region: None,
-            load: None,
-            ahead: false,
-            current: 0,
-            seen: Time::ZERO,
-            inside: 0,
+            load_time: None,
+            preloaded: false,
+            current_burst: 0,
+            observed_at: Time::ZERO,
+            in_system: 0,
         }
     }
 }
 
-impl History {
-    /// Takes over the demand of the model.
-    pub fn observe(&mut self, need: &Need, now: Time) {
-        let inside = u64::from(need.waiting) + u64::from(need.running);
-        self.served(need, inside, now);
-        self.seen = now;
-        self.inside = inside;
-        if need.arrivals == 0 && inside == 0 {
+impl RequestHistory {
+    /// Updates the statistics from the current demand for the model.
+    pub fn observe(&mut self, demand: &ModelDemand, now: Time) {
+        let in_system = u64::from(demand.waiting) + u64::from(demand.running);
+        self.learn_service_time(demand, in_system, now);
+        self.observed_at = now;
+        self.in_system = in_system;
+        if demand.arrivals == 0 && in_system == 0 {
             return;
         }
         if let Some(used) = self.used {
@@ -69,53 +69,53 @@
                 self.learn_burst();
             }
         }
-        self.current = self.current.saturating_add(need.arrivals);
+        self.current_burst = self.current_burst.saturating_add(demand.arrivals);
         self.used = Some(now);
-        self.ahead = false;
-        if need.waiting > 0 {
-            self.region = Some(need.region.clone());
+        self.preloaded = false;
+        if demand.waiting > 0 {
+            self.region = Some(demand.region.clone());
         }
     }
 
-    /// Learns how long loads take.
-    pub fn loaded(&mut self, took: Duration) {
+    /// Updates the average load time with one finished load.
+    pub fn record_load(&mut self, took: Duration) {
         let took = took.as_secs_f64();
-        let known = self.load.map_or(took, |load| load.as_secs_f64());
-        self.load = Some(time(known + LEARNING * (took - known)));
+        let known = self.load_time.map_or(took, |load| load.as_secs_f64());
+        self.load_time = Some(duration_from_secs(known + SMOOTHING * (took - known)));
     }
 
-    /// Learns how many requests came with the last call.
+    /// Updates the average burst size with the burst that ended, and starts a new one.
     fn learn_burst(&mut self) {
-        let last = count(self.current);
+        let last = to_f64(self.current_burst);
         self.burst = if self.burst > 0.0 {
-            self.burst + LEARNING * (last - self.burst)
+            self.burst + SMOOTHING * (last - self.burst)
         } else {
             last
         };
-        self.current = 0;
+        self.current_burst = 0;
     }
 
-    /// Learns the time of one request from those that ended since the last look.
-    fn served(&mut self, need: &Need, inside: u64, now: Time) {
-        let ended = (self.inside + need.arrivals).saturating_sub(inside);
-        if ended == 0 || need.running == 0 {
+    /// Updates the average request duration from the requests that ended since the last call.
+    fn learn_service_time(&mut self, demand: &ModelDemand, in_system: u64, now: Time) {
+        let ended = (self.in_system + demand.arrivals).saturating_sub(in_system);
+        if ended == 0 || demand.running == 0 {
             return;
         }
-        let elapsed = now.saturating_sub(self.seen).as_secs_f64();
-        let seconds = elapsed * f64::from(need.running) / count(ended);
-        let known = self.service.unwrap_or(seconds);
-        self.service = Some(known + LEARNING * (seconds - known));
+        let elapsed = now.saturating_sub(self.observed_at).as_secs_f64();
+        let seconds = elapsed * f64::from(demand.running) / to_f64(ended);
+        let known = self.service_s.unwrap_or(seconds);
+        self.service_s = Some(known + SMOOTHING * (seconds - known));
     }
 
-    /// How long the model has been idle.
+    /// Returns the time since the last request, or since time zero if there was none.
     #[must_use]
     pub fn idle(&self, now: Time) -> Duration {
         self.used.map_or(now, |used| now.saturating_sub(used))
     }
 
-    /// Requests that a cold start is expected to hold up, at least 1.
+    /// Returns the number of requests that a cold start is expected to delay, at least 1.
     #[must_use]
-    pub fn hurt(&self) -> f64 {
+    pub fn delayed_requests(&self) -> f64 {
         self.burst.max(1.0)
     }
 }
--- a/crates/planner/src/hosting.rs
+++ b/crates/planner/src/hosting.rs
@@ -1,13 +1,13 @@
-//! Which models the workers of a service hold, where each worker takes one order at a time.
+//! Placement of models on the workers of one service, where each worker takes one order at a time.
 //!
-//! The load that this answers: many models of which most are asked for every few seconds, more of
-//! them than fit into accelerator memory, while the workers' disks hold several copies of each. A
-//! load from a disk takes well under a second, so what counts is that a request for a model that
-//! nobody holds finds a worker which has it near and gives up little for it, and that the models
-//! asked for most keep as many copies as their load needs.
+//! This policy is for services with many models, most of which are requested every few seconds.
+//! They do not all fit into accelerator memory, while the workers' disks hold several copies of
+//! each. A load from disk takes well under a second, so what matters is that a request for a model
+//! that no worker holds finds a worker which has its weights near and loses little by evicting
+//! another model, and that the most requested models keep as many copies as their load needs.
 
 mod mean;
-mod round;
+mod pass;
 mod scene;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,71 +17,71 @@
 use strum::Display;
 
 pub use self::mean::{Mean, Rate};
-use self::round::{Offer, Round, STORE_LANES, SWAMPED, cheapest};
-use self::scene::load;
+use self::pass::{Candidate, MAX_STORE_LOADS, PlanningPass, STORE_FETCH_LOAD_THRESHOLD, cheapest};
+use self::scene::load_per_copy;
 pub use self::scene::{Held, Scene, Wish, Worker};
 
-/// Requests on one copy beyond which another copy is wanted.
-const CROWDED: f64 = 4.0;
+/// Requests for each copy of a model above which another copy is wanted.
+const COPY_LOAD_THRESHOLD: f64 = 4.0;
 
-/// Requests a second for a model that only the weight store has, from which on it is fetched: one in
-/// the last 20 s.
-const ASKED: f64 = 0.02;
+/// Requests per second above which a model that only the weight store has is fetched: one in the last
+/// 20 s.
+const MIN_FETCH_RATE: f64 = 0.02;
 
-/// The most that may be lost for another copy of a crowded model.
-const RELIEF_COST: f64 = 4.0;
+/// The highest eviction loss that is accepted for another copy of an overloaded model.
+const MAX_SCALE_OUT_LOSS: f64 = 4.0;
 
-/// Loads from the weight store at once for models that nobody waits for.
-const STORE_SPARE: u32 = 1;
+/// Concurrent loads from the weight store up to which models that no request waits for are fetched.
+const MAX_SPECULATIVE_STORE_LOADS: u32 = 1;
 
-/// An order to one worker, and what decided it.
+/// An order to one worker, and the figures behind it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
-    /// The worker.
+    /// The worker that gets the order.
     pub target: TargetId,
-    /// What to do.
+    /// The change that is ordered.
     pub action: Action,
-    /// Why.
+    /// The reason for the order.
     pub reason: Reason,
-    /// The demand for the model that the order is about.
+    /// The demand for the model of the order.
     pub wish: Wish,
-    /// The copies of that model that take requests or will soon.
+    /// The copies of that model that serve requests or are being loaded.
     pub copies: u32,
 }
 
-/// What a worker shall do.
+/// A change to what a worker holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Load a model from where its weights are nearest.
+    /// Load a model from the worker's nearest copy of its weights.
     Load {
-        /// The model.
+        /// The model to load.
         model: ModelId,
-        /// Where from.
+        /// Where its weights are loaded from.
         from: Stage,
     },
     /// Unload a model.
     Unload {
-        /// The model.
+        /// The model to unload.
         model: ModelId,
     },
-    /// Load an adapter onto a model.
+    /// Load an adapter for a model.
     Adapter {
-        /// The model.
+        /// The base model.
         model: ModelId,
-        /// The adapter.
+        /// The adapter to load.
         adapter: Name,
     },
     /// Unload an adapter.
     DropAdapter {
-        /// The model.
+        /// The base model.
         model: ModelId,
-        /// The adapter.
+        /// The adapter to unload.
         adapter: Name,
     },
 }
 
 impl Action {
-    /// The model that it is about.
+    /// Returns the model that is loaded or unloaded, or the base model of the adapter.
     #[must_use]
     pub fn model(&self) -> &ModelId {
         match self {
@@ -93,53 +93,51 @@
     }
 }
 
-/// Why an order is given.
+/// The reason for an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Reason {
-    /// Requests wait and nothing holds the model, or its adapter.
+    /// Requests are waiting and no worker holds the model, or its adapter.
     Waiting,
-    /// The copies of the model have more requests than they run well together.
+    /// The copies of the model have more requests than they can serve well.
     Overloaded,
-    /// It makes room for another model or adapter.
+    /// Makes room for another model or adapter.
     Room,
-    /// There is room, and the model is expected to be asked for.
+    /// Memory is free and requests for the model are expected.
     Expected,
 }
 
-/// Decides which models workers hold.
+/// Decides which models the workers of a service hold.
 ///
 /// ```
 /// use cornelhitch_planner::hosting::Policy;
 ///
-/// assert!(Policy::default().rooms().is_empty());
+/// assert!(Policy::default().workers_making_room().is_empty());
 /// ```
 #[derive(Debug, Default)]
 pub struct Policy {
-    /// The model for which a worker makes room.
-    rooms: BTreeMap<TargetId, Plan>,
+    /// The loads that wait for an unload on the same worker.
+    planned_loads: BTreeMap<TargetId, PlannedLoad>,
 }
 
-/// A load that is to follow once there is room.
+/// A load that follows once the worker has room.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Plan {
-    /// The model.
+struct PlannedLoad {
     model: ModelId,
-    /// Why.
     reason: Reason,
 }
 
 impl Policy {
-    /// The workers that make room for a model.
+    /// Returns the workers that unload a model to make room for another.
     #[must_use]
-    pub fn rooms(&self) -> BTreeSet<&TargetId> {
-        self.rooms.keys().collect()
+    pub fn workers_making_room(&self) -> BTreeSet<&TargetId> {
+        self.planned_loads.keys().collect()
     }
 
-    /// The next orders, at most one a worker.
+    /// Returns the next orders, at most one for each worker.
     #[must_use]
     pub fn plan(&mut self, scene: &Scene) -> Vec<Step> {
-        let mut round = Round {
+        let mut pass = PlanningPass {
             scene,
             copies: scene.copies(),
             free: scene.workers.iter().map(Worker::is_free).collect(),
@@ -148,173 +146,173 @@
             store_open: scene.store_open,
         };
         let distant = scene.distant();
-        self.go_on(&mut round);
-        self.serve(&mut round, &distant);
-        round.adapters();
-        self.relieve(&mut round);
-        self.fetch(&mut round, &distant);
-        self.fill(&mut round);
-        round.steps
+        self.resume_planned_loads(&mut pass);
+        self.load_waiting(&mut pass, &distant);
+        pass.load_adapters();
+        self.scale_out(&mut pass);
+        self.fetch_from_store(&mut pass, &distant);
+        self.fill_free_memory(&mut pass);
+        pass.steps
     }
 
-    /// Goes on with loads that waited for room.
-    fn go_on(&mut self, round: &mut Round) {
-        let plans = std::mem::take(&mut self.rooms);
+    /// Continues loads that waited for room.
+    fn resume_planned_loads(&mut self, pass: &mut PlanningPass) {
+        let plans = std::mem::take(&mut self.planned_loads);
         for (target, plan) in plans {
-            let at = round
-                .scene
-                .workers
-                .iter()
-                .position(|it| it.target == target);
-            let Some(at) = at.filter(|at| round.scene.workers[*at].open) else {
+            let at = pass.scene.workers.iter().position(|it| it.target == target);
+            let Some(at) = at.filter(|at| pass.scene.workers[*at].open) else {
                 continue;
             };
-            if round.copies(&plan.model) > 0 && plan.reason != Reason::Overloaded {
+            if pass.copies(&plan.model) > 0 && plan.reason != Reason::Overloaded {
                 continue;
             }
-            if !round.free[at] {
-                self.rooms.insert(target, plan);
+            if !pass.free[at] {
+                self.planned_loads.insert(target, plan);
                 continue;
             }
-            if let Some(offer) = round.offer(at, &plan.model) {
-                self.take(round, offer, plan);
+            if let Some(candidate) = pass.candidate(at, &plan.model) {
+                self.accept(pass, candidate, plan);
             }
         }
     }
 
-    /// Gives models that are waited for and that nothing holds a worker, where one has them near.
-    fn serve(&mut self, round: &mut Round, distant: &BTreeSet<&ModelId>) {
-        let wishes = round.scene.wishes.iter();
-        let wishes = wishes.filter(|(model, wish)| wish.waiting > 0 && round.copies(model) == 0);
+    /// Places models that requests wait for and no worker holds, if some worker has them near.
+    fn load_waiting(&mut self, pass: &mut PlanningPass, distant: &BTreeSet<&ModelId>) {
+        let wishes = pass.scene.wishes.iter();
+        let wishes = wishes.filter(|(model, wish)| wish.waiting > 0 && pass.copies(model) == 0);
         let mut wanted: Vec<(&ModelId, &Wish)> = wishes
             .filter(|(model, _)| !self.is_planned(model) && !distant.contains(model))
             .collect();
         wanted.sort_by_key(|(_, wish)| wish.slack);
         for (model, _) in wanted {
-            self.get(round, model);
+            self.place(pass, model);
         }
     }
 
-    /// Fetches models that only the weight store has.
+    /// Fetches models that only the weight store has, the most requested first.
     ///
-    /// Such a load lasts longer than most requests can wait, so it is for those to come, and the
-    /// model that most of them ask for goes first.
-    fn fetch(&mut self, round: &mut Round, distant: &BTreeSet<&ModelId>) {
+    /// Such a load takes longer than most requests can wait, so it serves future requests: the
+    /// order follows the request rate.
+    fn fetch_from_store(&mut self, pass: &mut PlanningPass, distant: &BTreeSet<&ModelId>) {
         let wishes = distant.iter().filter_map(|model| {
-            let wish = round.scene.wishes.get(*model)?;
+            let wish = pass.scene.wishes.get(*model)?;
             Some((*model, wish))
         });
         let mut wanted: Vec<(&ModelId, &Wish)> = wishes
-            .filter(|(model, wish)| wish.rate > ASKED && !self.is_planned(model))
+            .filter(|(model, wish)| wish.rate > MIN_FETCH_RATE && !self.is_planned(model))
             .collect();
         wanted.sort_by(|one, other| other.1.rate.total_cmp(&one.1.rate));
         for (model, _) in wanted {
-            if round.fetching >= STORE_LANES || !round.store_open {
+            if pass.fetching >= MAX_STORE_LOADS || !pass.store_open {
                 return;
             }
-            self.get(round, model);
+            self.place(pass, model);
         }
     }
 
-    /// Gives a model the worker to which it costs the least, once that one takes an order.
+    /// Places a model on the worker with the least cost, provided that it takes an order now.
     ///
-    /// Where a worker that is busy has the weights near, waiting for it is the shortest way.
-    fn get(&mut self, round: &mut Round, model: &ModelId) {
-        let offer = round.best(model).filter(|offer| round.free[offer.at]);
-        if let Some(offer) = offer {
-            let plan = Plan {
+    /// If the cheapest worker is busy but has the weights near, waiting for it is faster than
+    /// loading the model elsewhere.
+    fn place(&mut self, pass: &mut PlanningPass, model: &ModelId) {
+        let candidate = pass.best(model).filter(|candidate| pass.free[candidate.at]);
+        if let Some(candidate) = candidate {
+            let plan = PlannedLoad {
                 model: model.clone(),
                 reason: Reason::Waiting,
             };
-            self.take(round, offer, plan);
+            self.accept(pass, candidate, plan);
         }
     }
 
-    /// Gives models whose copies have too many requests another one.
-    fn relieve(&mut self, round: &mut Round) {
-        for (model, wish) in &round.scene.wishes {
-            let copies = round.copies(model);
-            let crowd = load(wish, copies);
-            // No more copies come at once than there are, so that their effect shows.
-            let enough = round.scene.coming(model) * 2 >= copies;
-            if enough || crowd <= CROWDED || self.is_planned(model) {
+    /// Adds a copy for each model whose copies have too many requests.
+    fn scale_out(&mut self, pass: &mut PlanningPass) {
+        for (model, wish) in &pass.scene.wishes {
+            let copies = pass.copies(model);
+            let copy_load = load_per_copy(wish, copies);
+            // At most as many copies are being loaded as are serving, so that their effect shows.
+            let ramping_up = pass.scene.loading_count(model) * 2 >= copies;
+            if ramping_up || copy_load <= COPY_LOAD_THRESHOLD || self.is_planned(model) {
                 continue;
             }
-            let offers = round.free_offers(model).filter(|offer| {
-                let fetched = crowd > SWAMPED;
-                offer.loss < RELIEF_COST && (offer.from >= Stage::Disk || fetched)
+            let candidates = pass.free_candidates(model).filter(|candidate| {
+                let fetched = copy_load > STORE_FETCH_LOAD_THRESHOLD;
+                candidate.loss < MAX_SCALE_OUT_LOSS && (candidate.from >= Stage::Disk || fetched)
             });
-            if let Some(offer) = cheapest(offers) {
-                let plan = Plan {
+            if let Some(candidate) = cheapest(candidates) {
+                let plan = PlannedLoad {
                     model: model.clone(),
                     reason: Reason::Overloaded,
                 };
-                self.take(round, offer, plan);
+                self.accept(pass, candidate, plan);
             }
         }
     }
 
-    /// Uses room that is left: for models that nothing holds, then for those with the fewest
-    /// copies near.
-    fn fill(&mut self, round: &mut Round) {
-        let mut roomy = round.roomy();
-        if roomy.is_empty() {
+    /// Fills free memory: first with models that no worker holds, then with those that the fewest
+    /// workers have near.
+    fn fill_free_memory(&mut self, pass: &mut PlanningPass) {
+        let mut with_room = pass.workers_with_room();
+        if with_room.is_empty() {
             return;
         }
-        let near = round.scene.nearby();
-        // What is waited for goes where it is served the soonest, even if that worker is busy now.
-        let waited = |model| {
-            let wish = round.scene.wishes.get(model);
-            round.copies(model) == 0 && wish.is_some_and(|wish| wish.waiting > 0)
+        let near = pass.scene.nearby_counts();
+        // A model with waiting requests goes where it is ready first, even if that worker is busy.
+        let has_waiting = |model| {
+            let wish = pass.scene.wishes.get(model);
+            pass.copies(model) == 0 && wish.is_some_and(|wish| wish.waiting > 0)
         };
-        let models = round.scene.models.keys();
-        let models = models.filter(|model| !self.is_planned(model) && !waited(model));
+        let models = pass.scene.models.keys();
+        let models = models.filter(|model| !self.is_planned(model) && !has_waiting(model));
         let mut models: Vec<(&ModelId, (u32, usize, u64))> = models
             .map(|model| {
-                let copies = round.copies(model).min(1);
+                let copies = pass.copies(model).min(1);
                 let nearby = near.get(model).copied().unwrap_or(0);
-                (model, (copies, nearby, round.scene.calm(model)))
+                (
+                    model,
+                    (copies, nearby, pass.scene.request_interval_ms(model)),
+                )
             })
             .collect();
         models.sort_by_key(|(_, order)| *order);
         for (model, _) in models {
-            let offers = roomy.iter().filter_map(|at| round.offer(*at, model));
-            let offers = offers.filter(|offer| offer.victim.is_none());
-            let Some(offer) = cheapest(offers) else {
+            let candidates = with_room.iter().filter_map(|at| pass.candidate(*at, model));
+            let candidates = candidates.filter(|candidate| candidate.victim.is_none());
+            let Some(candidate) = cheapest(candidates) else {
                 continue;
             };
-            if offer.from >= Stage::Disk || round.fetching < STORE_SPARE {
-                let plan = Plan {
+            if candidate.from >= Stage::Disk || pass.fetching < MAX_SPECULATIVE_STORE_LOADS {
+                let plan = PlannedLoad {
                     model: model.clone(),
                     reason: Reason::Expected,
                 };
-                roomy.retain(|at| *at != offer.at);
-                self.take(round, offer, plan);
+                with_room.retain(|at| *at != candidate.at);
+                self.accept(pass, candidate, plan);
             }
-            if roomy.is_empty() {
+            if with_room.is_empty() {
                 return;
             }
         }
     }
 
-    /// Takes an offer: loads, or makes room first.
-    fn take(&mut self, round: &mut Round, offer: Offer, plan: Plan) {
-        let target = round.scene.workers[offer.at].target.clone();
-        if let Some(model) = offer.victim {
-            round.give(offer.at, Action::Unload { model }, Reason::Room);
-            self.rooms.insert(target, plan);
+    /// Acts on a candidate: loads the model, or unloads another one first.
+    fn accept(&mut self, pass: &mut PlanningPass, candidate: Candidate, plan: PlannedLoad) {
+        let target = pass.scene.workers[candidate.at].target.clone();
+        if let Some(model) = candidate.victim {
+            pass.order(candidate.at, Action::Unload { model }, Reason::Room);
+            self.planned_loads.insert(target, plan);
             return;
         }
-        if offer.from < Stage::Disk {
-            round.fetching += 1;
-            round.store_open = false;
+        if candidate.from < Stage::Disk {
+            pass.fetching += 1;
+            pass.store_open = false;
         }
-        let (model, from) = (plan.model, offer.from);
-        round.give(offer.at, Action::Load { model, from }, plan.reason);
+        let (model, from) = (plan.model, candidate.from);
+        pass.order(candidate.at, Action::Load { model, from }, plan.reason);
     }
 
-    /// Whether a worker makes room for a model.
+    /// Returns whether a worker is making room for the model.
     fn is_planned(&self, model: &ModelId) -> bool {
-        self.rooms.values().any(|plan| plan.model == *model)
+        self.planned_loads.values().any(|plan| plan.model == *model)
     }
 }
--- /dev/null
+++ b/crates/planner/src/hosting/pass.rs
@@ -0,0 +1,260 @@
+//! One planning pass: the cost of placing a model on a worker, and the orders given so far.
+
+use std::collections::BTreeMap;
+
+use cornelhitch_types::id::{ModelId, Name};
+use cornelhitch_types::target::Stage;
+
+use super::scene::{DEMAND_HORIZON_S, Held, Scene, Wish, Worker};
+use super::{Action, Reason, Step};
+
+/// Requests for each copy above which another copy is fetched even from the weight store.
+pub(super) const STORE_FETCH_LOAD_THRESHOLD: f64 = 8.0;
+
+/// Requests for each of the remaining copies up to which a copy can be evicted without crowding
+/// them.
+const EVICTION_LOAD_THRESHOLD: f64 = 3.0;
+
+/// Cost of a request that finds no copy: the time of a swap, in seconds.
+const MISS_COST_S: f64 = 0.3;
+
+/// Cost of evicting a copy whose requests other copies can serve.
+const REDUNDANT_COPY_COST: f64 = 0.05;
+
+/// Cost of evicting a copy with running requests: the worker takes no other order until the last of
+/// them has ended.
+const BUSY_COST: f64 = 3.0;
+
+/// Cost of evicting a copy if that overloads the remaining copies of its model.
+const OVERLOAD_COST: f64 = 2.0;
+
+/// Cost of evicting the only copy of a model that requests wait for.
+const WAITING_COST: f64 = 5.0;
+
+/// Time that an additional order takes before the next one can be given, in seconds.
+const EXTRA_ORDER_S: f64 = 0.15;
+
+/// Upper bound on concurrent loads from the weight store: more of them slow one another down.
+pub(super) const MAX_STORE_LOADS: u32 = 2;
+
+/// A worker that could load a model, and the cost of doing so.
+#[derive(Debug)]
+pub(super) struct Candidate {
+    /// The worker's position.
+    pub(super) at: usize,
+    /// The total cost in seconds.
+    pub(super) cost: f64,
+    /// The part of the cost that comes from evicting another model.
+    pub(super) loss: f64,
+    /// The model that has to be evicted.
+    pub(super) victim: Option<ModelId>,
+    /// Where the weights are loaded from.
+    pub(super) from: Stage,
+}
+
+/// The state of one planning pass.
+pub(super) struct PlanningPass<'a> {
+    pub(super) scene: &'a Scene<'a>,
+    /// Copies of each model that serve requests or are being loaded.
+    pub(super) copies: BTreeMap<&'a ModelId, u32>,
+    /// Whether each worker takes an order, by position.
+    pub(super) free: Vec<bool>,
+    pub(super) steps: Vec<Step>,
+    pub(super) fetching: u32,
+    pub(super) store_open: bool,
+}
+
+impl PlanningPass<'_> {
+    /// Returns the copies of a model that serve requests or are being loaded.
+    pub(super) fn copies(&self, model: &ModelId) -> u32 {
+        self.copies.get(model).copied().unwrap_or(0)
+    }
+
+    /// Returns the workers that take an order now and have room for the smallest model.
+    pub(super) fn workers_with_room(&self) -> Vec<usize> {
+        let smallest = self.scene.models.values().map(|model| model.bytes).min();
+        let smallest = smallest.unwrap_or(u64::MAX);
+        let free = (0..self.free.len()).filter(|at| self.free[*at]);
+        let with_room = free.filter(|at| {
+            let used = self.scene.used_bytes(&self.scene.workers[*at]);
+            used.saturating_add(smallest) <= self.scene.engine.memory
+        });
+        with_room.collect()
+    }
+
+    /// Adds an order to a worker, which then takes no other in this pass.
+    pub(super) fn order(&mut self, at: usize, action: Action, reason: Reason) {
+        self.free[at] = false;
+        let model = action.model();
+        self.steps.push(Step {
+            target: self.scene.workers[at].target.clone(),
+            reason,
+            wish: self.scene.wishes.get(model).cloned().unwrap_or_default(),
+            copies: self.copies(model),
+            action,
+        });
+    }
+
+    /// Returns the cheapest worker for a model, including those that are busy now.
+    pub(super) fn best(&self, model: &ModelId) -> Option<Candidate> {
+        cheapest((0..self.free.len()).filter_map(|at| self.candidate(at, model)))
+    }
+
+    /// Returns the candidates for a model among the workers that take an order now.
+    pub(super) fn free_candidates(&self, model: &ModelId) -> impl Iterator<Item = Candidate> {
+        let free = (0..self.free.len()).filter(|at| self.free[*at]);
+        free.filter_map(|at| self.candidate(at, model))
+    }
+
+    /// Returns the cost of loading a model on one worker, or `None` if that is not possible.
+    pub(super) fn candidate(&self, at: usize, model: &ModelId) -> Option<Candidate> {
+        let worker = &self.scene.workers[at];
+        let known = self.scene.models.get(model)?;
+        if !worker.open || worker.holds(model) || worker.coming.as_ref() == Some(model) {
+            return None;
+        }
+        let wait = worker.free_in?.as_secs_f64();
+        let from = worker.near.get(model).copied().unwrap_or(Stage::Remote);
+        let load = match from {
+            Stage::Memory => known.from_memory.as_secs_f64(),
+            Stage::Disk => known.from_disk.as_secs_f64(),
+            _ if !self.store_open || self.fetching >= MAX_STORE_LOADS => return None,
+            _ => known.from_store.as_secs_f64(),
+        };
+        let room = self
+            .scene
+            .engine
+            .memory
+            .saturating_sub(self.scene.used_bytes(worker));
+        let (victim, loss) = if known.bytes <= room {
+            (None, 0.0)
+        } else {
+            let (victim, loss) = self.victim(worker, model)?;
+            (Some(victim), loss)
+        };
+        let extra_order = if victim.is_some() { EXTRA_ORDER_S } else { 0.0 };
+        Some(Candidate {
+            at,
+            cost: wait + load + extra_order + loss,
+            loss,
+            victim,
+            from,
+        })
+    }
+
+    /// Returns the model on a worker that is cheapest to evict for `model`, and its eviction loss.
+    fn victim(&self, worker: &Worker, model: &ModelId) -> Option<(ModelId, f64)> {
+        let held = worker.held.iter().filter(|held| !held.leaving);
+        let held = held.filter(|held| self.may_evict(&held.model, model));
+        let losses = held.map(|held| (held.model.clone(), self.eviction_loss(&held.model)));
+        losses.min_by(|one, other| one.1.total_cmp(&other.1))
+    }
+
+    /// Returns whether a copy of `held` may be evicted for `model`.
+    ///
+    /// The only copy of a model, or one of few that are overloaded already, stays if it serves more
+    /// requests than the other model would: otherwise two models in high demand would evict each
+    /// other in turn and spend more time loading than serving.
+    fn may_evict(&self, held: &ModelId, model: &ModelId) -> bool {
+        let demand = |model| self.scene.wishes.get(model).map_or(0.0, Wish::demand);
+        let copies = self.copies(held);
+        let wish = self.scene.wishes.get(held);
+        let load = wish.map_or(0.0, Wish::current_load);
+        if copies > 1 && load / f64::from(copies - 1) <= STORE_FETCH_LOAD_THRESHOLD {
+            return true;
+        }
+        let lost = demand(held) / f64::from(copies.max(1));
+        lost < demand(model) / f64::from(self.copies(model) + 1)
+    }
+
+    /// Returns the cost of evicting one copy of a model.
+    fn eviction_loss(&self, model: &ModelId) -> f64 {
+        let copies = self.copies(model);
+        let Some(wish) = self.scene.wishes.get(model) else {
+            return REDUNDANT_COPY_COST;
+        };
+        if copies > 1 {
+            let left = wish.current_load() / f64::from(copies - 1);
+            let overload = if left > EVICTION_LOAD_THRESHOLD {
+                OVERLOAD_COST
+            } else {
+                0.0
+            };
+            let busy = wish.current_load() / f64::from(copies);
+            return REDUNDANT_COPY_COST + overload + BUSY_COST * busy.min(1.0);
+        }
+        if wish.waiting > 0 {
+            return WAITING_COST;
+        }
+        let busy = BUSY_COST * wish.current_load().min(1.0);
+        REDUNDANT_COPY_COST + busy + wish.rate * DEMAND_HORIZON_S * MISS_COST_S
+    }
+
+    /// Loads the adapters that requests wait for.
+    pub(super) fn load_adapters(&mut self) {
+        for (model, wish) in &self.scene.wishes {
+            for adapter in &wish.adapters {
+                self.load_adapter(model, adapter);
+            }
+        }
+    }
+
+    /// Loads one adapter on the free worker that holds its model and has the fewest adapters.
+    fn load_adapter(&mut self, model: &ModelId, adapter: &Name) {
+        let has = |held: &Held| held.model == *model && !held.leaving;
+        let mut copies = self.scene.workers.iter().filter(|worker| worker.open);
+        if copies.any(|worker| {
+            let mut held = worker.held.iter().filter(|held| has(held));
+            held.any(|held| held.adapters.contains(adapter))
+        }) {
+            return;
+        }
+        let free = (0..self.free.len()).filter(|at| self.free[*at]);
+        let holds = free.filter(|at| self.scene.workers[*at].held.iter().any(has));
+        let Some(at) = holds.min_by_key(|at| self.scene.workers[*at].adapters()) else {
+            return;
+        };
+        let worker = &self.scene.workers[at];
+        let known = self.scene.models.get(model);
+        let bytes = known.map_or(0, |known| known.adapter_bytes);
+        let slot_free = worker.adapters() < self.scene.engine.adapters as usize;
+        let room = self.scene.used_bytes(worker) + bytes <= self.scene.engine.memory;
+        let action = if slot_free && room {
+            Action::Adapter {
+                model: model.clone(),
+                adapter: adapter.clone(),
+            }
+        } else {
+            let Some(oldest) = self.oldest_adapter(worker) else {
+                return;
+            };
+            oldest
+        };
+        let reason = match action {
+            Action::Adapter { .. } => Reason::Waiting,
+            _ => Reason::Room,
+        };
+        self.order(at, action, reason);
+    }
+
+    /// Returns the unload of a worker's oldest adapter that no request waits for.
+    fn oldest_adapter(&self, worker: &Worker) -> Option<Action> {
+        let wanted = |held: &Held, adapter: &Name| {
+            let wish = self.scene.wishes.get(&held.model);
+            wish.is_some_and(|wish| wish.adapters.contains(adapter))
+        };
+        worker.held.iter().find_map(|held| {
+            let mut adapters = held.adapters.iter();
+            let adapter = adapters.find(|adapter| !wanted(held, adapter))?;
+            Some(Action::DropAdapter {
+                model: held.model.clone(),
+                adapter: adapter.clone(),
+            })
+        })
+    }
+}
+
+/// Returns the candidate with the least cost.
+pub(super) fn cheapest(candidates: impl Iterator<Item = Candidate>) -> Option<Candidate> {
+    candidates.min_by(|one, other| one.cost.total_cmp(&other.cost))
+}
--- a/crates/planner/src/hosting/scene.rs
+++ b/crates/planner/src/hosting/scene.rs
@@ -1,4 +1,4 @@
-//! The workers of a service and the demand for its models at one moment.
+//! The planner's input: the workers of a service and the demand for its models at one moment.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,40 +7,40 @@
 use cornelhitch_types::route::{Engine, Model};
 use cornelhitch_types::target::Stage;
 
-/// Over which time the requests to come are counted when a copy is weighed, in seconds.
-pub(super) const HORIZON_S: f64 = 10.0;
+/// Period for which expected requests count towards the demand for a copy, in seconds.
+pub(super) const DEMAND_HORIZON_S: f64 = 10.0;
 
 /// A worker and what it holds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Worker {
-    /// Its name.
+    /// The worker's name.
     pub target: TargetId,
-    /// Its region.
+    /// The region that it is in.
     pub region: RegionId,
-    /// What is in accelerator memory.
+    /// Models in accelerator memory.
     pub held: Vec<Held>,
-    /// Copies nearer than the weight store.
+    /// Models with a copy nearer than the weight store, and the nearest stage of each.
     pub near: Arc<BTreeMap<ModelId, Stage>>,
-    /// The model that it loads now.
+    /// The model that it is loading.
     pub coming: Option<ModelId>,
-    /// How long until it takes an order; none where that is not known.
+    /// Time until it takes an order; `None` if not known.
     pub free_in: Option<Time>,
-    /// Whether it gets new work.
+    /// Whether it may be given new work.
     pub open: bool,
 }
 
 impl Worker {
-    /// Whether a model is in its accelerator memory.
+    /// Returns whether a model is in accelerator memory.
     pub(super) fn holds(&self, model: &ModelId) -> bool {
         self.held.iter().any(|held| held.model == *model)
     }
 
-    /// Whether it takes an order now.
+    /// Returns whether it takes an order now.
     pub(super) fn is_free(&self) -> bool {
         self.open && self.free_in == Some(Time::ZERO)
     }
 
-    /// How many adapters it holds.
+    /// Returns the number of adapters that it holds.
     pub(super) fn adapters(&self) -> usize {
         self.held.iter().map(|held| held.adapters.len()).sum()
     }
@@ -49,67 +49,69 @@
 /// A model in a worker's accelerator memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Held {
-    /// The model.
+    /// The model's id.
     pub model: ModelId,
-    /// Its adapters, those on their way too, the one loaded first at the start.
+    /// Its adapters, including those being loaded, in order of loading.
     pub adapters: Vec<Name>,
-    /// Whether it is being unloaded.
+    /// Whether the model is being unloaded.
     pub leaving: bool,
 }
 
-/// The demand for one model, added up over the entry hosts.
+/// The demand for one model, summed over the entry hosts.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Wish {
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
     /// Requests in progress.
     pub running: u32,
-    /// Requests that wait or are in progress, as a mean of the last seconds.
+    /// Running mean of the requests that wait or are in progress, over the last seconds.
     pub load: f64,
-    /// Arrivals a second.
+    /// Arrivals per second.
     pub rate: f64,
-    /// How long until the nearest deadline of a waiting request.
+    /// Time until the earliest deadline of the waiting requests.
     pub slack: Time,
-    /// The largest weight among the waiting requests.
+    /// The largest weight of the waiting requests.
     pub weight: u32,
     /// Adapters that waiting requests name.
     pub adapters: Vec<Name>,
 }
 
 impl Wish {
-    /// Requests that wait or are in progress: now or as a mean, whichever is more.
+    /// Returns the requests that wait or are in progress: the current number or the mean, whichever
+    /// is larger.
     ///
-    /// A new leader's mean begins at 0, and a copy is not taken away between two bursts.
-    pub(super) fn pressure(&self) -> f64 {
+    /// The mean of a new leader starts at 0, so the current number is needed; the mean prevents a
+    /// copy from being evicted between two bursts.
+    pub(super) fn current_load(&self) -> f64 {
         let now = f64::from(self.waiting) + f64::from(self.running);
         now.max(self.load)
     }
 
-    /// Requests that a copy is for: those there are and those expected soon.
+    /// Returns the requests that a copy serves: the current ones and those expected soon.
     pub(super) fn demand(&self) -> f64 {
-        self.pressure() + self.rate * HORIZON_S
+        self.current_load() + self.rate * DEMAND_HORIZON_S
     }
 }
 
-/// A service's workers at one moment.
+/// The workers and demand of a service at one moment.
 #[derive(Debug, Clone)]
 pub struct Scene<'a> {
-    /// What its workers can hold.
+    /// The capacity of each worker.
     pub engine: &'a Engine,
     /// The models by id.
     pub models: &'a BTreeMap<ModelId, Model>,
-    /// The workers, in the order of their names.
+    /// The workers, sorted by name.
     pub workers: Vec<Worker>,
-    /// The demand.
+    /// The demand by model.
     pub wishes: BTreeMap<ModelId, Wish>,
-    /// Loads from the weight store that run.
+    /// Loads from the weight store in progress.
     pub fetching: u32,
     /// Whether the weight store allows another load to start now.
     pub store_open: bool,
 }
 
 impl Scene<'_> {
-    /// Copies of each model that take requests or will soon.
+    /// Returns the copies of each model that serve requests or are being loaded.
     pub(super) fn copies(&self) -> BTreeMap<&ModelId, u32> {
         let mut copies = BTreeMap::new();
         for worker in self.workers.iter().filter(|worker| worker.open) {
@@ -123,7 +125,8 @@
         copies
     }
 
-    /// The models that are in the weight store only: no open worker holds, loads or has them near.
+    /// Returns the models that only the weight store has: no open worker holds them, loads them or
+    /// has a copy near.
     #[must_use]
     pub fn distant(&self) -> BTreeSet<&ModelId> {
         let mut distant: BTreeSet<&ModelId> = self.models.keys().collect();
@@ -137,15 +140,15 @@
         distant
     }
 
-    /// Copies of a model that are being loaded.
-    pub(super) fn coming(&self, model: &ModelId) -> u32 {
+    /// Returns the number of workers that are loading a model.
+    pub(super) fn loading_count(&self, model: &ModelId) -> u32 {
         let coming = self.workers.iter().filter(|worker| worker.open);
         let coming = coming.filter(|worker| worker.coming.as_ref() == Some(model));
         u32::try_from(coming.count()).unwrap_or(u32::MAX)
     }
 
-    /// Workers that have the weights of each model nearer than the store.
-    pub(super) fn nearby(&self) -> BTreeMap<&ModelId, usize> {
+    /// Returns the number of open workers with a copy of each model nearer than the weight store.
+    pub(super) fn nearby_counts(&self) -> BTreeMap<&ModelId, usize> {
         let mut nearby = BTreeMap::new();
         let open = self.workers.iter().filter(|worker| worker.open);
         for model in open.flat_map(|worker| worker.near.keys()) {
@@ -154,19 +157,21 @@
         nearby
     }
 
-    /// The time between two requests for a model, in milliseconds.
+    /// Returns the mean time between two requests for a model in milliseconds, at most 1,000,000.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub(super) fn calm(&self, model: &ModelId) -> u64 {
+    pub(super) fn request_interval_ms(&self, model: &ModelId) -> u64 {
         let rate = self.wishes.get(model).map_or(0.0, |wish| wish.rate);
         (1_000.0 / rate.max(1e-3)) as u64
     }
 
-    /// Accelerator memory that a worker uses, or will by an order that was given, in bytes.
-    pub(super) fn used(&self, worker: &Worker) -> u64 {
+    /// Returns the accelerator memory in bytes that a worker uses, or will use after its current
+    /// load.
+    pub(super) fn used_bytes(&self, worker: &Worker) -> u64 {
         let held = worker.held.iter().map(|held| {
             let Some(model) = self.models.get(&held.model) else {
-                // What is not in the table any more still takes room.
-                return self.largest();
+                // A model that was removed from the table still occupies memory; its size is
+                // unknown, so the largest one is assumed.
+                return self.largest_model_bytes();
             };
             let adapters = held.adapters.len() as u64 * model.adapter_bytes;
             model.bytes + adapters
@@ -175,13 +180,13 @@
         let coming = coming.map_or(0, |model| {
             self.models
                 .get(model)
-                .map_or(self.largest(), |model| model.bytes)
+                .map_or(self.largest_model_bytes(), |model| model.bytes)
         });
         held.sum::<u64>() + coming
     }
 
-    /// The size of the largest model.
-    fn largest(&self) -> u64 {
+    /// Returns the size of the largest model in bytes.
+    fn largest_model_bytes(&self) -> u64 {
         self.models
             .values()
             .map(|model| model.bytes)
@@ -190,7 +195,7 @@
     }
 }
 
-/// Requests on each of some copies of a model.
-pub(super) fn load(wish: &Wish, copies: u32) -> f64 {
+/// Returns the mean number of requests for each of `copies` copies of a model.
+pub(super) fn load_per_copy(wish: &Wish, copies: u32) -> f64 {
     wish.load / f64::from(copies.max(1))
 }
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,45 +1,46 @@
-//! Which models to load, keep and unload, and where.
+//! Decides which models to load, keep and unload, and on which workers.
 //!
-//! The planner is sans-I/O and deterministic: it is given a
-//! [`picture::Picture`] of the fleet and the time, and returns
+//! The planner is sans-I/O and deterministic: it takes a
+//! [`picture::Picture`] of the fleet and the current time, and returns
 //! [`decision::Decision`]s. It sends nothing; the caller commits each decision
-//! before any order leaves.
+//! before it sends an order to a worker.
 
-mod adapt;
-mod ahead;
+mod adapters;
 pub mod baseline;
 pub mod catalog;
+mod convert;
 pub mod decision;
+pub mod decision_log;
+pub mod demand;
+pub mod fleet_index;
 pub mod gap;
 pub mod history;
 pub mod hosting;
-pub mod keep;
+pub mod keep_alive;
 mod load;
-pub mod need;
-pub mod notes;
-mod number;
+mod pass;
 pub mod pending;
 pub mod picture;
-pub mod place;
+pub mod placement;
 pub mod policy;
-mod retire;
-mod round;
+mod preload;
 pub mod scale;
-pub mod scene;
-pub mod store;
+mod unload;
+pub mod weight_store;
 
 use cornelhitch_types::id::Time;
 
 use crate::decision::Decision;
 use crate::picture::Picture;
 
-/// A policy of loading, keeping and unloading.
+/// A policy for loading, keeping and unloading models.
 pub trait Planner: Send {
-    /// Decides from what is known now.
+    /// Returns the decisions for the state of the fleet at `now`.
     ///
-    /// The same calls in the same order give the same decisions.
+    /// The same calls in the same order return the same decisions.
     fn plan(&mut self, picture: &Picture, now: Time) -> Vec<Decision>;
 
-    /// Why a model is where it is, one line a step, for operators.
+    /// Returns what the planner knows about a model and its latest decisions on it, one line
+    /// each, for operators.
     fn explain(&self, model: &str, now: Time) -> Vec<String>;
 }
--- a/crates/planner/src/load.rs
+++ b/crates/planner/src/load.rs
@@ -1,188 +1,210 @@
-//! Loads for waiting requests.
+//! Loads models that requests are waiting for.
 
 use std::time::Duration;
 
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
 
-use crate::catalog::Entry;
+use crate::catalog::ModelEntry;
 use crate::decision::{Action, Reason};
-use crate::need::Need;
-use crate::pending::What;
+use crate::demand::ModelDemand;
+use crate::pass::PlanningPass;
+use crate::pending::PendingAction;
 use crate::picture::Replica;
-use crate::place::{Place, Search};
-use crate::policy::{BUDGET, seconds};
-use crate::round::Round;
-use crate::scale::{Supply, missing};
+use crate::placement::{Placement, PlacementSearch};
+use crate::policy::{SEARCH_BUDGET, format_seconds};
+use crate::scale::{Supply, additional_replicas};
 
-/// How many times as long a worker takes to weigh where something must leave first.
-const EVICTIONS: usize = 8;
+/// Budget cost of a search that has to examine evictions, relative to one that does not.
+const EVICTION_SEARCH_COST: usize = 8;
 
-impl<'a> Round<'a> {
-    /// Loads what waiting requests need, the most urgent first.
-    pub fn loads(&mut self) {
-        let mut waiting: Vec<&Need> = self.needs.iter().filter(|need| need.waiting > 0).collect();
-        // What fitted nowhere goes last, so that it cannot use up the budget of the others.
-        waiting.sort_by_key(|need| {
-            let unplaced = self.policy.unplaced.contains(&need.key);
-            (unplaced, need.urgency(self.now), &need.key)
+impl<'a> PlanningPass<'a> {
+    /// Loads the models that requests are waiting for, the most urgent first.
+    pub fn load_waiting(&mut self) {
+        let mut waiting: Vec<&ModelDemand> = self
+            .demands
+            .iter()
+            .filter(|demand| demand.waiting > 0)
+            .collect();
+        // Models that fitted nowhere go last, so that they cannot use up the search budget.
+        waiting.sort_by_key(|demand| {
+            let unplaced = self.policy.unplaced.contains(&demand.key);
+            (unplaced, demand.urgency(self.now), &demand.key)
         });
-        for need in waiting {
-            self.load(need);
+        for demand in waiting {
+            self.load_model(demand);
         }
     }
 
-    /// Loads one model as often as its demand needs.
-    fn load(&mut self, need: &Need) {
-        let Some(entry) = self.policy.catalog.get(&need.key.model).cloned() else {
+    /// Loads as many replicas of one model as its demand needs and the settings allow.
+    fn load_model(&mut self, demand: &ModelDemand) {
+        let Some(entry) = self.policy.catalog.get(&demand.key.model).cloned() else {
             return;
         };
         if !entry.managed {
             return;
         }
         let allowed = entry.rules.replicas;
-        let room = allowed.saturating_sub(self.scene.decided(&need.key.model));
-        let supply = self.supply(need, &entry);
-        let missing = missing(need, &supply, self.now);
-        if missing > 0 && room == 0 {
-            self.note(need, "no more replicas: the settings allow no more");
+        let allowed_more = allowed.saturating_sub(self.fleet.replica_count(&demand.key.model));
+        let supply = self.supply(demand, &entry);
+        let missing = additional_replicas(demand, &supply, self.now);
+        if missing > 0 && allowed_more == 0 {
+            self.log(demand, "not scaled up: the settings allow no more replicas");
         }
         let reason = if supply.ready + supply.loading > 0 {
             Reason::Burst
         } else {
             Reason::Waiting
         };
-        for _ in 0..missing.min(room) {
-            let workers = self.scene.picture.workers.len();
-            if self.budget < workers && self.budget < BUDGET {
+        for _ in 0..missing.min(allowed_more) {
+            let workers = self.fleet.picture.workers.len();
+            if self.budget < workers && self.budget < SEARCH_BUDGET {
                 return;
             }
-            let place = self.search(need, &entry);
-            self.spend(workers, place.as_ref());
-            let Some(place) = place else {
-                self.policy.unplaced.insert(need.key.clone());
-                self.note(
-                    need,
-                    "not loaded: it fits on no worker that may be loaded now",
+            let placement = self.search(demand, &entry);
+            self.charge_budget(workers, placement.as_ref());
+            let Some(placement) = placement else {
+                self.policy.unplaced.insert(demand.key.clone());
+                self.log(
+                    demand,
+                    "not loaded: it fits on no worker that accepts loads now",
                 );
                 return;
             };
-            self.policy.unplaced.remove(&need.key);
-            self.take(need, &entry, &place, reason);
+            self.policy.unplaced.remove(&demand.key);
+            self.execute(demand, &entry, &placement, reason);
         }
     }
 
-    /// Takes a search off the budget; one that had to weigh evictions costs more.
-    pub fn spend(&mut self, workers: usize, place: Option<&Place>) {
-        let full = place.is_none_or(|place| place.blocked);
-        let cost = if full { workers * EVICTIONS } else { workers };
+    /// Deducts a search from the budget; one that had to examine evictions costs more.
+    pub fn charge_budget(&mut self, workers: usize, placement: Option<&Placement>) {
+        let full = placement.is_none_or(|placement| placement.blocked);
+        let cost = if full {
+            workers * EVICTION_SEARCH_COST
+        } else {
+            workers
+        };
         self.budget = self.budget.saturating_sub(cost);
     }
 
-    /// The replicas that a model has.
-    fn supply(&self, need: &Need, entry: &Entry) -> Supply {
+    /// Summarises the existing and pending replicas of a model.
+    fn supply(&self, demand: &ModelDemand, entry: &ModelEntry) -> Supply {
         let store = &self.policy.store;
-        let loads = self.scene.loads(&need.key);
+        let loads = self.fleet.pending_loads(&demand.key);
         let pending = if loads > 0 {
-            store.load(entry.model.bytes, Stage::Remote)
+            store.load_time(entry.model.bytes, Stage::Remote)
         } else {
             Duration::MAX
         };
         let mut supply = Supply {
             ready: 0,
             loading: loads,
-            next: pending,
-            more: store.load(entry.model.bytes, Stage::Remote),
+            next_ready: pending,
+            additional_ready: store.load_time(entry.model.bytes, Stage::Remote),
             concurrency: entry.rules.concurrency,
-            service: self.history(&need.key.model).and_then(|h| h.service),
+            service_s: self.history(&demand.key.model).and_then(|h| h.service_s),
         };
-        for replica in self.scene.staying(&need.key) {
+        for replica in self.fleet.staying_replicas(&demand.key) {
             if replica.state == State::Ready {
                 supply.ready += 1;
                 continue;
             }
             supply.loading += 1;
-            let whole = store.load(replica.bytes, replica.from);
+            let whole = store.load_time(replica.bytes, replica.from);
             let elapsed = self.now.saturating_sub(replica.decided);
-            supply.next = supply.next.min(remaining(whole, elapsed));
+            supply.next_ready = supply.next_ready.min(remaining(whole, elapsed));
         }
         supply
     }
 
-    /// The best place for one more replica.
-    pub fn search(&self, need: &Need, entry: &Entry) -> Option<Place<'a>> {
-        let price = |replica: &Replica| self.price(replica, need);
-        let search = Search {
-            scene: &self.scene,
+    /// Returns the best worker for one more replica.
+    pub fn search(&self, demand: &ModelDemand, entry: &ModelEntry) -> Option<Placement<'a>> {
+        let eviction_cost = |replica: &Replica| self.eviction_cost(replica, demand);
+        let search = PlacementSearch {
+            fleet: &self.fleet,
             catalog: &self.policy.catalog,
             store: &self.policy.store,
-            price: &price,
+            eviction_cost: &eviction_cost,
             now: self.now,
         };
-        search.best(need, entry)
+        search.best(demand, entry)
     }
 
-    /// Acts on a place: evicts, waits for memory, or loads.
-    pub fn take(&mut self, need: &Need, entry: &Entry, place: &Place<'a>, reason: Reason) {
-        for replica in &place.evict {
-            let detail = format!("{} waits for its memory", need.key.model);
+    /// Acts on a placement: evicts, reserves memory that is being freed, or loads.
+    pub fn execute(
+        &mut self,
+        demand: &ModelDemand,
+        entry: &ModelEntry,
+        placement: &Placement<'a>,
+        reason: Reason,
+    ) {
+        for replica in &placement.evict {
+            let detail = format!("evicted to free memory for {}", demand.key.model);
             self.unload(replica, Reason::Preempted, detail.into());
         }
         let bytes = entry.model.bytes;
-        if place.blocked {
-            self.scene.claim(place.worker, bytes);
-            self.note(need, "not loaded yet: it waits until memory is freed");
+        if placement.blocked {
+            self.fleet.reserve(placement.worker, bytes);
+            self.log(demand, "not loaded yet: waiting for memory to be freed");
             return;
         }
-        let remote = place.from == Stage::Remote;
-        if remote && !self.policy.store.open() {
-            self.scene.claim(place.worker, bytes);
-            self.note(need, "not loaded yet: it waits for the weight store");
+        let remote = placement.from == Stage::Remote;
+        if remote && !self.policy.store.can_start() {
+            self.fleet.reserve(placement.worker, bytes);
+            self.log(
+                demand,
+                "not loaded yet: waiting for a start at the weight store",
+            );
             return;
         }
-        let target = self.scene.at(place.worker).target.clone();
+        let target = self.fleet.worker(placement.worker).target.clone();
         if remote {
-            self.policy.store.start(&need.key.model, &target, self.now);
+            self.policy
+                .store
+                .record_start(&demand.key.model, &target, self.now);
         }
-        self.scene.load(&need.key, place.worker, bytes);
-        let what = What::Load {
-            key: need.key.clone(),
+        self.fleet.apply_load(&demand.key, placement.worker, bytes);
+        let action = PendingAction::Load {
+            key: demand.key.clone(),
             target: target.clone(),
             bytes,
-            from: place.from,
+            from: placement.from,
         };
-        self.policy.pending.push(what, self.now);
-        let detail = self.why(need, place);
+        self.policy.pending.push(action, self.now);
+        let detail = self.load_detail(demand, placement);
         let action = Action::Load {
-            model: need.key.model.clone(),
-            version: need.key.version.clone(),
+            model: demand.key.model.clone(),
+            version: demand.key.version.clone(),
             target,
             bytes,
         };
-        self.decide(&need.key.model, action, reason, detail.into());
+        self.record(&demand.key.model, action, reason, detail.into());
     }
 
-    /// Notes for operators why a waiting model is not loaded.
-    fn note(&mut self, need: &Need, why: &str) {
-        let notes = &mut self.policy.notes;
-        notes.add(&need.key.model, self.now, why.into());
+    /// Logs why a model with waiting requests is not loaded.
+    fn log(&mut self, demand: &ModelDemand, why: &str) {
+        let log = &mut self.policy.decision_log;
+        log.add(&demand.key.model, self.now, why.into());
     }
 
-    /// The figures behind a load.
-    fn why(&self, need: &Need, place: &Place) -> String {
-        let ready = seconds(place.ready);
-        if need.waiting == 0 {
-            return format!("a call is expected; ready from {} in {ready}", place.from);
+    /// Describes the figures behind a load.
+    fn load_detail(&self, demand: &ModelDemand, placement: &Placement) -> String {
+        let ready = format_seconds(placement.ready);
+        if demand.waiting == 0 {
+            return format!(
+                "a request is expected soon; ready from {} in {ready}",
+                placement.from
+            );
         }
-        let left = seconds(need.deadline.saturating_sub(self.now));
+        let left = format_seconds(demand.deadline.saturating_sub(self.now));
         format!(
-            "{} requests wait, the nearest deadline is in {left}; ready from {} in {ready}",
-            need.waiting, place.from,
+            "{} requests waiting, the earliest deadline is in {left}; ready from {} in {ready}",
+            demand.waiting, placement.from,
         )
     }
 }
 
-/// How long a load still takes; one that is overdue may take as long again.
+/// Returns the remaining time of a load; an overdue load is assumed to take as long again.
 fn remaining(whole: Duration, elapsed: Duration) -> Duration {
     whole.checked_sub(elapsed).unwrap_or(elapsed)
 }
--- a/crates/planner/src/pending.rs
+++ b/crates/planner/src/pending.rs
@@ -1,7 +1,8 @@
-//! Decisions that the picture does not show yet.
+//! Decisions that the picture of the fleet does not reflect yet.
 //!
-//! The caller may lose a decision, so none of these counts as done. Until the
-//! picture shows one, or [`PATIENCE`] has passed, it is not made again.
+//! The caller may lose a decision, so none of these counts as carried out. A
+//! decision is not repeated until the picture reflects it or
+//! [`CONFIRMATION_TIMEOUT`] has passed.
 
 use std::time::Duration;
 
@@ -9,115 +10,119 @@
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
 
-use crate::need::Key;
+use crate::demand::ModelVersion;
+use crate::fleet_index::FleetIndex;
 use crate::picture::Replica;
-use crate::place::stage;
-use crate::scene::Scene;
+use crate::placement::nearest_stage;
 
-/// How long a decision may take to show in the picture.
-pub const PATIENCE: Duration = Duration::from_secs(2);
+/// How long a decision may take to appear in the picture before it may be repeated.
+pub const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What was decided.
+/// A pending action, with what is needed to recognise it in the picture.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum What {
-    /// A new replica.
+pub enum PendingAction {
+    /// The load of a new replica.
     Load {
         /// The model and version.
-        key: Key,
-        /// The worker.
+        key: ModelVersion,
+        /// The worker that loads it.
         target: TargetId,
         /// Memory to reserve, in bytes.
         bytes: u64,
-        /// Where the weights come from.
+        /// Where the weights are loaded from.
         from: Stage,
     },
-    /// The end of a replica.
+    /// The unload of a replica on a worker.
     Unload(ReplicaId, TargetId),
-    /// An adapter on a replica.
+    /// The load of an adapter.
     Adapter {
-        /// The replica.
+        /// The replica that gets the adapter.
         replica: ReplicaId,
-        /// The worker.
+        /// The worker that holds the replica.
         target: TargetId,
-        /// The adapter.
+        /// The adapter to load.
         adapter: Name,
     },
-    /// A copy in host memory or on disk.
-    Warm(Key, TargetId),
+    /// A copy of the weights to a worker's host memory or disk.
+    Warm(ModelVersion, TargetId),
 }
 
-/// One decision and when it was made.
+/// A pending action and when it was decided.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
-    /// What was decided.
-    pub what: What,
-    /// When.
+pub struct PendingDecision {
+    /// The action.
+    pub action: PendingAction,
+    /// When it was decided.
     pub at: Time,
 }
 
-/// Decisions that the picture does not show yet.
+/// The decisions that the picture does not reflect yet.
 #[derive(Debug, Default)]
-pub struct Pending {
-    entries: Vec<Entry>,
+pub struct PendingDecisions {
+    entries: Vec<PendingDecision>,
 }
 
-impl Pending {
-    /// Notes a decision.
-    pub fn push(&mut self, what: What, at: Time) {
-        self.entries.push(Entry { what, at });
+impl PendingDecisions {
+    /// Adds a decision.
+    pub fn push(&mut self, action: PendingAction, at: Time) {
+        self.entries.push(PendingDecision { action, at });
     }
 
-    /// Forgets what the picture shows, and what it should have shown by now.
-    pub fn settle(&mut self, scene: &Scene, now: Time) {
+    /// Removes decisions that the picture reflects and those that have timed out.
+    pub fn remove_confirmed(&mut self, fleet: &FleetIndex, now: Time) {
         self.entries.retain(|entry| {
-            let young = now.saturating_sub(entry.at) < PATIENCE;
-            young && !shown(&entry.what, scene)
+            let recent = now.saturating_sub(entry.at) < CONFIRMATION_TIMEOUT;
+            recent && !is_reflected(&entry.action, fleet)
         });
     }
 
-    /// What is pending, oldest first.
-    pub fn iter(&self) -> impl Iterator<Item = &What> {
-        self.entries.iter().map(|entry| &entry.what)
+    /// Iterates over the pending actions, oldest first.
+    pub fn iter(&self) -> impl Iterator<Item = &PendingAction> {
+        self.entries.iter().map(|entry| &entry.action)
     }
 
-    /// Adapter loads that are pending.
+    /// Returns the number of pending adapter loads.
     #[must_use]
-    pub fn adapters(&self) -> usize {
+    pub fn adapter_loads(&self) -> usize {
         let adapters = self
             .iter()
-            .filter(|what| matches!(what, What::Adapter { .. }));
+            .filter(|action| matches!(action, PendingAction::Adapter { .. }));
         adapters.count()
     }
 }
 
-/// Whether the picture shows a decision as taken.
-fn shown(what: &What, scene: &Scene) -> bool {
-    match what {
-        What::Load { key, target, .. } => {
-            let on = scene.worker(target).map(|worker| scene.on(worker));
-            on.is_some_and(|mut replicas| replicas.any(|replica| same(replica, key)))
+/// Returns whether the picture reflects an action.
+fn is_reflected(action: &PendingAction, fleet: &FleetIndex) -> bool {
+    match action {
+        PendingAction::Load { key, target, .. } => {
+            let on = fleet
+                .worker_index(target)
+                .map(|worker| fleet.replicas_on(worker));
+            on.is_some_and(|mut replicas| replicas.any(|replica| matches_version(replica, key)))
         }
-        What::Unload(id, target) => {
-            let replica = scene.find(*id, target);
+        PendingAction::Unload(id, target) => {
+            let replica = fleet.find_replica(*id, target);
             replica.is_none_or(|replica| replica.state == State::Retiring)
         }
-        What::Adapter {
+        PendingAction::Adapter {
             replica,
             target,
             adapter,
         } => {
-            let replica = scene.find(*replica, target);
+            let replica = fleet.find_replica(*replica, target);
             replica.is_none_or(|replica| replica.adapters.contains(adapter))
         }
-        What::Warm(key, target) => {
-            let worker = scene.worker(target).map(|worker| scene.at(worker));
-            worker.is_some_and(|worker| stage(worker, &key.model) >= Stage::Memory)
+        PendingAction::Warm(key, target) => {
+            let worker = fleet
+                .worker_index(target)
+                .map(|worker| fleet.worker(worker));
+            worker.is_some_and(|worker| nearest_stage(worker, &key.model) >= Stage::Memory)
         }
     }
 }
 
-/// Whether a replica is of that model and version.
+/// Returns whether a replica serves the given model and version.
 #[must_use]
-pub fn same(replica: &Replica, key: &Key) -> bool {
+pub fn matches_version(replica: &Replica, key: &ModelVersion) -> bool {
     replica.model == key.model && replica.version == key.version
 }
--- a/crates/planner/src/picture.rs
+++ b/crates/planner/src/picture.rs
@@ -1,4 +1,4 @@
-//! What the planner knows of the fleet.
+//! The planner's input: the state of the fleet at one moment.
 
 use std::sync::Arc;
 
@@ -8,107 +8,107 @@
 use cornelhitch_types::view::State;
 use serde::{Deserialize, Serialize};
 
-/// The fleet at one moment: what is committed, and the newest reports.
+/// The state of the fleet at one moment: the committed state and the latest reports.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Picture {
     /// The settings in force.
     pub settings: Arc<Fleet>,
-    /// Workers that announced themselves, in the order of their names.
+    /// Registered workers, sorted by name.
     pub workers: Vec<Worker>,
-    /// Replicas that were decided and whose memory is still reserved.
+    /// Replicas whose load was decided and whose memory is still reserved.
     pub replicas: Vec<Replica>,
-    /// Demand of all entry hosts added up, one row a model and region.
+    /// Demand summed over all entry hosts, one row for each model and region.
     pub demand: Vec<Demand>,
-    /// Adapter loads that were ordered and are not seen ready.
+    /// Adapter loads that were ordered and not yet reported as ready.
     pub adapters_in_flight: u32,
 }
 
-/// A worker.
+/// A worker and its free resources.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Worker {
-    /// Its name.
+    /// The worker's name.
     pub target: TargetId,
-    /// Its region.
+    /// The region that it is in.
     pub region: RegionId,
-    /// Its availability zone.
+    /// The availability zone that it is in.
     pub zone: ZoneId,
     /// Accelerator memory in bytes.
     pub memory: u64,
-    /// Accelerator memory that no reservation and no unexplained copy takes, in bytes.
+    /// Accelerator memory in bytes that is neither reserved nor taken by a copy of unknown origin.
     pub free: u64,
-    /// Its accelerators.
+    /// The number of accelerators.
     pub accelerators: u32,
-    /// Whether it may be loaded: neither leaving nor suspected.
+    /// Whether models may be loaded on it: it is neither leaving nor suspected of having failed.
     pub open: bool,
-    /// Copies below accelerator memory.
+    /// Copies of weights on disk and in host memory.
     pub copies: Vec<Copy>,
-    /// Models that may not be loaded on it before a time, after an order with unknown outcome.
+    /// Models that must not be loaded on it for now, after an order with unknown outcome.
     pub quiet: Vec<Quiet>,
 }
 
-/// A copy on a worker's disk or in its host memory.
+/// A copy of a model's weights on a worker's disk or in its host memory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Copy {
-    /// The model.
+    /// The model that was copied.
     pub model: ModelId,
-    /// Where it is.
+    /// Whether the copy is on disk or in host memory.
     pub stage: Stage,
 }
 
-/// A model that may not be loaded on a worker for a while.
+/// A model that must not be loaded on a worker before a given time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quiet {
-    /// The model.
+    /// The model that must not be loaded.
     pub model: ModelId,
-    /// Until when.
+    /// The time from which it may be loaded again.
     pub until: Time,
 }
 
-/// A replica and what is known of its work.
+/// A replica and its activity.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Its id.
+    /// The replica's id.
     pub replica: ReplicaId,
-    /// The model.
+    /// The model that it serves.
     pub model: ModelId,
-    /// The version.
+    /// The version that it serves; `None` if the model has no versions.
     pub version: Option<Name>,
-    /// The worker.
+    /// The worker that holds it.
     pub target: TargetId,
-    /// Memory reserved, in bytes.
+    /// Reserved accelerator memory in bytes.
     pub bytes: u64,
-    /// Its state.
+    /// Its lifecycle state.
     pub state: State,
-    /// When it was decided.
+    /// When its load was decided.
     pub decided: Time,
-    /// When it was seen ready.
+    /// When it was first reported as ready; `None` before that.
     pub ready: Option<Time>,
-    /// Where its weights came from, if that is known.
+    /// Where its weights were loaded from, if known.
     pub from: Stage,
-    /// Requests in progress on it, added up over the entry hosts.
+    /// Requests in progress, summed over the entry hosts.
     pub running: u32,
     /// When a request was last in progress on it.
     pub used: Time,
-    /// Adapters ready on it.
+    /// Adapters that are ready on it.
     pub adapters: Vec<Name>,
 }
 
 /// The demand for one model from one region.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// The model.
+    /// The requested model.
     pub model: ModelId,
-    /// The version asked for, or the one in force.
+    /// The requested version, or the one in force.
     pub version: Option<Name>,
-    /// The region of the entry hosts.
+    /// The region of the entry hosts that received the requests.
     pub region: RegionId,
-    /// Requests that wait.
+    /// Requests waiting for a replica.
     pub waiting: u32,
     /// Requests in progress.
     pub running: u32,
-    /// The nearest deadline of a waiting request.
+    /// The earliest deadline of the waiting requests.
     pub deadline: Time,
-    /// The largest class weight among the waiting requests.
+    /// The largest class weight of the waiting requests.
     pub weight: u32,
     /// Requests that arrived since the last call of the planner.
     pub arrivals: u64,
--- a/crates/planner/src/policy.rs
+++ b/crates/planner/src/policy.rs
@@ -1,4 +1,4 @@
-//! The planner: it loads what is asked for, keeps what is worth it, and unloads the rest.
+//! The planner: loads models that requests wait for or are expected for, and unloads idle ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,20 +8,21 @@
 use crate::Planner;
 use crate::catalog::Catalog;
 use crate::decision::Decision;
-use crate::history::History;
-use crate::keep::{Keep, Weighed};
-use crate::need::{Key, Need, needs};
-use crate::notes::Notes;
-use crate::pending::Pending;
+use crate::decision_log::DecisionLog;
+use crate::demand::{ModelDemand, ModelVersion, aggregate_demand};
+use crate::fleet_index::FleetIndex;
+use crate::history::RequestHistory;
+use crate::keep_alive::{CostBased, KeepAlivePolicy};
+use crate::pass::PlanningPass;
+use crate::pending::PendingDecisions;
 use crate::picture::Picture;
-use crate::round::Round;
-use crate::scene::Scene;
-use crate::store::Store;
+use crate::weight_store::WeightStore;
 
-/// Workers that are weighed in one call at most; what is left over waits for the next.
-pub(crate) const BUDGET: usize = 40_000;
+/// Upper bound on the workers examined for placement in one call; what remains is left for the
+/// next call.
+pub(crate) const SEARCH_BUDGET: usize = 40_000;
 
-/// The planner.
+/// The planner of the fleet.
 ///
 /// ```
 /// use std::time::Duration;
@@ -34,57 +35,60 @@
 /// assert!(decisions.is_empty());
 /// ```
 pub struct Policy {
-    pub(crate) keep: Box<dyn Keep>,
+    pub(crate) keep_alive: Box<dyn KeepAlivePolicy>,
     pub(crate) catalog: Catalog,
-    pub(crate) histories: BTreeMap<ModelId, History>,
-    pub(crate) store: Store,
-    pub(crate) pending: Pending,
-    pub(crate) notes: Notes,
-    /// Models that fitted nowhere when they were last looked at.
-    pub(crate) unplaced: BTreeSet<Key>,
+    pub(crate) histories: BTreeMap<ModelId, RequestHistory>,
+    pub(crate) store: WeightStore,
+    pub(crate) pending: PendingDecisions,
+    pub(crate) decision_log: DecisionLog,
+    /// Models for which the last search found no worker.
+    pub(crate) unplaced: BTreeSet<ModelVersion>,
 }
 
 impl Default for Policy {
     fn default() -> Self {
-        Self::new(Box::new(Weighed))
+        Self::new(Box::new(CostBased))
     }
 }
 
 impl Policy {
-    /// A planner with a keeping policy of its own.
+    /// Creates a planner with the given keep-alive policy.
     #[must_use]
-    pub fn new(keep: Box<dyn Keep>) -> Self {
+    pub fn new(keep_alive: Box<dyn KeepAlivePolicy>) -> Self {
         Self {
-            keep,
+            keep_alive,
             catalog: Catalog::default(),
             histories: BTreeMap::new(),
-            store: Store::default(),
-            pending: Pending::default(),
-            notes: Notes::default(),
+            store: WeightStore::default(),
+            pending: PendingDecisions::default(),
+            decision_log: DecisionLog::default(),
             unplaced: BTreeSet::new(),
         }
     }
 
-    /// Takes over what the picture shows.
-    fn observe(&mut self, scene: &mut Scene, needs: &[Need], now: Time) {
-        self.pending.settle(scene, now);
-        scene.count(&self.pending);
-        self.store.observe(scene.picture, &self.pending, now);
+    /// Updates the state kept between calls from the current picture of the fleet.
+    fn observe(&mut self, fleet: &mut FleetIndex, demands: &[ModelDemand], now: Time) {
+        self.pending.remove_confirmed(fleet, now);
+        fleet.apply_pending(&self.pending);
+        self.store.observe(fleet.picture, &self.pending, now);
         let catalog = &self.catalog;
         self.histories
             .retain(|model, _| catalog.get(model).is_some());
-        self.unplaced
-            .retain(|key| needs.binary_search_by_key(&key, |need| &need.key).is_ok());
-        for need in needs {
-            if self.catalog.get(&need.key.model).is_none() {
+        self.unplaced.retain(|key| {
+            demands
+                .binary_search_by_key(&key, |demand| &demand.key)
+                .is_ok()
+        });
+        for demand in demands {
+            if self.catalog.get(&demand.key.model).is_none() {
                 continue;
             }
-            let history = self.histories.entry(need.key.model.clone());
-            history.or_default().observe(need, now);
+            let history = self.histories.entry(demand.key.model.clone());
+            history.or_default().observe(demand, now);
         }
         for finish in self.store.finished() {
             if let Some(history) = self.histories.get_mut(&finish.model) {
-                history.loaded(finish.took);
+                history.record_load(finish.took);
             }
         }
     }
@@ -93,23 +97,23 @@
 impl Planner for Policy {
     fn plan(&mut self, picture: &Picture, now: Time) -> Vec<Decision> {
         self.catalog.refresh(&picture.settings);
-        let needs = needs(&picture.demand, &self.catalog);
-        let mut scene = Scene::new(picture);
-        self.observe(&mut scene, &needs, now);
-        let mut round = Round {
+        let demands = aggregate_demand(&picture.demand, &self.catalog);
+        let mut fleet = FleetIndex::new(picture);
+        self.observe(&mut fleet, &demands, now);
+        let mut pass = PlanningPass {
             policy: self,
-            scene,
-            needs: &needs,
+            fleet,
+            demands: &demands,
             now,
             decisions: Vec::new(),
-            budget: BUDGET,
+            budget: SEARCH_BUDGET,
         };
-        round.settings();
-        round.loads();
-        round.adapters();
-        round.idle();
-        round.ahead();
-        round.decisions
+        pass.unload_disallowed();
+        pass.load_waiting();
+        pass.load_adapters();
+        pass.unload_idle();
+        pass.preload();
+        pass.decisions
     }
 
     fn explain(&self, model: &str, now: Time) -> Vec<String> {
@@ -119,25 +123,25 @@
             return lines;
         };
         if !entry.managed {
-            lines.push(format!("{model} belongs to a group that is not managed"));
+            lines.push(format!("{model} is in a group that is not managed"));
         }
         if let Some(history) = self.histories.get(model) {
             lines.push(format!(
-                "{model} was last called {} s ago; {:.1} gaps seen, {:.1} requests a call",
+                "last request for {model} {} s ago; {:.1} idle gaps recorded, {:.1} requests per burst",
                 history.idle(now).as_secs(),
                 history.gaps.weight,
-                history.hurt(),
+                history.delayed_requests(),
             ));
         }
-        for note in self.notes.of(model) {
-            let ago = now.saturating_sub(note.at);
-            lines.push(format!("{} s ago: {}", ago.as_secs(), note.text));
+        for entry in self.decision_log.entries(model) {
+            let ago = now.saturating_sub(entry.at);
+            lines.push(format!("{} s ago: {}", ago.as_secs(), entry.text));
         }
         lines
     }
 }
 
-/// A time in seconds, as operators read it.
-pub(crate) fn seconds(time: Duration) -> String {
+/// Formats a duration in seconds for operators.
+pub(crate) fn format_seconds(time: Duration) -> String {
     format!("{:.1} s", time.as_secs_f64())
 }
--- a/crates/planner/src/scale.rs
+++ b/crates/planner/src/scale.rs
@@ -1,70 +1,72 @@
-//! How many replicas the demand for a model needs.
+//! Autoscaling: how many replicas the demand for a model needs.
 
 use std::time::Duration;
 
 use cornelhitch_types::id::Time;
 
-use crate::need::Need;
-use crate::number::{count, whole};
+use crate::convert::{ceil_to_u32, to_f64};
+use crate::demand::ModelDemand;
 
-/// The time of one request where none has been seen, in seconds.
-const SERVICE: f64 = 2.0;
+/// Assumed request duration in seconds where none has been observed.
+const DEFAULT_SERVICE_S: f64 = 2.0;
 
-/// The replicas of a model and what is known of its requests.
+/// The replicas of a model and the figures that their throughput follows from.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Supply {
-    /// Replicas that are ready.
+    /// Ready replicas.
     pub ready: u32,
-    /// Replicas that are loading or decided.
+    /// Replicas that are loading or whose load is pending.
     pub loading: u32,
-    /// Until the next of the loading ones is ready.
-    pub next: Duration,
-    /// Until one more replica would be ready.
-    pub more: Duration,
-    /// Requests that one replica answers at once.
+    /// Time until the next loading replica is ready.
+    pub next_ready: Duration,
+    /// Time until one additional replica would be ready.
+    pub additional_ready: Duration,
+    /// Requests that one replica serves concurrently.
     pub concurrency: u32,
-    /// Seconds of one request, where known.
-    pub service: Option<f64>,
+    /// Average request duration in seconds; `None` if not known.
+    pub service_s: Option<f64>,
 }
 
-/// Replicas that are wanted on top of those there are.
+/// Returns how many replicas are wanted in addition to the existing ones.
 ///
-/// One where there is none. More only if the deadlines need it: if what waits
-/// cannot be served in time by the replicas there are, and one more would be
-/// ready before they are done.
+/// One if there is none. Otherwise more only if the existing replicas cannot serve the waiting
+/// requests before their deadline, and an additional one would be ready before those are done.
 #[must_use]
-pub fn missing(need: &Need, supply: &Supply, now: Time) -> u32 {
-    if need.waiting == 0 {
+pub fn additional_replicas(demand: &ModelDemand, supply: &Supply, now: Time) -> u32 {
+    if demand.waiting == 0 {
         return 0;
     }
     let have = supply.ready + supply.loading;
     if have == 0 {
         return 1;
     }
-    let left = need.deadline.saturating_sub(now);
-    let done = finish(need, supply);
-    if done <= left || supply.more >= done {
+    let left = demand.deadline.saturating_sub(now);
+    let done = time_to_serve(demand, supply);
+    if done <= left || supply.additional_ready >= done {
         return 0;
     }
-    let service = supply.service.unwrap_or(SERVICE).max(f64::EPSILON);
-    let slots = count(u64::from(supply.concurrency.max(1)));
-    let rounds = (left.saturating_sub(supply.more).as_secs_f64() / service).max(1.0);
-    let work = f64::from(need.waiting) + f64::from(need.running);
-    let wanted = whole(work / (slots * rounds));
+    let service = supply
+        .service_s
+        .unwrap_or(DEFAULT_SERVICE_S)
+        .max(f64::EPSILON);
+    let slots = to_f64(u64::from(supply.concurrency.max(1)));
+    let rounds = (left.saturating_sub(supply.additional_ready).as_secs_f64() / service).max(1.0);
+    let work = f64::from(demand.waiting) + f64::from(demand.running);
+    let wanted = ceil_to_u32(work / (slots * rounds));
     wanted.saturating_sub(have).max(1)
 }
 
-/// When the replicas there are will have served what waits, from now.
+/// Returns the time from now until the existing replicas have served the waiting requests.
 #[must_use]
-pub fn finish(need: &Need, supply: &Supply) -> Duration {
-    let service = supply.service.unwrap_or(SERVICE);
+pub fn time_to_serve(demand: &ModelDemand, supply: &Supply) -> Duration {
+    let service = supply.service_s.unwrap_or(DEFAULT_SERVICE_S);
     let have = (supply.ready + supply.loading).max(1);
     let slots = f64::from(have) * f64::from(supply.concurrency.max(1));
-    let rounds = (f64::from(need.waiting) + f64::from(need.running)) / slots;
+    let rounds = (f64::from(demand.waiting) + f64::from(demand.running)) / slots;
     let start = if supply.ready > 0 {
         Duration::ZERO
     } else {
-        supply.next
+        supply.next_ready
     };
-    start.saturating_add(crate::number::time(rounds.ceil() * service))
+    start.saturating_add(crate::convert::duration_from_secs(rounds.ceil() * service))
 }
--- a/crates/planner/tests/fake/check.rs
+++ b/crates/planner/tests/fake_fleet/check.rs
@@ -1,4 +1,4 @@
-//! The promises, checked on each decision as it is made.
+//! Invariants that are checked on each decision as it is made.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
 
-use super::{Fake, from};
+use super::{FakeFleet, from};
 
-impl Fake {
-    /// Checks one decision against every promise.
+impl FakeFleet {
+    /// Asserts that a decision keeps every invariant.
     pub fn check(&self, decision: &Decision) {
         match &decision.action {
             Action::Load {
@@ -23,26 +23,29 @@
             Action::Unload { replica } => self.check_unload(*replica, decision.reason),
             Action::Adapter { .. } => {
                 let limit = self.fleet.loading.adapters_in_flight;
-                assert!(self.adapters_in_flight < limit, "adapters in flight");
+                assert!(
+                    self.adapters_in_flight < limit,
+                    "too many adapters in flight"
+                );
             }
             Action::Warm { .. } => {}
         }
     }
 
     fn check_load(&self, model: &ModelId, target: &str, bytes: u64) {
-        let known = self.fleet.model(model).expect("a model of the settings");
+        let known = self.fleet.model(model).expect("model is in the settings");
         assert!(self.fleet.managed(known), "{model} is not managed");
         assert_eq!(bytes, known.bytes);
         let worker = self
             .workers
             .iter()
             .find(|w| *w.target == *target)
-            .expect("a worker");
-        assert!(worker.open, "{target} is closed");
+            .expect("worker exists");
+        assert!(worker.open, "{target} accepts no loads");
         let quiet = |quiet: &Quiet| quiet.model == *model && quiet.until > self.now;
         assert!(
             !worker.quiet.iter().any(quiet),
-            "{model} is quiet on {target}"
+            "{model} must not be loaded on {target} yet"
         );
         let reserved: u64 = self
             .decided()
@@ -56,14 +59,14 @@
         let replicas = self.decided().filter(|r| r.model == *model).count();
         assert!(
             replicas < self.fleet.rules(model).replicas as usize,
-            "replicas of {model}"
+            "too many replicas of {model}"
         );
         if from(worker, model) == Stage::Remote {
             self.check_start();
         }
     }
 
-    /// The store's limits: starts in any window, and loads in flight.
+    /// Asserts the limits of the weight store: starts in any window, and loads in flight.
     fn check_start(&self) {
         let loading = &self.fleet.loading;
         let window = Duration::from_secs_f64((1.0 / loading.starts_per_second).max(1.0));
@@ -74,8 +77,8 @@
             .count();
         let most = loading.starts_per_second.floor().max(1.0);
         assert!(
-            f64::from(u32::try_from(lately).expect("few")) + 1.0 <= most,
-            "{lately} starts before in {window:?}"
+            f64::from(u32::try_from(lately).expect("count fits into u32")) + 1.0 <= most,
+            "{lately} earlier starts within {window:?}"
         );
         let remote = |r: &&Replica| r.state == State::Loading && r.from == Stage::Remote;
         let in_flight = self.decided().filter(remote).count();
@@ -90,7 +93,7 @@
             .replicas
             .iter()
             .find(|r| r.replica == id)
-            .expect("a replica");
+            .expect("replica exists");
         assert_eq!(replica.state, State::Ready);
         let Some(model) = self.fleet.model(&replica.model) else {
             assert_eq!(reason, Reason::Settings);
@@ -102,7 +105,7 @@
         let movable = reason == Reason::Settings || (patient && reason == Reason::Preempted);
         assert!(
             replica.running == 0 || movable,
-            "{reason} of a busy replica"
+            "busy replica unloaded ({reason})"
         );
         let idle = self
             .now
@@ -110,7 +113,7 @@
         if matches!(reason, Reason::Idle | Reason::Surplus) {
             assert!(
                 idle >= self.fleet.rules(&model.name).minimum,
-                "unloaded after {idle:?}"
+                "unloaded after only {idle:?} idle"
             );
         }
     }
--- a/crates/planner/tests/fake/mod.rs
+++ b/crates/planner/tests/fake_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet that does what a random script says and checks each decision.
+//! A fake fleet that runs a random script and checks each decision of the planner.
 
 mod check;
 mod script;
@@ -21,7 +21,7 @@
 const REGIONS: [&str; 2] = ["perth-a", "bunbury-a"];
 const MODELS: usize = 6;
 const WORKERS: usize = 5;
-/// Models 0 to 3 fit on every worker, 4 on some, 5 is in an unmanaged group.
+/// Models 0 to 3 fit on every worker, model 4 on some, and model 5 is in an unmanaged group.
 const SETTINGS: &str = "
 loading: { starts-per-second: 2.0, concurrency: 3, adapters-in-flight: 4 }
 keeping: { minimum-s: 5, maximum-s: 120 }
@@ -38,20 +38,20 @@
 exceptions: [{ reason: one is enough, model: m3, replicas: 1 }]
 ";
 
-/// Requests for one model from one region.
+/// The demand for one model from one region, and its arrivals since the last call of the planner.
 #[derive(Debug, Clone)]
 struct Row {
     demand: Demand,
     fresh: u64,
 }
 
-/// The fleet.
-pub struct Fake {
+/// The state of the fleet, its faults and counters.
+pub struct FakeFleet {
     pub now: Time,
     pub fleet: Fleet,
     pub workers: Vec<Worker>,
     pub replicas: Vec<Replica>,
-    /// Replicas that the picture does not show yet, and when it will.
+    /// Replicas that the picture does not show yet, and the time from which it does.
     hidden: Vec<(Time, Replica)>,
     rows: Vec<Row>,
     starts: VecDeque<Time>,
@@ -59,15 +59,15 @@
     lose: bool,
     lag: bool,
     next: u64,
-    /// Requests that came.
+    /// Requests that have arrived.
     pub arrived: u64,
-    /// Loads that were carried out.
+    /// Loads that were started.
     pub loads: u64,
-    /// Replicas that died with their worker.
+    /// Replicas lost through the failure of their worker.
     pub died: u64,
 }
 
-impl Fake {
+impl FakeFleet {
     pub fn new() -> Self {
         Self {
             now: Duration::from_secs(1_000),
@@ -87,9 +87,9 @@
         }
     }
 
-    /// Does one step, then lets the planner decide and checks what it decides.
-    pub fn play(&mut self, step: &Step, planner: &mut dyn Planner) {
-        self.step(step);
+    /// Applies one step, then calls the planner, and checks and applies its decisions.
+    pub fn run_step(&mut self, step: &Step, planner: &mut dyn Planner) {
+        self.apply_step(step);
         let picture = self.picture();
         let decisions = planner.plan(&picture, self.now);
         for decision in &decisions {
@@ -101,7 +101,7 @@
         self.lose = false;
     }
 
-    fn step(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         match step {
             Step::Arrive {
                 model,
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Time passes: requests past their deadline are refused, late replicas show.
+    /// Advances the time, drops requests past their deadline, and reveals hidden replicas.
     fn wait(&mut self, time: Duration) {
         self.now += time;
         let now = self.now;
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Waiting requests go to ready replicas with room.
+    /// Dispatches waiting requests to ready replicas with free slots.
     fn serve(&mut self) {
         let slots = self.fleet.placing.concurrency;
         for row in &mut self.rows {
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Requests end, and replicas on their way out leave.
+    /// Ends all running requests and removes retiring replicas.
     fn end(&mut self) {
         for replica in &mut self.replicas {
             replica.running = 0;
@@ -283,7 +283,7 @@
         }
     }
 
-    /// All replicas that were decided, shown or not.
+    /// Returns all replicas whose load was decided, hidden ones included.
     fn decided(&self) -> impl Iterator<Item = &Replica> {
         self.replicas
             .iter()
@@ -343,8 +343,8 @@
         }
     }
 
-    /// Ends all faults and forgets all requests.
-    pub fn heal(&mut self) {
+    /// Ends all faults and drops all requests.
+    pub fn clear_faults(&mut self) {
         self.fleet = SETTINGS.parse().expect("settings");
         self.lag = false;
         self.adapters_in_flight = 0;
@@ -357,7 +357,7 @@
         self.wait(Duration::from_secs(5));
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> u32 {
         self.rows.iter().map(|row| row.demand.waiting).sum()
     }
--- a/crates/planner/tests/fake/script.rs
+++ b/crates/planner/tests/fake_fleet/script.rs
@@ -1,10 +1,10 @@
-//! Random scripts.
+//! Random scripts of arrivals, faults and changes of the settings.
 
 use proptest::prelude::*;
 
 use super::{MODELS, WORKERS};
 
-/// One line of a script.
+/// One step of a script.
 #[derive(Debug, Clone)]
 pub enum Step {
     Arrive {
@@ -62,7 +62,7 @@
     Lag,
 }
 
-/// A script of any steps.
+/// Generates scripts of up to 119 steps.
 pub fn script() -> impl Strategy<Value = Vec<Step>> {
     let worker = 0..WORKERS;
     let model = 0..MODELS;
--- a/crates/planner/tests/hosting.rs
+++ b/crates/planner/tests/hosting.rs
@@ -1,4 +1,4 @@
-//! Which models workers hold that take one order at a time.
+//! Placement of models on workers that take one order at a time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,15 +9,15 @@
 use cornelhitch_types::route::{Engine, Model};
 use cornelhitch_types::target::Stage;
 
-/// Models that fit into one worker.
-const ROOM: u64 = 2;
+/// Models that fit into the memory of one worker.
+const MODELS_PER_WORKER: u64 = 2;
 
 /// An engine whose workers hold two models and two adapters.
 fn engine() -> Engine {
     Engine {
         slots: 64,
         tokens: 250_000,
-        memory: ROOM * 100 + 2,
+        memory: MODELS_PER_WORKER * 100 + 2,
         host: 0,
         disk: 0,
         adapters: 2,
@@ -43,7 +43,7 @@
         .collect()
 }
 
-/// A worker that takes an order now, with what it holds and what it has on its disk.
+/// Creates a worker that takes an order now, with the models in its memory and on its disk.
 fn worker(name: &str, held: &[&str], disk: &[&str]) -> Worker {
     let near = disk.iter().map(|model| ((*model).into(), Stage::Disk));
     let held = held.iter().map(|model| Held {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Requests of a model: those that wait, those that run, and arrivals a second.
+/// Creates the demand for a model: waiting and running requests, and arrivals per second.
 fn wish(waiting: u32, running: u32, rate: f64) -> Wish {
     Wish {
         waiting,
@@ -74,7 +74,7 @@
     }
 }
 
-/// One plan of a new policy, as `worker action model reason` lines.
+/// Returns one plan of a new policy, as `worker action model reason` lines.
 fn plan(workers: Vec<Worker>, wishes: &[(&str, Wish)], fetching: u32) -> Vec<String> {
     let (engine, models) = (engine(), models());
     let scene = Scene {
@@ -88,10 +88,14 @@
         fetching,
         store_open: true,
     };
-    Policy::default().plan(&scene).iter().map(line).collect()
+    Policy::default()
+        .plan(&scene)
+        .iter()
+        .map(format_step)
+        .collect()
 }
 
-fn line(step: &Step) -> String {
+fn format_step(step: &Step) -> String {
     let action = match &step.action {
         Action::Load { model, from } => format!("load {model} {from:?}"),
         Action::Unload { model } => format!("unload {model}"),
@@ -102,7 +106,7 @@
 }
 
 #[test]
-fn a_waited_for_model_takes_the_place_of_the_least_missed() {
+fn a_waiting_model_evicts_the_least_requested_one() {
     let workers = vec![worker("w1", &["a", "b"], &["a", "b", "c"])];
     let wishes = [
         ("a", wish(0, 0, 0.5)),
@@ -112,10 +116,10 @@
     assert_eq!(plan(workers, &wishes, 0), ["w1 unload b room"]);
 }
 
-/// Seen as `scale-2` of the grown lsda site: two models with many requests took turns on the one
-/// worker that had both near, and were loaded more than they answered.
+/// Guards against thrashing: two models in high demand evicted each other in turn on the one worker
+/// that had both near, and spent more time loading than serving.
 #[test]
-fn a_copy_in_use_makes_no_room_for_a_model_that_fewer_ask_for() {
+fn a_copy_in_use_is_not_evicted_for_a_model_in_lower_demand() {
     let workers = vec![worker("w1", &["a", "b"], &["a", "b", "c"])];
     let busy = wish(6, 12, 6.0);
     let wishes = [("a", busy.clone()), ("b", busy), ("c", wish(1, 0, 0.1))];
@@ -123,7 +127,7 @@
 }
 
 #[test]
-fn a_copy_in_use_makes_room_for_a_model_that_more_ask_for() {
+fn a_copy_in_use_is_evicted_for_a_model_in_higher_demand() {
     let workers = vec![worker("w1", &["a", "b"], &["a", "b", "c"])];
     let wishes = [
         ("a", wish(0, 1, 0.1)),
@@ -133,9 +137,9 @@
     assert_eq!(plan(workers, &wishes, 0), ["w1 unload a room"]);
 }
 
-/// A worker that unloads a copy in use takes no other order until its requests have ended.
+/// A worker that unloads a copy in use takes no other order until the copy's requests have ended.
 #[test]
-fn an_idle_copy_goes_before_a_spare_one_that_answers() {
+fn an_idle_copy_is_evicted_before_a_redundant_one_in_use() {
     let workers = vec![
         worker("w1", &["a", "b"], &["c"]),
         worker("w2", &["a", "d"], &[]),
@@ -150,7 +154,7 @@
 }
 
 #[test]
-fn a_new_leader_counts_what_runs_now_though_its_means_begin_at_none() {
+fn a_new_leader_whose_means_start_at_zero_counts_running_requests() {
     let workers = vec![worker("w1", &["a", "b"], &["c"])];
     let fresh = |waiting, running| Wish {
         load: 0.0,
@@ -161,26 +165,28 @@
     assert_eq!(plan(workers, &wishes, 0), ["w1 unload b room"]);
 }
 
-/// Seen as `trouble-1` of the grown swancoop site: 186 requests on two copies, no other disk with
-/// the weights.
+/// Guards against a model that stays overloaded because no other disk has its weights: 186 requests
+/// ran on two copies.
 #[test]
-fn a_swamped_model_is_fetched_from_the_store() {
+fn a_heavily_overloaded_model_is_fetched_from_the_store() {
     let workers = || vec![worker("w1", &["a"], &["a"]), worker("w2", &[], &[])];
-    let crowded = [("a", wish(0, 6, 2.0))];
-    let swamped = [("a", wish(0, 40, 9.0))];
-    assert!(!plan(workers(), &crowded, 1).contains(&"w2 load a Remote overloaded".to_owned()));
-    assert!(plan(workers(), &swamped, 1).contains(&"w2 load a Remote overloaded".to_owned()));
+    let overloaded = [("a", wish(0, 6, 2.0))];
+    let heavily_overloaded = [("a", wish(0, 40, 9.0))];
+    assert!(!plan(workers(), &overloaded, 1).contains(&"w2 load a Remote overloaded".to_owned()));
+    assert!(
+        plan(workers(), &heavily_overloaded, 1).contains(&"w2 load a Remote overloaded".to_owned())
+    );
 }
 
 #[test]
-fn a_crowded_model_gets_another_copy_from_a_disk() {
+fn an_overloaded_model_gets_another_copy_from_a_disk() {
     let workers = vec![worker("w1", &["a"], &["a"]), worker("w2", &["b"], &["a"])];
     let wishes = [("a", wish(0, 6, 2.0)), ("b", wish(0, 0, 0.1))];
     assert!(plan(workers, &wishes, 0).contains(&"w2 load a Disk overloaded".to_owned()));
 }
 
 #[test]
-fn no_more_copies_come_than_there_are() {
+fn no_more_copies_are_loaded_at_once_than_are_serving() {
     let mut coming = worker("w2", &[], &["a"]);
     coming.coming = Some("a".into());
     coming.free_in = Some(Duration::from_millis(300));
@@ -194,7 +200,7 @@
 }
 
 #[test]
-fn the_store_fetches_two_at_once_those_most_asked_for_first() {
+fn at_most_two_loads_from_the_store_run_the_most_requested_model_first() {
     let workers = || {
         vec![
             worker("w1", &[], &[]),
@@ -216,11 +222,11 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(loads(0)[0], "w1 load b Remote waiting");
-    assert!(loads(2).is_empty(), "two run");
+    assert!(loads(2).is_empty(), "two loads are already running");
 }
 
 #[test]
-fn a_model_that_nobody_asked_for_waits_for_room_that_is_left() {
+fn a_model_without_requests_evicts_no_other() {
     let workers = vec![worker("w1", &["a", "b"], &[])];
     let wishes = [
         ("a", wish(0, 0, 0.1)),
@@ -231,7 +237,7 @@
 }
 
 #[test]
-fn a_model_waits_for_the_busy_worker_that_has_it_near() {
+fn a_model_waits_for_a_busy_worker_that_has_its_weights_near() {
     let mut near = worker("w1", &["a", "b"], &["c"]);
     near.free_in = Some(Duration::from_millis(200));
     let workers = vec![near, worker("w2", &["d", "e"], &[])];
@@ -239,14 +245,14 @@
 }
 
 #[test]
-fn a_worker_of_which_too_little_is_known_gets_no_order() {
+fn a_worker_with_unknown_time_until_free_gets_no_order() {
     let mut unknown = worker("w1", &["a", "b"], &["c"]);
     unknown.free_in = None;
     assert!(plan(vec![unknown], &[("c", wish(1, 0, 0.1))], 2).is_empty());
 }
 
 #[test]
-fn an_adapter_takes_a_free_place_and_else_that_of_one_nobody_waits_for() {
+fn an_adapter_takes_a_free_slot_or_replaces_one_without_waiting_requests() {
     let wanted = Wish {
         adapters: vec!["a3".into()],
         ..wish(1, 0, 0.1)
@@ -267,7 +273,7 @@
 }
 
 #[test]
-fn distant_models_are_those_no_open_worker_has() {
+fn distant_models_are_those_that_no_open_worker_has() {
     let (engine, models) = (engine(), models());
     let mut closed = worker("w2", &["d"], &["e"]);
     closed.open = false;
@@ -285,9 +291,9 @@
     assert_eq!(distant, ["d", "e", "f"]);
 }
 
-/// A new leader's first seconds tell as much of the rate as a long time does.
+/// A new leader must estimate the rate from the first seconds after its election.
 #[test]
-fn a_rate_is_taken_over_the_time_that_was_counted() {
+fn a_rate_is_averaged_over_the_counted_time() {
     let second = Duration::from_secs;
     let mut rate = Rate::new(0, second(100));
     for at in 1..=5 {
@@ -302,13 +308,13 @@
     one.count(1, second(100) + Duration::from_millis(20));
     assert!(
         one.per_second() < 0.5,
-        "one arrival is no high rate: {}",
+        "one arrival must not give a high rate: {}",
         one.per_second()
     );
 }
 
 #[test]
-fn reasons_have_names_for_the_log() {
+fn reasons_are_logged_in_lower_case() {
     let names = [
         Reason::Waiting,
         Reason::Overloaded,
@@ -319,17 +325,17 @@
     assert_eq!(names, ["waiting", "overloaded", "room", "expected"]);
 }
 
-/// Seen as `scale-2` of the grown lsda site: up to 92 requests ran on the only copy of a model for
-/// 15 s, while the store was idle. The one worker with the weights near would have lost too much,
-/// and no other one was looked at.
+/// Guards against scale-out that only considers the worker with the weights near: its eviction loss
+/// was too high, and up to 92 requests ran on the only copy of a model for 15 s while the store was
+/// idle.
 #[test]
-fn a_swamped_model_goes_elsewhere_where_the_nearest_worker_would_lose_too_much() {
+fn a_heavily_overloaded_model_is_loaded_elsewhere_if_the_nearest_worker_loses_too_much() {
     let workers = vec![
         worker("w1", &["a", "e"], &["a", "e"]),
         worker("w2", &["b", "c"], &["a", "b", "c"]),
         worker("w3", &["d"], &["d"]),
     ];
-    // Requests wait for the only copies on the worker that has the weights near.
+    // Requests are waiting for the only copies of b and c, on the worker that has a's weights near.
     let wishes = [
         ("a", wish(0, 9, 10.0)),
         ("b", wish(2, 1, 0.2)),
--- a/crates/planner/tests/keeping.rs
+++ b/crates/planner/tests/keeping.rs
@@ -1,68 +1,68 @@
-//! How long idle replicas are kept, and which models are loaded ahead.
+//! How long idle replicas are kept, and which models are preloaded.
 
 use std::time::Duration;
 
-use cornelhitch_planner::history::History;
-use cornelhitch_planner::keep::{Facts, Keep, Weighed};
-use cornelhitch_planner::need::{Key, Need};
+use cornelhitch_planner::demand::{ModelDemand, ModelVersion};
+use cornelhitch_planner::history::RequestHistory;
+use cornelhitch_planner::keep_alive::{CostBased, KeepAliveInputs, KeepAlivePolicy};
 use cornelhitch_settings::fleet::{Fleet, Keeping, Rules};
 
-/// Calls at regular gaps, then an idle time.
+/// Requests at regular gaps followed by an idle time, and the expected decisions.
 struct Case {
     name: &'static str,
-    /// The gaps between ten calls, or none for a model that never called.
+    /// The gap between ten requests, or `None` for a model without requests.
     gap_s: Option<u64>,
-    /// The idle time since the last call.
+    /// The idle time since the last request.
     idle_s: u64,
-    /// How long its next cold start would take.
+    /// The expected duration of the next cold start.
     cold_ms: u64,
-    /// Weights of cold starts and idle hours.
+    /// Weights of cold starts and of idle time.
     weights: (f64, f64),
-    /// Whether a ready replica is kept on.
+    /// Whether an idle replica is kept.
     kept: bool,
-    /// Whether the model is loaded ahead, were it not ready.
-    ahead: bool,
+    /// Whether the model would be preloaded if it had no replica.
+    preloaded: bool,
 }
 
-const EVEN: (f64, f64) = (0.5, 0.5);
-const COLD: (f64, f64) = (0.99, 0.01);
-const IDLE: (f64, f64) = (0.01, 0.99);
+const EQUAL_WEIGHTS: (f64, f64) = (0.5, 0.5);
+const HEAVY_COLD_START: (f64, f64) = (0.99, 0.01);
+const HEAVY_IDLE: (f64, f64) = (0.01, 0.99);
 
 #[rustfmt::skip]
 const CASES: [Case; 11] = [
-    Case { name: "called often", gap_s: Some(20), idle_s: 10, cold_ms: 8_000, weights: EVEN, kept: true, ahead: true },
-    Case { name: "called hourly", gap_s: Some(3_600), idle_s: 60, cold_ms: 5_000, weights: EVEN, kept: false, ahead: false },
-    Case { name: "hourly, cold starts hurt", gap_s: Some(3_600), idle_s: 60, cold_ms: 9_000, weights: COLD, kept: true, ahead: true },
-    Case { name: "often, idle hours hurt", gap_s: Some(20), idle_s: 10, cold_ms: 4_000, weights: IDLE, kept: false, ahead: false },
-    Case { name: "hourly, the call is due", gap_s: Some(3_600), idle_s: 3_500, cold_ms: 20_000, weights: EVEN, kept: true, ahead: true },
-    Case { name: "short cold starts", gap_s: Some(60), idle_s: 10, cold_ms: 300, weights: EVEN, kept: false, ahead: false },
-    Case { name: "long cold starts", gap_s: Some(60), idle_s: 10, cold_ms: 20_000, weights: EVEN, kept: true, ahead: true },
-    Case { name: "never called", gap_s: None, idle_s: 60, cold_ms: 4_000, weights: EVEN, kept: false, ahead: false },
-    Case { name: "never called, long cold starts", gap_s: None, idle_s: 60, cold_ms: 30_000, weights: COLD, kept: true, ahead: false },
-    Case { name: "past the longest time", gap_s: Some(20), idle_s: 7_200, cold_ms: 30_000, weights: COLD, kept: false, ahead: false },
-    Case { name: "the call stayed away", gap_s: Some(20), idle_s: 900, cold_ms: 5_000, weights: EVEN, kept: false, ahead: false },
+    Case { name: "frequent requests", gap_s: Some(20), idle_s: 10, cold_ms: 8_000, weights: EQUAL_WEIGHTS, kept: true, preloaded: true },
+    Case { name: "hourly requests", gap_s: Some(3_600), idle_s: 60, cold_ms: 5_000, weights: EQUAL_WEIGHTS, kept: false, preloaded: false },
+    Case { name: "hourly requests, cold starts weigh more", gap_s: Some(3_600), idle_s: 60, cold_ms: 9_000, weights: HEAVY_COLD_START, kept: true, preloaded: true },
+    Case { name: "frequent requests, idle time weighs more", gap_s: Some(20), idle_s: 10, cold_ms: 4_000, weights: HEAVY_IDLE, kept: false, preloaded: false },
+    Case { name: "hourly requests, the next one is due", gap_s: Some(3_600), idle_s: 3_500, cold_ms: 20_000, weights: EQUAL_WEIGHTS, kept: true, preloaded: true },
+    Case { name: "short cold starts", gap_s: Some(60), idle_s: 10, cold_ms: 300, weights: EQUAL_WEIGHTS, kept: false, preloaded: false },
+    Case { name: "long cold starts", gap_s: Some(60), idle_s: 10, cold_ms: 20_000, weights: EQUAL_WEIGHTS, kept: true, preloaded: true },
+    Case { name: "no requests", gap_s: None, idle_s: 60, cold_ms: 4_000, weights: EQUAL_WEIGHTS, kept: false, preloaded: false },
+    Case { name: "no requests, long cold starts", gap_s: None, idle_s: 60, cold_ms: 30_000, weights: HEAVY_COLD_START, kept: true, preloaded: false },
+    Case { name: "idle for longer than the maximum", gap_s: Some(20), idle_s: 7_200, cold_ms: 30_000, weights: HEAVY_COLD_START, kept: false, preloaded: false },
+    Case { name: "the expected request did not arrive", gap_s: Some(20), idle_s: 900, cold_ms: 5_000, weights: EQUAL_WEIGHTS, kept: false, preloaded: false },
 ];
 
-/// Ten calls at regular gaps.
-fn history(gap_s: Option<u64>) -> History {
-    let mut history = History::default();
+/// Returns the history of ten requests at regular gaps, or an empty one.
+fn history(gap_s: Option<u64>) -> RequestHistory {
+    let mut history = RequestHistory::default();
     let Some(gap_s) = gap_s else {
         return history;
     };
-    let key = Key {
+    let key = ModelVersion {
         model: "report".into(),
         version: None,
     };
-    let mut need = Need::expected(key, "perth-a".into());
-    need.arrivals = 1;
+    let mut demand = ModelDemand::expected(key, "perth-a".into());
+    demand.arrivals = 1;
     for call in 1..=10 {
-        history.observe(&need, Duration::from_secs(call * gap_s));
+        history.observe(&demand, Duration::from_secs(call * gap_s));
     }
     history
 }
 
 #[test]
-fn verdicts() {
+fn replicas_are_kept_and_preloaded_while_cheaper_than_a_cold_start() {
     for case in CASES {
         let history = history(case.gap_s);
         let keeping = Keeping {
@@ -70,15 +70,15 @@
             idle_weight: case.weights.1,
             ..Keeping::default()
         };
-        let facts = Facts {
+        let inputs = KeepAliveInputs {
             history: &history,
-            cold: Duration::from_millis(case.cold_ms),
+            cold_start: Duration::from_millis(case.cold_ms),
             accelerators: 1,
             idle: Duration::from_secs(case.idle_s),
             keeping: &keeping,
             rules: Rules::from(&Fleet::default()),
         };
-        let verdict = Weighed.verdict(&facts);
+        let verdict = CostBased.keep_alive(&inputs);
         assert_eq!(
             !verdict.keep.is_zero(),
             case.kept,
@@ -86,8 +86,8 @@
             case.name
         );
         assert_eq!(
-            Weighed.ahead(&facts),
-            case.ahead,
+            CostBased.should_preload(&inputs),
+            case.preloaded,
             "{}: {verdict:?}",
             case.name
         );
@@ -95,20 +95,20 @@
 }
 
 #[test]
-fn the_cheapest_to_push_out_is_the_least_likely_to_be_called() {
+fn eviction_costs_less_for_less_frequently_requested_models() {
     let keeping = Keeping::default();
-    let price = |gap_s: u64| {
+    let eviction_cost = |gap_s: u64| {
         let history = history(Some(gap_s));
-        let facts = Facts {
+        let inputs = KeepAliveInputs {
             history: &history,
-            cold: Duration::from_secs(5),
+            cold_start: Duration::from_secs(5),
             accelerators: 1,
             idle: Duration::from_secs(5),
             keeping: &keeping,
             rules: Rules::from(&Fleet::default()),
         };
-        Weighed.price(&facts)
+        CostBased.eviction_cost(&inputs)
     };
-    assert!(price(3_600) < price(300));
-    assert!(price(300) < price(20));
+    assert!(eviction_cost(3_600) < eviction_cost(300));
+    assert!(eviction_cost(300) < eviction_cost(20));
 }
--- a/crates/planner/tests/limits.rs
+++ b/crates/planner/tests/limits.rs
@@ -1,25 +1,26 @@
-//! What holds for any sequence of arrivals, deaths, slow loads and changed settings.
+//! Property tests: invariants for any sequence of arrivals, worker failures, slow loads and changed
+//! settings.
 
-mod fake;
+mod fake_fleet;
 
 use cornelhitch_planner::Planner;
-use cornelhitch_planner::baseline::Full;
+use cornelhitch_planner::baseline::LeastRecentlyUsed;
 use cornelhitch_planner::policy::Policy;
 use proptest::prelude::*;
 
-use crate::fake::{Fake, Step, script};
+use crate::fake_fleet::{FakeFleet, Step, script};
 
-/// Plays a script; the fleet checks every decision.
-fn play(script: &[Step], planner: &mut dyn Planner) -> Fake {
-    let mut fake = Fake::new();
+/// Runs a script; the fake fleet checks every decision.
+fn run_script(script: &[Step], planner: &mut dyn Planner) -> FakeFleet {
+    let mut fleet = FakeFleet::new();
     for step in script {
-        fake.play(step, planner);
+        fleet.run_step(step, planner);
     }
-    fake
+    fleet
 }
 
-/// The checks run with a fixed seed, so that every run gives the same verdict.
-fn fixed() -> ProptestConfig {
+/// Returns a configuration with a fixed seed, so that every run gives the same result.
+fn fixed_seed() -> ProptestConfig {
     ProptestConfig {
         cases: 150,
         rng_seed: proptest::test_runner::RngSeed::Fixed(7),
@@ -29,50 +30,50 @@
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_seed())]
 
-    /// Replicas, memory, the store's limits, adapters, exceptions and unmanaged
-    /// groups; the fleet checks each decision as it comes.
+    /// Limits on replicas, memory, the weight store, adapters, exceptions and unmanaged groups: the
+    /// fake fleet checks each decision as it is made.
     #[test]
     fn limits_hold(script in script()) {
-        play(&script, &mut Policy::default());
+        run_script(&script, &mut Policy::default());
     }
 
-    /// The same for a baseline, which shares placing and loading.
+    /// The same limits for a baseline policy, which shares placement and loading.
     #[test]
     fn limits_hold_for_a_baseline(script in script()) {
-        play(&script, &mut Policy::new(Box::new(Full)));
+        run_script(&script, &mut Policy::new(Box::new(LeastRecentlyUsed)));
     }
 
-    /// No thrash: every load is due to a request, replaces one that died, or comes
-    /// ahead of a call once after the one before.
+    /// No thrashing: every load serves a request, replaces a failed replica, or is the one preload
+    /// that may follow each request.
     #[test]
     fn loads_are_bounded_by_arrivals(script in script()) {
-        let fake = play(&script, &mut Policy::default());
-        prop_assert!(fake.loads <= 2 * fake.arrived + fake.died);
+        let fleet = run_script(&script, &mut Policy::default());
+        prop_assert!(fleet.loads <= 2 * fleet.arrived + fleet.died);
     }
 
-    /// Progress: whatever came before, a model that fits and is asked for is served in time.
+    /// Progress: whatever happened before, requests for a model that fits are served in time.
     #[test]
-    fn what_is_asked_for_is_served(script in script(), model in 0..5_usize, region in 0..2_usize) {
+    fn requests_are_served_after_faults_end(script in script(), model in 0..5_usize, region in 0..2_usize) {
         let mut planner = Policy::default();
-        let mut fake = play(&script, &mut planner);
-        fake.heal();
-        fake.play(&Step::Arrive { model, region, count: 3, deadline_s: 60 }, &mut planner);
+        let mut fleet = run_script(&script, &mut planner);
+        fleet.clear_faults();
+        fleet.run_step(&Step::Arrive { model, region, count: 3, deadline_s: 60 }, &mut planner);
         for _ in 0..50 {
-            fake.play(&Step::Wait { ms: 1_000 }, &mut planner);
-            fake.play(&Step::Finish { which: 0 }, &mut planner);
-            fake.play(&Step::Serve, &mut planner);
-            fake.play(&Step::End, &mut planner);
+            fleet.run_step(&Step::Wait { ms: 1_000 }, &mut planner);
+            fleet.run_step(&Step::Finish { which: 0 }, &mut planner);
+            fleet.run_step(&Step::Serve, &mut planner);
+            fleet.run_step(&Step::End, &mut planner);
         }
-        prop_assert_eq!(fake.waiting(), 0);
+        prop_assert_eq!(fleet.waiting(), 0);
     }
 
-    /// The same pictures lead to the same decisions.
+    /// The same inputs lead to the same decisions.
     #[test]
     fn plans_are_deterministic(script in script()) {
-        let first = play(&script, &mut Policy::default());
-        let second = play(&script, &mut Policy::default());
+        let first = run_script(&script, &mut Policy::default());
+        let second = run_script(&script, &mut Policy::default());
         prop_assert_eq!(first.replicas, second.replicas);
     }
 }
--- a/crates/planner/tests/policy.rs
+++ b/crates/planner/tests/policy.rs
@@ -1,6 +1,6 @@
-//! Single decisions of the planner on small pictures.
+//! Decisions of one call of the planner on small inputs.
 
-mod sketch;
+mod fixtures;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
 
-use crate::sketch::{GIB, NOW, READY, demand, picture, replica, texts, worker};
+use crate::fixtures::{GIB, NOW, READY, demand, picture, replica, texts, worker};
 
-/// A picture and the decisions that it must lead to.
+/// An input and the decisions that it must lead to.
 struct Case {
     name: &'static str,
     picture: Picture,
@@ -38,11 +38,11 @@
 fn loading_cases() -> Vec<Case> {
     let two = || picture(vec![worker("a", 16), worker("b", 16)]);
     vec![
-        case("nothing waits", &[], two(), |_| {}),
-        case("one waits", &["load report a"], two(), |p| {
+        case("no waiting requests", &[], two(), |_| {}),
+        case("one waiting request", &["load report a"], two(), |p| {
             p.demand = vec![demand("report", 1)];
         }),
-        case("a copy is nearer", &["load report b"], two(), |p| {
+        case("a nearer copy", &["load report b"], two(), |p| {
             p.demand = vec![demand("report", 1)];
             p.workers[1].copies = vec![Copy {
                 model: "report".into(),
@@ -53,7 +53,7 @@
             p.demand = vec![demand("report", 1)];
             p.workers[0].open = false;
         }),
-        case("a quiet worker", &["load report b"], two(), |p| {
+        case("a worker in cooldown", &["load report b"], two(), |p| {
             p.demand = vec![demand("report", 1)];
             p.workers[0].quiet = vec![Quiet {
                 model: "report".into(),
@@ -61,7 +61,7 @@
             }];
         }),
         case(
-            "a worker past its quiet time",
+            "a worker past its cooldown",
             &["load report a"],
             two(),
             |p| {
@@ -72,14 +72,19 @@
                 }];
             },
         ),
-        case("nearer callers", &["load report b"], two(), |p| {
-            p.demand = vec![demand("report", 1)];
-            p.workers[0].region = "bunbury-a".into();
-        }),
+        case(
+            "a worker in the callers' region",
+            &["load report b"],
+            two(),
+            |p| {
+                p.demand = vec![demand("report", 1)];
+                p.workers[0].region = "bunbury-a".into();
+            },
+        ),
     ]
 }
 
-fn refusing_cases() -> Vec<Case> {
+fn no_load_cases() -> Vec<Case> {
     let two = || picture(vec![worker("a", 16), worker("b", 16)]);
     vec![
         case("an unmanaged group", &[], two(), |p| {
@@ -88,18 +93,18 @@
         case("an unknown model", &[], two(), |p| {
             p.demand = vec![demand("other", 5)];
         }),
-        case("too large for all", &[], two(), |p| {
+        case("too large for every worker", &[], two(), |p| {
             p.demand = vec![demand("report", 1)];
             p.workers.iter_mut().for_each(|w| w.memory = 9 * GIB);
         }),
-        case("already loading", &[], two(), |p| {
+        case("a replica is loading already", &[], two(), |p| {
             p.demand = vec![demand("report", 8)];
             p.replicas = vec![replica(1, "report", "a", State::Loading)];
             p.replicas[0].decided = NOW;
             p.workers[0].free = 6 * GIB;
         }),
         case(
-            "a burst goes to another zone",
+            "a burst adds a replica in another zone",
             &["load report b"],
             two(),
             |p| {
@@ -110,7 +115,7 @@
                 p.demand = vec![demand("report", 300)];
             },
         ),
-        case("one allowed", &[], two(), |p| {
+        case("only one replica is allowed", &[], two(), |p| {
             p.demand = vec![demand("single", 5_000)];
             p.replicas = vec![replica(1, "single", "a", State::Loading)];
         }),
@@ -124,25 +129,25 @@
         picture
     };
     vec![
-        case("an idle one gives way", &["unload 1"], full(), |p| {
+        case("an idle replica is evicted", &["unload 1"], full(), |p| {
             p.demand = vec![demand("report", 1)];
         }),
-        case("a busy one stays", &[], full(), |p| {
+        case("a busy replica stays", &[], full(), |p| {
             p.demand = vec![demand("report", 1)];
             p.replicas[0].running = 1;
         }),
-        case("one that is waited for stays", &[], full(), |p| {
+        case("a requested replica stays", &[], full(), |p| {
             p.demand = vec![demand("report", 1), demand("review", 1)];
         }),
-        case("one on its way out is waited for", &[], full(), |p| {
+        case("a retiring replica drains", &[], full(), |p| {
             p.demand = vec![demand("report", 1)];
             p.replicas[0].state = State::Retiring;
         }),
-        case("an unmanaged one stays", &[], full(), |p| {
+        case("an unmanaged replica stays", &[], full(), |p| {
             p.demand = vec![demand("report", 1)];
             p.replicas[0].model = "legacy".into();
         }),
-        case("past the longest time", &["unload 1"], full(), |p| {
+        case("idle beyond the maximum", &["unload 1"], full(), |p| {
             p.replicas[0].used = Duration::ZERO;
             p.replicas[0].ready = Some(Duration::ZERO);
             let mut fleet = (*p.settings).clone();
@@ -153,7 +158,7 @@
             p.replicas[0].model = "gone".into();
         }),
         case(
-            "an adapter is waited for",
+            "a request waits for an adapter",
             &["adapter dealer-1 1"],
             full(),
             |p| {
@@ -162,7 +167,7 @@
                 p.demand[0].adapters = vec!["dealer-1".into()];
             },
         ),
-        case("adapters at their limit", &[], full(), |p| {
+        case("too many adapters in flight", &[], full(), |p| {
             p.replicas[0].model = "report".into();
             p.demand = vec![demand("report", 1)];
             p.demand[0].adapters = vec!["dealer-1".into()];
@@ -171,7 +176,7 @@
     ]
 }
 
-fn giving_way_cases() -> Vec<Case> {
+fn eviction_cases() -> Vec<Case> {
     let full = || {
         let mut picture = picture(vec![worker("a", 6)]);
         picture.replicas = vec![replica(1, "long", "a", State::Ready)];
@@ -180,29 +185,49 @@
         picture
     };
     vec![
-        case("a busy patient one gives way", &["unload 1"], full(), |p| {
-            p.demand[0].weight = 9;
-        }),
-        case("but not to a lighter class", &[], full(), |_| {}),
-        case("not one that is not patient", &[], full(), |p| {
-            p.demand[0].weight = 9;
-            p.replicas[0].model = "review".into();
-        }),
-        case("the idle one goes", &["unload 2"], full(), |p| {
-            p.demand.clear();
-            p.replicas = vec![
-                replica(1, "single", "a", State::Ready),
-                replica(2, "single", "b", State::Ready),
-            ];
-            p.replicas[0].running = 1;
-        }),
-        case("an old version", &["unload 1"], full(), |p| {
+        case(
+            "a busy replica of a patient class is evicted",
+            &["unload 1"],
+            full(),
+            |p| {
+                p.demand[0].weight = 9;
+            },
+        ),
+        case(
+            "a busy replica is not evicted for a lighter class",
+            &[],
+            full(),
+            |_| {},
+        ),
+        case(
+            "a busy replica of another class is not evicted",
+            &[],
+            full(),
+            |p| {
+                p.demand[0].weight = 9;
+                p.replicas[0].model = "review".into();
+            },
+        ),
+        case(
+            "the idle surplus replica is unloaded",
+            &["unload 2"],
+            full(),
+            |p| {
+                p.demand.clear();
+                p.replicas = vec![
+                    replica(1, "single", "a", State::Ready),
+                    replica(2, "single", "b", State::Ready),
+                ];
+                p.replicas[0].running = 1;
+            },
+        ),
+        case("a replica of an old version", &["unload 1"], full(), |p| {
             p.demand.clear();
             p.replicas[0].running = 0;
             p.replicas[0].version = Some("1".into());
             p.replicas[0].used = READY;
         }),
-        case("an old version that is asked for", &[], full(), |p| {
+        case("an old version with waiting requests", &[], full(), |p| {
             p.demand = vec![demand("long", 1)];
             p.demand[0].version = Some("1".into());
             p.replicas[0].version = Some("1".into());
@@ -214,16 +239,16 @@
 fn cases() -> impl Iterator<Item = Case> {
     [
         loading_cases(),
-        refusing_cases(),
+        no_load_cases(),
         memory_cases(),
-        giving_way_cases(),
+        eviction_cases(),
     ]
     .into_iter()
     .flatten()
 }
 
 #[test]
-fn single_pictures() {
+fn one_call_makes_the_expected_decisions() {
     for case in cases() {
         let mut policy = Policy::default();
         let decisions = policy.plan(&case.picture, NOW);
