--- a/crates/planner/tests/sequence.rs
+++ b/crates/planner/tests/sequence.rs
@@ -1,24 +1,24 @@
-//! Decisions over several calls of the planner.
+//! Decisions over several consecutive calls of the planner.
 
-mod sketch;
+mod fixtures;
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use cornelhitch_planner::Planner;
 use cornelhitch_planner::decision::{Action, Decision, Reason};
-use cornelhitch_planner::pending::Pending;
+use cornelhitch_planner::pending::PendingDecisions;
 use cornelhitch_planner::picture::Picture;
 use cornelhitch_planner::policy::Policy;
-use cornelhitch_planner::store::Store;
+use cornelhitch_planner::weight_store::WeightStore;
 use cornelhitch_types::id::Time;
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
 
-use crate::sketch::{DECIDED, GIB, NOW, demand, picture, replica, texts, worker};
+use crate::fixtures::{DECIDED, GIB, NOW, demand, picture, replica, texts, worker};
 
 #[test]
-fn a_lost_load_is_decided_again_but_not_at_once() {
+fn a_lost_load_is_repeated_only_after_the_confirmation_timeout() {
     let mut policy = Policy::default();
     let mut picture = picture(vec![worker("a", 16)]);
     picture.demand = vec![demand("report", 1)];
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_adapter_is_not_ordered_again_while_it_loads() {
+fn a_pending_adapter_load_is_not_repeated_before_the_confirmation_timeout() {
     let mut policy = Policy::default();
     let mut picture = picture(vec![worker("a", 6)]);
     picture.replicas = vec![replica(1, "report", "a", State::Ready)];
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_most_urgent_for_their_weight_load_first() {
+fn models_load_in_order_of_urgency_divided_by_weight() {
     let mut policy = Policy::default();
     let mut picture = picture(vec![worker("a", 16), worker("b", 16), worker("c", 16)]);
     picture.demand = ["report", "review", "single"].map(|m| demand(m, 1)).into();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn what_fits_nowhere_does_not_hold_up_the_rest() {
+fn models_that_fit_nowhere_do_not_block_others() {
     let mut policy = Policy::default();
     let names: Vec<String> = (0..500).map(|index| format!("w{index:03}")).collect();
     let workers = names.iter().map(|name| worker(name, 16)).collect();
@@ -80,8 +80,8 @@
     assert_eq!(loads, ["load report w000"]);
 }
 
-/// Carries decisions out at once, and counts the loads.
-fn carry(picture: &mut Picture, decisions: &[Decision], now: Time) -> u32 {
+/// Applies decisions immediately and returns the number of loads.
+fn apply(picture: &mut Picture, decisions: &[Decision], now: Time) -> u32 {
     let mut loads = 0;
     for decision in decisions {
         match &decision.action {
@@ -101,14 +101,14 @@
 }
 
 #[test]
-fn a_call_that_stays_away_is_loaded_ahead_for_once() {
+fn a_model_is_preloaded_once_for_a_request_that_does_not_arrive() {
     let mut policy = Policy::default();
     let mut picture = picture(vec![worker("a", 16)]);
     let mut fleet = (*picture.settings).clone();
     fleet.keeping.cold_start_weight = 0.8;
     fleet.keeping.idle_weight = 0.2;
     picture.settings = Arc::new(fleet);
-    // Calls now five minutes apart, now fifty, while no worker may be loaded.
+    // Requests are alternately five and fifty minutes apart while no worker accepts loads.
     picture.workers[0].open = false;
     picture.demand = vec![demand("report", 1)];
     let mut start = NOW;
@@ -122,22 +122,25 @@
     for second in 1..7_200 {
         let now = start + Duration::from_secs(second);
         let decisions = policy.plan(&picture, now);
-        if carry(&mut picture, &decisions, now) > 0 {
+        if apply(&mut picture, &decisions, now) > 0 {
             assert_eq!(decisions[0].reason, Reason::Expected);
             loads.push(second);
         }
     }
     assert_eq!(loads.len(), 1, "loaded after {loads:?} s");
-    assert!(picture.replicas.is_empty(), "unloaded when no call came");
+    assert!(
+        picture.replicas.is_empty(),
+        "still loaded after no request arrived"
+    );
 }
 
 #[test]
-fn starts_from_the_store_are_paced() {
+fn starts_from_the_store_are_rate_limited() {
     let mut policy = Policy::default();
     let mut picture = picture(vec![worker("a", 16), worker("b", 16), worker("c", 16)]);
     picture.demand = ["report", "review", "single"].map(|m| demand(m, 1)).into();
     let decisions = policy.plan(&picture, NOW);
-    assert_eq!(decisions.len(), 2, "two starts a second");
+    assert_eq!(decisions.len(), 2, "two starts per second are allowed");
     assert!(decisions.iter().all(|d| d.reason == Reason::Waiting));
     let soon = NOW + Duration::from_millis(999);
     assert!(policy.plan(&picture, soon).is_empty());
@@ -146,40 +149,40 @@
 }
 
 #[test]
-fn explain_names_the_decision_and_its_figures() {
+fn explain_reports_the_decision_and_its_figures() {
     let mut policy = Policy::default();
     let mut picture = picture(vec![worker("a", 16)]);
     picture.demand = vec![demand("report", 3)];
     policy.plan(&picture, NOW);
     let lines = policy.explain("report", NOW + Duration::from_secs(4));
     expect_test::expect![[r"
-        report was last called 4 s ago; 0.0 gaps seen, 1.0 requests a call
-        4 s ago: load on a (waiting): 3 requests wait, the nearest deadline is in 30.0 s; ready from remote in 10.0 s"]]
+        last request for report 4 s ago; 0.0 idle gaps recorded, 1.0 requests per burst
+        4 s ago: load on a (waiting): 3 requests waiting, the earliest deadline is in 30.0 s; ready from remote in 10.0 s"]]
     .assert_eq(&lines.join("\n"));
     picture.workers[0].open = false;
     let later = NOW + Duration::from_secs(5);
     policy.plan(&picture, later);
     let last = policy.explain("report", later).pop();
-    let expected = "0 s ago: not loaded: it fits on no worker that may be loaded now";
+    let expected = "0 s ago: not loaded: it fits on no worker that accepts loads now";
     assert_eq!(last.as_deref(), Some(expected));
     let unknown = policy.explain("other", NOW);
     assert_eq!(unknown, ["other is not in the settings"]);
 }
 
-/// One load from the store of ten gibibytes that took some time.
-fn observe(store: &mut Store, id: u64, took: Duration) {
+/// Lets the store observe a finished load of 10 GiB that took `took`.
+fn observe(store: &mut WeightStore, id: u64, took: Duration) {
     let mut picture = picture(vec![worker("a", 16)]);
     picture.replicas = vec![replica(id, "report", "a", State::Loading)];
-    store.observe(&picture, &Pending::default(), NOW);
+    store.observe(&picture, &PendingDecisions::default(), NOW);
     picture.replicas[0].state = State::Ready;
     picture.replicas[0].ready = Some(DECIDED + took);
-    store.observe(&picture, &Pending::default(), NOW);
+    store.observe(&picture, &PendingDecisions::default(), NOW);
 }
 
 #[test]
-fn a_slow_store_is_followed_and_its_recovery_too() {
-    let mut store = Store::default();
-    // How long a load took, the limit after it, and what the next is expected to take.
+fn limit_and_load_time_follow_a_slow_store_and_its_recovery() {
+    let mut store = WeightStore::default();
+    // Duration of a load, limit after it, and expected duration of the next load.
     let steps = [
         (10, 4, 10),
         (40, 2, 19),
@@ -193,7 +196,7 @@
     for (id, (took_s, limit, expected_s)) in (1..).zip(steps) {
         observe(&mut store, id, Duration::from_secs(took_s));
         assert_eq!(store.limit(), limit, "after load {id}");
-        let expected = store.load(10 * GIB, Stage::Remote);
+        let expected = store.load_time(10 * GIB, Stage::Remote);
         assert_eq!(expected.as_secs(), expected_s, "after load {id}");
     }
 }
