--- a/crates/planner/src/hosting.rs
+++ b/crates/planner/src/hosting.rs
@@ -17,12 +17,12 @@
 use strum::Display;
 
 pub use self::mean::{Mean, Rate};
-use self::pass::{Candidate, MAX_STORE_LOADS, PlanningPass, STORE_FETCH_LOAD_THRESHOLD, cheapest};
+use self::pass::{Candidate, HEAVY_OVERLOAD_THRESHOLD, MAX_STORE_LOADS, PlanningPass, cheapest};
 use self::scene::load_per_copy;
 pub use self::scene::{Held, Scene, Wish, Worker};
 
-/// Requests for each copy of a model above which another copy is wanted.
-const COPY_LOAD_THRESHOLD: f64 = 4.0;
+/// Requests for each copy of a model above which it counts as overloaded, and another copy is wanted.
+const OVERLOAD_THRESHOLD: f64 = 4.0;
 
 /// Requests per second above which a model that only the weight store has is fetched: one in the last
 /// 20 s.
@@ -232,11 +232,11 @@
             let copy_load = load_per_copy(wish, copies);
             // At most as many copies are being loaded as are serving, so that their effect shows.
             let ramping_up = pass.scene.loading_count(model) * 2 >= copies;
-            if ramping_up || copy_load <= COPY_LOAD_THRESHOLD || self.is_planned(model) {
+            if ramping_up || copy_load <= OVERLOAD_THRESHOLD || self.is_planned(model) {
                 continue;
             }
             let candidates = pass.free_candidates(model).filter(|candidate| {
-                let fetched = copy_load > STORE_FETCH_LOAD_THRESHOLD;
+                let fetched = copy_load > HEAVY_OVERLOAD_THRESHOLD;
                 candidate.loss < MAX_SCALE_OUT_LOSS && (candidate.from >= Stage::Disk || fetched)
             });
             if let Some(candidate) = cheapest(candidates) {
--- a/crates/planner/src/hosting/pass.rs
+++ b/crates/planner/src/hosting/pass.rs
@@ -8,12 +8,12 @@
 use super::scene::{DEMAND_HORIZON_S, Held, Scene, Wish, Worker};
 use super::{Action, Reason, Step};
 
-/// Requests for each copy above which another copy is fetched even from the weight store.
-pub(super) const STORE_FETCH_LOAD_THRESHOLD: f64 = 8.0;
+/// Requests for each copy of a model above which it counts as heavily overloaded: another copy is then
+/// fetched even from the weight store.
+pub(super) const HEAVY_OVERLOAD_THRESHOLD: f64 = 8.0;
 
-/// Requests for each of the remaining copies up to which a copy can be evicted without crowding
-/// them.
-const EVICTION_LOAD_THRESHOLD: f64 = 3.0;
+/// Requests for each of the remaining copies above which evicting a copy crowds them.
+const CROWDING_THRESHOLD: f64 = 3.0;
 
 /// Cost of a request that finds no copy: the time of a swap, in seconds.
 const MISS_COST_S: f64 = 0.3;
@@ -25,8 +25,8 @@
 /// them has ended.
 const BUSY_COST: f64 = 3.0;
 
-/// Cost of evicting a copy if that overloads the remaining copies of its model.
-const OVERLOAD_COST: f64 = 2.0;
+/// Cost of evicting a copy if that crowds the remaining copies of its model.
+const CROWDING_COST: f64 = 2.0;
 
 /// Cost of evicting the only copy of a model that requests wait for.
 const WAITING_COST: f64 = 5.0;
@@ -152,15 +152,15 @@
 
     /// Returns whether a copy of `held` may be evicted for `model`.
     ///
-    /// The only copy of a model, or one of few that are overloaded already, stays if it serves more
-    /// requests than the other model would: otherwise two models in high demand would evict each
-    /// other in turn and spend more time loading than serving.
+    /// The only copy of a model, or one without which the others would be heavily overloaded, stays
+    /// if it serves more requests than the other model would: otherwise two models in high demand
+    /// would evict each other in turn and spend more time loading than serving.
     fn may_evict(&self, held: &ModelId, model: &ModelId) -> bool {
         let demand = |model| self.scene.wishes.get(model).map_or(0.0, Wish::demand);
         let copies = self.copies(held);
         let wish = self.scene.wishes.get(held);
         let load = wish.map_or(0.0, Wish::current_load);
-        if copies > 1 && load / f64::from(copies - 1) <= STORE_FETCH_LOAD_THRESHOLD {
+        if copies > 1 && load / f64::from(copies - 1) <= HEAVY_OVERLOAD_THRESHOLD {
             return true;
         }
         let lost = demand(held) / f64::from(copies.max(1));
@@ -175,13 +175,13 @@
         };
         if copies > 1 {
             let left = wish.current_load() / f64::from(copies - 1);
-            let overload = if left > EVICTION_LOAD_THRESHOLD {
-                OVERLOAD_COST
+            let crowding = if left > CROWDING_THRESHOLD {
+                CROWDING_COST
             } else {
                 0.0
             };
             let busy = wish.current_load() / f64::from(copies);
-            return REDUNDANT_COPY_COST + overload + BUSY_COST * busy.min(1.0);
+            return REDUNDANT_COPY_COST + crowding + BUSY_COST * busy.min(1.0);
         }
         if wish.waiting > 0 {
             return WAITING_COST;
--- a/crates/planner/tests/fake_fleet/mod.rs
+++ b/crates/planner/tests/fake_fleet/mod.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone)]
 struct Row {
     demand: Demand,
-    fresh: u64,
+    new_arrivals: u64,
 }
 
 /// The state of the fleet, its faults and counters.
@@ -56,15 +56,15 @@
     rows: Vec<Row>,
     starts: VecDeque<Time>,
     adapters_in_flight: u32,
-    lose: bool,
-    lag: bool,
-    next: u64,
+    lose_decisions: bool,
+    delay_replicas: bool,
+    next_id: u64,
     /// Requests that have arrived.
     pub arrived: u64,
     /// Loads that were started.
     pub loads: u64,
     /// Replicas lost through the failure of their worker.
-    pub died: u64,
+    pub lost_replicas: u64,
 }
 
 impl FakeFleet {
@@ -78,12 +78,12 @@
             rows: Vec::new(),
             starts: VecDeque::new(),
             adapters_in_flight: 0,
-            lose: false,
-            lag: false,
-            next: 1,
+            lose_decisions: false,
+            delay_replicas: false,
+            next_id: 1,
             arrived: 0,
             loads: 0,
-            died: 0,
+            lost_replicas: 0,
         }
     }
 
@@ -94,11 +94,11 @@
         let decisions = planner.plan(&picture, self.now);
         for decision in &decisions {
             self.check(decision);
-            if !self.lose {
+            if !self.lose_decisions {
                 self.apply(decision);
             }
         }
-        self.lose = false;
+        self.lose_decisions = false;
     }
 
     fn apply_step(&mut self, step: &Step) {
@@ -113,12 +113,12 @@
             }
             Step::Adapter { name } => self.adapter(*name),
             Step::Wait { ms } => self.wait(Duration::from_millis(*ms)),
-            Step::Finish { which } => self.finish(*which),
-            Step::Serve => self.serve(),
-            Step::End => self.end(),
-            Step::Die { worker } => self.die(*worker),
-            Step::Return { worker } => self.workers[*worker].open = true,
-            Step::Leave { worker } => self.workers[*worker].open = false,
+            Step::FinishLoad { which } => self.finish_load(*which),
+            Step::Dispatch => self.dispatch(),
+            Step::EndRequests => self.end_requests(),
+            Step::FailWorker { worker } => self.fail_worker(*worker),
+            Step::OpenWorker { worker } => self.workers[*worker].open = true,
+            Step::CloseWorker { worker } => self.workers[*worker].open = false,
             Step::Quiet { worker, model } => {
                 let until = self.now + Duration::from_secs(20);
                 self.workers[*worker].quiet.push(Quiet {
@@ -148,8 +148,8 @@
             Step::Managed { group, on } => self.fleet.groups[*group].managed = *on,
             Step::Remove { model } => self.fleet.models.retain(|m| m.name != name(*model)),
             Step::InFlight { adapters } => self.adapters_in_flight = *adapters,
-            Step::Lose => self.lose = true,
-            Step::Lag => self.lag = !self.lag,
+            Step::LoseDecisions => self.lose_decisions = true,
+            Step::ToggleDelay => self.delay_replicas = !self.delay_replicas,
         }
     }
 
@@ -162,7 +162,7 @@
         if let Some(row) = self.rows.iter_mut().find(known) {
             row.demand.waiting += count;
             row.demand.deadline = row.demand.deadline.min(deadline);
-            row.fresh += u64::from(count);
+            row.new_arrivals += u64::from(count);
             return;
         }
         let demand = Demand {
@@ -178,7 +178,7 @@
         };
         self.rows.push(Row {
             demand,
-            fresh: u64::from(count),
+            new_arrivals: u64::from(count),
         });
     }
 
@@ -210,7 +210,7 @@
         self.hidden.retain(|entry| !shown(entry));
     }
 
-    fn finish(&mut self, which: usize) {
+    fn finish_load(&mut self, which: usize) {
         let now = self.now;
         let loading = |r: &&mut Replica| r.state == State::Loading;
         if let Some(replica) = self.replicas.iter_mut().filter(loading).nth(which) {
@@ -220,7 +220,7 @@
     }
 
     /// Dispatches waiting requests to ready replicas with free slots.
-    fn serve(&mut self) {
+    fn dispatch(&mut self) {
         let slots = self.fleet.placing.concurrency;
         for row in &mut self.rows {
             for replica in &mut self.replicas {
@@ -238,7 +238,7 @@
     }
 
     /// Ends all running requests and removes retiring replicas.
-    fn end(&mut self) {
+    fn end_requests(&mut self) {
         for replica in &mut self.replicas {
             replica.running = 0;
         }
@@ -254,7 +254,7 @@
             .retain(|replica| replica.state != State::Retiring);
     }
 
-    fn die(&mut self, index: usize) {
+    fn fail_worker(&mut self, index: usize) {
         let worker = &mut self.workers[index];
         worker.open = false;
         worker.free = worker.memory;
@@ -262,13 +262,13 @@
         let before = self.replicas.len() + self.hidden.len();
         self.replicas.retain(|replica| replica.target != target);
         self.hidden.retain(|(_, replica)| replica.target != target);
-        self.died += (before - self.replicas.len() - self.hidden.len()) as u64;
+        self.lost_replicas += (before - self.replicas.len() - self.hidden.len()) as u64;
     }
 
     pub fn picture(&mut self) -> Picture {
         let rows = self.rows.iter_mut();
         let demand = rows.map(|row| {
-            let arrivals = std::mem::take(&mut row.fresh);
+            let arrivals = std::mem::take(&mut row.new_arrivals);
             Demand {
                 arrivals,
                 ..row.demand.clone()
@@ -302,7 +302,7 @@
                 let worker = worker.expect("a worker");
                 let from = from(worker, model);
                 let replica = Replica {
-                    replica: self.next,
+                    replica: self.next_id,
                     model: model.clone(),
                     version: version.clone(),
                     target: target.clone(),
@@ -315,12 +315,12 @@
                     used: self.now,
                     adapters: Vec::new(),
                 };
-                self.next += 1;
+                self.next_id += 1;
                 self.loads += 1;
                 if from == Stage::Remote {
                     self.starts.push_back(self.now);
                 }
-                if self.lag {
+                if self.delay_replicas {
                     self.hidden
                         .push((self.now + Duration::from_secs(1), replica));
                 } else {
@@ -346,13 +346,13 @@
     /// Ends all faults and drops all requests.
     pub fn clear_faults(&mut self) {
         self.fleet = SETTINGS.parse().expect("settings");
-        self.lag = false;
+        self.delay_replicas = false;
         self.adapters_in_flight = 0;
         for worker in &mut self.workers {
             worker.open = true;
             worker.quiet.clear();
         }
-        self.end();
+        self.end_requests();
         self.rows.clear();
         self.wait(Duration::from_secs(5));
     }
--- a/crates/planner/tests/fake_fleet/script.rs
+++ b/crates/planner/tests/fake_fleet/script.rs
@@ -7,59 +7,47 @@
 /// One step of a script.
 #[derive(Debug, Clone)]
 pub enum Step {
+    /// Requests for a model arrive in a region.
     Arrive {
         model: usize,
         region: usize,
         count: u32,
         deadline_s: u64,
     },
-    Adapter {
-        name: usize,
-    },
-    Wait {
-        ms: u64,
-    },
-    Finish {
-        which: usize,
-    },
-    Serve,
-    End,
-    Die {
-        worker: usize,
-    },
-    Return {
-        worker: usize,
-    },
-    Leave {
-        worker: usize,
-    },
-    Quiet {
-        worker: usize,
-        model: usize,
-    },
-    Cached {
-        worker: usize,
-        model: usize,
-    },
-    Replicas {
-        most: u32,
-    },
-    Limits {
-        starts: f64,
-        concurrency: u32,
-    },
-    Managed {
-        group: usize,
-        on: bool,
-    },
-    Remove {
-        model: usize,
-    },
-    InFlight {
-        adapters: u32,
-    },
-    Lose,
-    Lag,
+    /// The waiting requests for model 0 name an adapter.
+    Adapter { name: usize },
+    /// Time passes.
+    Wait { ms: u64 },
+    /// One of the loading replicas becomes ready.
+    FinishLoad { which: usize },
+    /// Waiting requests are dispatched to ready replicas.
+    Dispatch,
+    /// All running requests end, and retiring replicas are removed.
+    EndRequests,
+    /// A worker fails with its replicas.
+    FailWorker { worker: usize },
+    /// A worker accepts loads again.
+    OpenWorker { worker: usize },
+    /// A worker accepts no more loads.
+    CloseWorker { worker: usize },
+    /// A model must not be loaded on a worker for a while.
+    Quiet { worker: usize, model: usize },
+    /// A worker gets a copy of a model on disk or in host memory.
+    Cached { worker: usize, model: usize },
+    /// The settings change the maximum number of replicas.
+    Replicas { most: u32 },
+    /// The settings change the limits of the weight store.
+    Limits { starts: f64, concurrency: u32 },
+    /// The settings change whether a group is managed.
+    Managed { group: usize, on: bool },
+    /// The settings drop a model.
+    Remove { model: usize },
+    /// The reported number of adapter loads in flight changes.
+    InFlight { adapters: u32 },
+    /// The decisions that follow this step are lost.
+    LoseDecisions,
+    /// From now on, or no longer, new replicas are shown to the planner with a delay.
+    ToggleDelay,
 }
 
 /// Generates scripts of up to 119 steps.
@@ -73,12 +61,12 @@
         4 => (0..6_usize).prop_map(|name| Step::Adapter { name }),
         14 => (10..3_000_u64).prop_map(|ms| Step::Wait { ms }),
         2 => (3_000..200_000_u64).prop_map(|ms| Step::Wait { ms }),
-        8 => (0..8_usize).prop_map(|which| Step::Finish { which }),
-        6 => Just(Step::Serve),
-        4 => Just(Step::End),
-        2 => worker.clone().prop_map(|worker| Step::Die { worker }),
-        3 => worker.clone().prop_map(|worker| Step::Return { worker }),
-        1 => worker.clone().prop_map(|worker| Step::Leave { worker }),
+        8 => (0..8_usize).prop_map(|which| Step::FinishLoad { which }),
+        6 => Just(Step::Dispatch),
+        4 => Just(Step::EndRequests),
+        2 => worker.clone().prop_map(|worker| Step::FailWorker { worker }),
+        3 => worker.clone().prop_map(|worker| Step::OpenWorker { worker }),
+        1 => worker.clone().prop_map(|worker| Step::CloseWorker { worker }),
         1 => (worker.clone(), model.clone())
             .prop_map(|(worker, model)| Step::Quiet { worker, model }),
         3 => (worker, model.clone()).prop_map(|(worker, model)| Step::Cached { worker, model }),
@@ -88,8 +76,8 @@
         1 => (0..2_usize, any::<bool>()).prop_map(|(group, on)| Step::Managed { group, on }),
         1 => model.prop_map(|model| Step::Remove { model }),
         1 => (0..6_u32).prop_map(|adapters| Step::InFlight { adapters }),
-        2 => Just(Step::Lose),
-        2 => Just(Step::Lag),
+        2 => Just(Step::LoseDecisions),
+        2 => Just(Step::ToggleDelay),
     ];
     prop::collection::vec(step, 1..120)
 }
--- a/crates/planner/tests/limits.rs
+++ b/crates/planner/tests/limits.rs
@@ -50,7 +50,7 @@
     #[test]
     fn loads_are_bounded_by_arrivals(script in script()) {
         let fleet = run_script(&script, &mut Policy::default());
-        prop_assert!(fleet.loads <= 2 * fleet.arrived + fleet.died);
+        prop_assert!(fleet.loads <= 2 * fleet.arrived + fleet.lost_replicas);
     }
 
     /// Progress: whatever happened before, requests for a model that fits are served in time.
@@ -62,9 +62,9 @@
         fleet.run_step(&Step::Arrive { model, region, count: 3, deadline_s: 60 }, &mut planner);
         for _ in 0..50 {
             fleet.run_step(&Step::Wait { ms: 1_000 }, &mut planner);
-            fleet.run_step(&Step::Finish { which: 0 }, &mut planner);
-            fleet.run_step(&Step::Serve, &mut planner);
-            fleet.run_step(&Step::End, &mut planner);
+            fleet.run_step(&Step::FinishLoad { which: 0 }, &mut planner);
+            fleet.run_step(&Step::Dispatch, &mut planner);
+            fleet.run_step(&Step::EndRequests, &mut planner);
         }
         prop_assert_eq!(fleet.waiting(), 0);
     }
--- a/crates/target/src/response_body.rs
+++ b/crates/target/src/response_body.rs
@@ -86,7 +86,7 @@
 
 /// Streams the body as it is received; the connection is returned to the pool at its end.
 ///
-/// A connection whose end is the only mark of the end of the body is not reused.
+/// A body without an end mark is taken to end with its connection, which is not reused.
 pub fn chunks(source: ResponseBody) -> Chunks {
     let chunks = stream::unfold(Some(source), |source| async {
         let mut source = source?;
