--- a/crates/planner/src/baseline.rs
+++ b/crates/planner/src/baseline.rs
@@ -30,7 +30,7 @@
 };
 
 impl KeepAlivePolicy for NeverUnload {
-    fn keep_alive(&self, _inputs: &KeepAliveInputs) -> KeepAlive {
+    fn decide(&self, _inputs: &KeepAliveInputs) -> KeepAlive {
         KEEP_INDEFINITELY
     }
 
@@ -44,7 +44,7 @@
 }
 
 impl KeepAlivePolicy for IdleTimeout {
-    fn keep_alive(&self, inputs: &KeepAliveInputs) -> KeepAlive {
+    fn decide(&self, inputs: &KeepAliveInputs) -> KeepAlive {
         KeepAlive::fixed(self.after.saturating_sub(inputs.idle))
     }
 
@@ -58,7 +58,7 @@
 }
 
 impl KeepAlivePolicy for LeastRecentlyUsed {
-    fn keep_alive(&self, _inputs: &KeepAliveInputs) -> KeepAlive {
+    fn decide(&self, _inputs: &KeepAliveInputs) -> KeepAlive {
         KEEP_INDEFINITELY
     }
 
--- a/crates/planner/src/keep_alive.rs
+++ b/crates/planner/src/keep_alive.rs
@@ -71,7 +71,7 @@
 /// Decides how long idle replicas are kept.
 pub trait KeepAlivePolicy: Send {
     /// Returns how long an idle replica is kept from now.
-    fn keep_alive(&self, inputs: &KeepAliveInputs) -> KeepAlive;
+    fn decide(&self, inputs: &KeepAliveInputs) -> KeepAlive;
 
     /// Returns whether a model without a replica is worth loading before its next request.
     fn should_preload(&self, inputs: &KeepAliveInputs) -> bool {
@@ -96,7 +96,7 @@
 pub struct CostBased;
 
 impl KeepAlivePolicy for CostBased {
-    fn keep_alive(&self, inputs: &KeepAliveInputs) -> KeepAlive {
+    fn decide(&self, inputs: &KeepAliveInputs) -> KeepAlive {
         if inputs.idle >= inputs.rules.maximum {
             return KeepAlive::fixed(Duration::ZERO);
         }
--- a/crates/planner/src/unload.rs
+++ b/crates/planner/src/unload.rs
@@ -84,7 +84,7 @@
                 self.unload(replica, Reason::Surplus, detail.into());
                 continue;
             }
-            let keep_alive = self.policy.keep_alive.keep_alive(&inputs);
+            let keep_alive = self.policy.keep_alive.decide(&inputs);
             if keep_alive.keep.is_zero() {
                 let detail = format!(
                     "idle for {}, its next cold start would take {}",
--- a/crates/planner/tests/keeping.rs
+++ b/crates/planner/tests/keeping.rs
@@ -78,17 +78,17 @@
             keeping: &keeping,
             rules: Rules::from(&Fleet::default()),
         };
-        let verdict = CostBased.keep_alive(&inputs);
+        let decision = CostBased.decide(&inputs);
         assert_eq!(
-            !verdict.keep.is_zero(),
+            !decision.keep.is_zero(),
             case.kept,
-            "{}: {verdict:?}",
+            "{}: {decision:?}",
             case.name
         );
         assert_eq!(
             CostBased.should_preload(&inputs),
             case.preloaded,
-            "{}: {verdict:?}",
+            "{}: {decision:?}",
             case.name
         );
     }
