--- a/crates/planner/src/adapters.rs
+++ b/crates/planner/src/adapters.rs
@@ -71,7 +71,7 @@
             replica: best.replica,
             adapter: adapter.clone(),
         };
-        let detail = format!("requests waiting for adapter {adapter}");
+        let detail = format!("requests wait for adapter {adapter}");
         self.record(&demand.key.model, action, Reason::Waiting, detail.into());
         true
     }
--- a/crates/planner/src/load.rs
+++ b/crates/planner/src/load.rs
@@ -49,7 +49,7 @@
         let supply = self.supply(demand, &entry);
         let missing = additional_replicas(demand, &supply, self.now);
         if missing > 0 && allowed_more == 0 {
-            self.log(demand, "not scaled up: the settings allow no more replicas");
+            self.log(demand, "no more replicas: the settings allow no more");
         }
         let reason = if supply.ready + supply.loading > 0 {
             Reason::Burst
@@ -67,7 +67,7 @@
                 self.policy.unplaced.insert(demand.key.clone());
                 self.log(
                     demand,
-                    "not loaded: it fits on no worker that accepts loads now",
+                    "not loaded: it fits on no worker that may be loaded now",
                 );
                 return;
             };
@@ -139,22 +139,19 @@
         reason: Reason,
     ) {
         for replica in &placement.evict {
-            let detail = format!("evicted to free memory for {}", demand.key.model);
+            let detail = format!("{} waits for its memory", demand.key.model);
             self.unload(replica, Reason::Preempted, detail.into());
         }
         let bytes = entry.model.bytes;
         if placement.blocked {
             self.fleet.reserve(placement.worker, bytes);
-            self.log(demand, "not loaded yet: waiting for memory to be freed");
+            self.log(demand, "not loaded yet: it waits until memory is freed");
             return;
         }
         let remote = placement.from == Stage::Remote;
         if remote && !self.policy.store.can_start() {
             self.fleet.reserve(placement.worker, bytes);
-            self.log(
-                demand,
-                "not loaded yet: waiting for a start at the weight store",
-            );
+            self.log(demand, "not loaded yet: it waits for the weight store");
             return;
         }
         let target = self.fleet.worker(placement.worker).target.clone();
@@ -192,13 +189,13 @@
         let ready = format_seconds(placement.ready);
         if demand.waiting == 0 {
             return format!(
-                "a request is expected soon; ready from {} in {ready}",
+                "a call is expected; ready from {} in {ready}",
                 placement.from
             );
         }
         let left = format_seconds(demand.deadline.saturating_sub(self.now));
         format!(
-            "{} requests waiting, the earliest deadline is in {left}; ready from {} in {ready}",
+            "{} requests wait, the nearest deadline is in {left}; ready from {} in {ready}",
             demand.waiting, placement.from,
         )
     }
--- a/crates/planner/src/pass.rs
+++ b/crates/planner/src/pass.rs
@@ -133,8 +133,8 @@
         let verb = match &action {
             Action::Load { target, .. } => format!("load on {target}"),
             Action::Unload { replica } => format!("unload replica {replica}"),
-            Action::Adapter { replica, .. } => format!("load adapter on replica {replica}"),
-            Action::Warm { target, .. } => format!("copy weights to {target}"),
+            Action::Adapter { replica, .. } => format!("adapter on replica {replica}"),
+            Action::Warm { target, .. } => format!("warm on {target}"),
         };
         let text = format!("{verb} ({reason}): {detail}");
         self.policy.decision_log.add(model, self.now, text.into());
--- a/crates/planner/src/policy.rs
+++ b/crates/planner/src/policy.rs
@@ -123,11 +123,11 @@
             return lines;
         };
         if !entry.managed {
-            lines.push(format!("{model} is in a group that is not managed"));
+            lines.push(format!("{model} belongs to a group that is not managed"));
         }
         if let Some(history) = self.histories.get(model) {
             lines.push(format!(
-                "last request for {model} {} s ago; {:.1} idle gaps recorded, {:.1} requests per burst",
+                "{model} was last called {} s ago; {:.1} gaps seen, {:.1} requests a call",
                 history.idle(now).as_secs(),
                 history.gaps.weight,
                 history.delayed_requests(),
--- a/crates/planner/src/unload.rs
+++ b/crates/planner/src/unload.rs
@@ -77,10 +77,7 @@
             if surplus.is_some_and(|after| inputs.idle >= after)
                 && self.fleet.has_other_ready(replica)
             {
-                let detail = format!(
-                    "idle for {}, other replicas are ready",
-                    format_seconds(inputs.idle)
-                );
+                let detail = format!("idle for {}, others stand in", format_seconds(inputs.idle));
                 self.unload(replica, Reason::Surplus, detail.into());
                 continue;
             }
--- a/crates/planner/tests/sequence.rs
+++ b/crates/planner/tests/sequence.rs
@@ -156,14 +156,14 @@
     policy.plan(&picture, NOW);
     let lines = policy.explain("report", NOW + Duration::from_secs(4));
     expect_test::expect![[r"
-        last request for report 4 s ago; 0.0 idle gaps recorded, 1.0 requests per burst
-        4 s ago: load on a (waiting): 3 requests waiting, the earliest deadline is in 30.0 s; ready from remote in 10.0 s"]]
+        report was last called 4 s ago; 0.0 gaps seen, 1.0 requests a call
+        4 s ago: load on a (waiting): 3 requests wait, the nearest deadline is in 30.0 s; ready from remote in 10.0 s"]]
     .assert_eq(&lines.join("\n"));
     picture.workers[0].open = false;
     let later = NOW + Duration::from_secs(5);
     policy.plan(&picture, later);
     let last = policy.explain("report", later).pop();
-    let expected = "0 s ago: not loaded: it fits on no worker that accepts loads now";
+    let expected = "0 s ago: not loaded: it fits on no worker that may be loaded now";
     assert_eq!(last.as_deref(), Some(expected));
     let unknown = policy.explain("other", NOW);
     assert_eq!(unknown, ["other is not in the settings"]);
--- a/crates/target/src/inbound.rs
+++ b/crates/target/src/inbound.rs
@@ -144,14 +144,10 @@
         let (status, detail) = match &outcome {
             Ok(Receipt::Taken | Receipt::Steered(_)) => (StatusCode::NO_CONTENT, String::new()),
             Ok(Receipt::Announce) => (StatusCode::GONE, "announce again".to_owned()),
-            Ok(Receipt::Elsewhere) => (
-                StatusCode::SERVICE_UNAVAILABLE,
-                "send to another host".to_owned(),
-            ),
-            Ok(Receipt::Redirect(address)) => (
-                StatusCode::SERVICE_UNAVAILABLE,
-                format!("send to {address}"),
-            ),
+            Ok(Receipt::Elsewhere) => (StatusCode::SERVICE_UNAVAILABLE, "ask another".to_owned()),
+            Ok(Receipt::Redirect(address)) => {
+                (StatusCode::SERVICE_UNAVAILABLE, format!("ask {address}"))
+            }
             Err(error @ Error::Path { .. }) => (StatusCode::NOT_FOUND, error.to_string()),
             Err(error @ Error::Method { .. }) => {
                 (StatusCode::METHOD_NOT_ALLOWED, error.to_string())
@@ -230,30 +226,26 @@
     check_name("region", &message.region)?;
     check_name("zone", &message.zone)?;
     let worker = message.kind == Kind::Worker;
-    check_value(
-        message.address.port() != 0,
-        "address",
-        "the port must not be 0",
-    )?;
+    check_value(message.address.port() != 0, "address", "the port is 0")?;
     check_value(
         !message.address.ip().is_unspecified(),
         "address",
-        "must be an address that other hosts can reach",
+        "it is no address that others can reach",
     )?;
     check_value(
         !worker || message.memory > 0,
         "memory",
-        "must be above 0 for a worker",
+        "a worker has memory",
     )?;
     check_value(
         !worker || message.accelerators > 0,
         "accelerators",
-        "must be above 0 for a worker",
+        "a worker has accelerators",
     )?;
     check_value(
         worker == message.services.is_empty(),
         "services",
-        "a service must name at least one and a worker none",
+        "a service names at least one and a worker none",
     )?;
     for service in &message.services {
         check_name("services", service)?;
@@ -268,7 +260,7 @@
         check_value(
             holding.bytes == 0 || holding.stage >= Stage::Loading,
             "inventory.bytes",
-            "a copy below stage `loading` must not take accelerator memory",
+            "a copy below the stage loading takes no accelerator memory",
         )?;
     }
     let mut replicas: Vec<_> = message.inventory.iter().filter_map(|h| h.replica).collect();
@@ -291,14 +283,14 @@
 
 /// Validates a name.
 fn check_name(field: &'static str, name: &str) -> Result<(), Error> {
-    check_value(!name.is_empty(), field, "must not be empty")?;
+    check_value(!name.is_empty(), field, "it is empty")?;
     check_value(
         name.len() <= MAX_NAME_BYTES,
         field,
-        "must be at most 256 bytes long",
+        "it is longer than 256 bytes",
     )?;
     let plain = name.chars().all(|c| !c.is_control());
-    check_value(plain, field, "must not contain control characters")
+    check_value(plain, field, "it holds a control character")
 }
 
 /// Returns an error for the field unless `holds`.
--- a/crates/target/tests/inbound.rs
+++ b/crates/target/tests/inbound.rs
@@ -44,23 +44,23 @@
 /// Invalid values in an announcement, and the start of the error for each.
 const ANNOUNCEMENTS: &str = r#"
 /target         | 5                 | target: invalid type: integer `5`, expected
-/target         | ""                | target: must not be empty
-/target         | "a\nb"            | target: must not contain control characters
+/target         | ""                | target: it is empty
+/target         | "a\nb"            | target: it holds a control character
 /target         | null              | .: missing field `target`
 /incarnation    | -1                | incarnation: invalid value: integer `-1`, expected u64
 /incarnation    | 1.5               | incarnation: invalid type: floating point `1.5`, expected u64
 /kind           | "gpu"             | kind: unknown variant `gpu`, expected `worker` or `service`
 /address        | "perth"           | address: invalid socket address syntax
-/address        | "10.1.0.21:0"     | address: the port must not be 0
-/address        | "0.0.0.0:9000"    | address: must be an address that other hosts can reach
-/region         | ""                | region: must not be empty
-/zone           | ""                | zone: must not be empty
-/memory         | 0                 | memory: must be above 0 for a worker
+/address        | "10.1.0.21:0"     | address: the port is 0
+/address        | "0.0.0.0:9000"    | address: it is no address that others can reach
+/region         | ""                | region: it is empty
+/zone           | ""                | zone: it is empty
+/memory         | 0                 | memory: a worker has memory
 /memory         | "80 GiB"          | memory: invalid type: string "80 GiB", expected u64
-/accelerators   | 0                 | accelerators: must be above 0 for a worker
+/accelerators   | 0                 | accelerators: a worker has accelerators
 /fencing        | "yes"             | fencing: invalid type: string "yes", expected a boolean
-/services       | ["bids"]          | services: a service must name at least one and a worker none
-/kind           | "service"         | services: a service must name at least one and a worker none
+/services       | ["bids"]          | services: a service names at least one and a worker none
+/kind           | "service"         | services: a service names at least one and a worker none
 /colour         | "red"             | colour: unknown field `colour`
 "#;
 
@@ -70,7 +70,7 @@
 /inventory              | 5         | inventory: invalid type: integer `5`, expected a sequence
 /inventory/1/stage      | "lost"    | inventory[1].stage: unknown variant `lost`
 /inventory/1/bytes      | -5        | inventory[1].bytes: invalid value: integer `-5`, expected u64
-/inventory/1/stage      | "disk"    | inventory.bytes: a copy below stage `loading` must not take
+/inventory/1/stage      | "disk"    | inventory.bytes: a copy below the stage loading takes no
 /inventory/1/replica    | 1         | inventory.replica: a replica is listed twice
 /load/running           | true      | load.running: invalid type: boolean `true`, expected u32
 /load                   | null      | .: missing field `load`
