--- a/crates/planner/tests/fake/mod.rs
+++ b/crates/planner/tests/fake_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet that does what a random script says and checks each decision.
+//! A fake fleet that runs a random script and checks each decision of the planner.
 
 mod check;
 mod script;
@@ -21,7 +21,7 @@
 const REGIONS: [&str; 2] = ["perth-a", "bunbury-a"];
 const MODELS: usize = 6;
 const WORKERS: usize = 5;
-/// Models 0 to 3 fit on every worker, 4 on some, 5 is in an unmanaged group.
+/// Models 0 to 3 fit on every worker, model 4 on some, and model 5 is in an unmanaged group.
 const SETTINGS: &str = "
 loading: { starts-per-second: 2.0, concurrency: 3, adapters-in-flight: 4 }
 keeping: { minimum-s: 5, maximum-s: 120 }
@@ -38,36 +38,36 @@
 exceptions: [{ reason: one is enough, model: m3, replicas: 1 }]
 ";
 
-/// Requests for one model from one region.
+/// The demand for one model from one region, and its arrivals since the last call of the planner.
 #[derive(Debug, Clone)]
 struct Row {
     demand: Demand,
-    fresh: u64,
+    new_arrivals: u64,
 }
 
-/// The fleet.
-pub struct Fake {
+/// The state of the fleet, its faults and counters.
+pub struct FakeFleet {
     pub now: Time,
     pub fleet: Fleet,
     pub workers: Vec<Worker>,
     pub replicas: Vec<Replica>,
-    /// Replicas that the picture does not show yet, and when it will.
+    /// Replicas that the picture does not show yet, and the time from which it does.
     hidden: Vec<(Time, Replica)>,
     rows: Vec<Row>,
     starts: VecDeque<Time>,
     adapters_in_flight: u32,
-    lose: bool,
-    lag: bool,
-    next: u64,
-    /// Requests that came.
+    lose_decisions: bool,
+    delay_replicas: bool,
+    next_id: u64,
+    /// Requests that have arrived.
     pub arrived: u64,
-    /// Loads that were carried out.
+    /// Loads that were started.
     pub loads: u64,
-    /// Replicas that died with their worker.
-    pub died: u64,
+    /// Replicas lost through the failure of their worker.
+    pub lost_replicas: u64,
 }
 
-impl Fake {
+impl FakeFleet {
     pub fn new() -> Self {
         Self {
             now: Duration::from_secs(1_000),
@@ -78,30 +78,30 @@
             rows: Vec::new(),
             starts: VecDeque::new(),
             adapters_in_flight: 0,
-            lose: false,
-            lag: false,
-            next: 1,
+            lose_decisions: false,
+            delay_replicas: false,
+            next_id: 1,
             arrived: 0,
             loads: 0,
-            died: 0,
+            lost_replicas: 0,
         }
     }
 
-    /// Does one step, then lets the planner decide and checks what it decides.
-    pub fn play(&mut self, step: &Step, planner: &mut dyn Planner) {
-        self.step(step);
+    /// Applies one step, then calls the planner, and checks and applies its decisions.
+    pub fn run_step(&mut self, step: &Step, planner: &mut dyn Planner) {
+        self.apply_step(step);
         let picture = self.picture();
         let decisions = planner.plan(&picture, self.now);
         for decision in &decisions {
             self.check(decision);
-            if !self.lose {
+            if !self.lose_decisions {
                 self.apply(decision);
             }
         }
-        self.lose = false;
+        self.lose_decisions = false;
     }
 
-    fn step(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         match step {
             Step::Arrive {
                 model,
@@ -113,12 +113,12 @@
             }
             Step::Adapter { name } => self.adapter(*name),
             Step::Wait { ms } => self.wait(Duration::from_millis(*ms)),
-            Step::Finish { which } => self.finish(*which),
-            Step::Serve => self.serve(),
-            Step::End => self.end(),
-            Step::Die { worker } => self.die(*worker),
-            Step::Return { worker } => self.workers[*worker].open = true,
-            Step::Leave { worker } => self.workers[*worker].open = false,
+            Step::FinishLoad { which } => self.finish_load(*which),
+            Step::Dispatch => self.dispatch(),
+            Step::EndRequests => self.end_requests(),
+            Step::FailWorker { worker } => self.fail_worker(*worker),
+            Step::OpenWorker { worker } => self.workers[*worker].open = true,
+            Step::CloseWorker { worker } => self.workers[*worker].open = false,
             Step::Quiet { worker, model } => {
                 let until = self.now + Duration::from_secs(20);
                 self.workers[*worker].quiet.push(Quiet {
@@ -148,8 +148,8 @@
             Step::Managed { group, on } => self.fleet.groups[*group].managed = *on,
             Step::Remove { model } => self.fleet.models.retain(|m| m.name != name(*model)),
             Step::InFlight { adapters } => self.adapters_in_flight = *adapters,
-            Step::Lose => self.lose = true,
-            Step::Lag => self.lag = !self.lag,
+            Step::LoseDecisions => self.lose_decisions = true,
+            Step::ToggleDelay => self.delay_replicas = !self.delay_replicas,
         }
     }
 
@@ -162,7 +162,7 @@
         if let Some(row) = self.rows.iter_mut().find(known) {
             row.demand.waiting += count;
             row.demand.deadline = row.demand.deadline.min(deadline);
-            row.fresh += u64::from(count);
+            row.new_arrivals += u64::from(count);
             return;
         }
         let demand = Demand {
@@ -178,7 +178,7 @@
         };
         self.rows.push(Row {
             demand,
-            fresh: u64::from(count),
+            new_arrivals: u64::from(count),
         });
     }
 
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Time passes: requests past their deadline are refused, late replicas show.
+    /// Advances the time, drops requests past their deadline, and reveals hidden replicas.
     fn wait(&mut self, time: Duration) {
         self.now += time;
         let now = self.now;
@@ -210,7 +210,7 @@
         self.hidden.retain(|entry| !shown(entry));
     }
 
-    fn finish(&mut self, which: usize) {
+    fn finish_load(&mut self, which: usize) {
         let now = self.now;
         let loading = |r: &&mut Replica| r.state == State::Loading;
         if let Some(replica) = self.replicas.iter_mut().filter(loading).nth(which) {
@@ -219,8 +219,8 @@
         }
     }
 
-    /// Waiting requests go to ready replicas with room.
-    fn serve(&mut self) {
+    /// Dispatches waiting requests to ready replicas with free slots.
+    fn dispatch(&mut self) {
         let slots = self.fleet.placing.concurrency;
         for row in &mut self.rows {
             for replica in &mut self.replicas {
@@ -237,8 +237,8 @@
         }
     }
 
-    /// Requests end, and replicas on their way out leave.
-    fn end(&mut self) {
+    /// Ends all running requests and removes retiring replicas.
+    fn end_requests(&mut self) {
         for replica in &mut self.replicas {
             replica.running = 0;
         }
@@ -254,7 +254,7 @@
             .retain(|replica| replica.state != State::Retiring);
     }
 
-    fn die(&mut self, index: usize) {
+    fn fail_worker(&mut self, index: usize) {
         let worker = &mut self.workers[index];
         worker.open = false;
         worker.free = worker.memory;
@@ -262,13 +262,13 @@
         let before = self.replicas.len() + self.hidden.len();
         self.replicas.retain(|replica| replica.target != target);
         self.hidden.retain(|(_, replica)| replica.target != target);
-        self.died += (before - self.replicas.len() - self.hidden.len()) as u64;
+        self.lost_replicas += (before - self.replicas.len() - self.hidden.len()) as u64;
     }
 
     pub fn picture(&mut self) -> Picture {
         let rows = self.rows.iter_mut();
         let demand = rows.map(|row| {
-            let arrivals = std::mem::take(&mut row.fresh);
+            let arrivals = std::mem::take(&mut row.new_arrivals);
             Demand {
                 arrivals,
                 ..row.demand.clone()
@@ -283,7 +283,7 @@
         }
     }
 
-    /// All replicas that were decided, shown or not.
+    /// Returns all replicas whose load was decided, hidden ones included.
     fn decided(&self) -> impl Iterator<Item = &Replica> {
         self.replicas
             .iter()
@@ -302,7 +302,7 @@
                 let worker = worker.expect("a worker");
                 let from = from(worker, model);
                 let replica = Replica {
-                    replica: self.next,
+                    replica: self.next_id,
                     model: model.clone(),
                     version: version.clone(),
                     target: target.clone(),
@@ -315,12 +315,12 @@
                     used: self.now,
                     adapters: Vec::new(),
                 };
-                self.next += 1;
+                self.next_id += 1;
                 self.loads += 1;
                 if from == Stage::Remote {
                     self.starts.push_back(self.now);
                 }
-                if self.lag {
+                if self.delay_replicas {
                     self.hidden
                         .push((self.now + Duration::from_secs(1), replica));
                 } else {
@@ -343,21 +343,21 @@
         }
     }
 
-    /// Ends all faults and forgets all requests.
-    pub fn heal(&mut self) {
+    /// Ends all faults and drops all requests.
+    pub fn clear_faults(&mut self) {
         self.fleet = SETTINGS.parse().expect("settings");
-        self.lag = false;
+        self.delay_replicas = false;
         self.adapters_in_flight = 0;
         for worker in &mut self.workers {
             worker.open = true;
             worker.quiet.clear();
         }
-        self.end();
+        self.end_requests();
         self.rows.clear();
         self.wait(Duration::from_secs(5));
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> u32 {
         self.rows.iter().map(|row| row.demand.waiting).sum()
     }
