--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -293,7 +293,7 @@
         let exhausted = self.calls.get(&id).is_some_and(Call::attempts_exhausted);
         match next {
             NextStep::Retry | NextStep::Resume if exhausted => {
-                self.fail_call(id, "every target failed")
+                self.fail_call(id, "every target failed");
             }
             NextStep::Elsewhere | NextStep::Retry => self.requeue(id, backoff(failure, attempt)),
             NextStep::Resume if service => self.fail_call(id, "the answer broke off"),
