--- a/crates/standin/src/announcer.rs
+++ b/crates/standin/src/announcer.rs
@@ -1,4 +1,4 @@
-//! Tells entry hosts that a target is there, and how it is.
+//! Announces a target to entry hosts and sends them its heartbeats.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,92 +18,105 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// How long an entry host may take to answer.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// How long an entry host may take to respond.
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a target tells.
-pub trait Source: Send + Sync + 'static {
-    /// That it is there.
+/// What a target reports to entry hosts.
+pub trait ReportSource: Send + Sync + 'static {
+    /// Returns the announcement of the target.
     fn announcement(&self) -> Announcement;
-    /// How it is; each call counts as one heartbeat.
+    /// Returns the next heartbeat; each call advances its sequence number.
     fn heartbeat(&self) -> Heartbeat;
-    /// Whom it tells.
+    /// Returns the entry hosts to report to.
     fn entries(&self) -> Vec<SocketAddr>;
 }
 
-/// Tells entry hosts about a target.
+/// Reports one target to its entry hosts.
 pub struct Announcer {
-    /// The target.
-    source: Box<dyn Source>,
-    /// How often.
-    every: Duration,
-    /// Asks for a heartbeat at once.
-    news: Arc<Notify>,
-    /// Connections to entry hosts.
+    /// The target that is reported.
+    source: Box<dyn ReportSource>,
+    /// Time between two heartbeats.
+    interval: Duration,
+    /// Triggers a heartbeat before the interval is over.
+    heartbeat_now: Arc<Notify>,
+    /// Connection pool to the entry hosts.
     client: Client<HttpConnector, Full<Bytes>>,
-    /// Entry hosts that took the announcement.
-    known: BTreeSet<SocketAddr>,
+    /// Entry hosts that accepted the announcement and every heartbeat since.
+    registered: BTreeSet<SocketAddr>,
 }
 
 impl Announcer {
-    /// An announcer that has told nobody.
-    pub fn new(source: Box<dyn Source>, every: Duration, news: Arc<Notify>) -> Self {
+    /// Creates an announcer that is registered with no entry host yet.
+    pub fn new(
+        source: Box<dyn ReportSource>,
+        interval: Duration,
+        heartbeat_now: Arc<Notify>,
+    ) -> Self {
         Self {
             source,
-            every,
-            news,
+            interval,
+            heartbeat_now,
             client: Client::builder(TokioExecutor::new()).build_http(),
-            known: BTreeSet::new(),
+            registered: BTreeSet::new(),
         }
     }
 
-    /// Goes on until it is dropped.
+    /// Reports until the future is dropped.
     pub async fn run(mut self) {
         loop {
-            self.tell().await;
+            self.report().await;
             tokio::select! {
-                () = sleep(self.every) => (),
-                () = self.news.notified() => (),
+                () = sleep(self.interval) => (),
+                () = self.heartbeat_now.notified() => (),
             }
         }
     }
 
-    /// Announces where that is needed, and sends one heartbeat to each.
-    async fn tell(&mut self) {
+    /// Announces the target to unregistered entry hosts, then sends one heartbeat to each
+    /// registered one. A host that does not accept the heartbeat gets a new announcement next time.
+    async fn report(&mut self) {
         let entries = self.source.entries();
-        let unknown = entries.iter().filter(|entry| !self.known.contains(entry));
+        let unregistered = entries
+            .iter()
+            .filter(|entry| !self.registered.contains(entry));
         let announcement = json(&self.source.announcement());
-        let announced = unknown.map(|entry| self.post(*entry, ANNOUNCE, announcement.clone()));
-        let announced = join_all(announced).await;
-        let taken = announced.into_iter().filter(|told| told.taken);
-        self.known.extend(taken.map(|told| told.entry));
+        let announcements =
+            unregistered.map(|entry| self.post(*entry, ANNOUNCE, announcement.clone()));
+        let announcements = join_all(announcements).await;
+        let accepted = announcements
+            .into_iter()
+            .filter(|delivery| delivery.accepted);
+        self.registered
+            .extend(accepted.map(|delivery| delivery.entry));
 
         let heartbeat = json(&self.source.heartbeat());
-        let known = self.known.iter().filter(|entry| entries.contains(entry));
-        let beats = known.map(|entry| self.post(*entry, HEARTBEAT, heartbeat.clone()));
-        for told in join_all(beats).await {
-            if !told.taken {
-                self.known.remove(&told.entry);
+        let registered = self
+            .registered
+            .iter()
+            .filter(|entry| entries.contains(entry));
+        let heartbeats = registered.map(|entry| self.post(*entry, HEARTBEAT, heartbeat.clone()));
+        for delivery in join_all(heartbeats).await {
+            if !delivery.accepted {
+                self.registered.remove(&delivery.entry);
             }
         }
     }
 
     /// Posts a message to one entry host.
-    async fn post(&self, entry: SocketAddr, path: &str, body: Bytes) -> Told {
-        let taken = post(&self.client, entry, path, body).await;
-        Told { entry, taken }
+    async fn post(&self, entry: SocketAddr, path: &str, body: Bytes) -> Delivery {
+        let accepted = post(&self.client, entry, path, body).await;
+        Delivery { entry, accepted }
     }
 }
 
-/// What one entry host said.
-struct Told {
-    /// The entry host.
+/// The result of posting a message to an entry host.
+struct Delivery {
     entry: SocketAddr,
-    /// Whether it took the message.
-    taken: bool,
+    /// Whether the host accepted the message within the timeout.
+    accepted: bool,
 }
 
-/// Says farewell to entry hosts.
+/// Tells entry hosts once that the target leaves; failures are ignored.
 pub async fn leave(entries: &[SocketAddr], leaving: &Leaving) {
     let client = Client::builder(TokioExecutor::new()).build_http();
     let body = json(leaving);
@@ -113,7 +126,7 @@
     join_all(posts).await;
 }
 
-/// Posts a message; says whether it was taken.
+/// Posts a message; returns whether the response was 204 within the timeout.
 async fn post(
     client: &Client<HttpConnector, Full<Bytes>>,
     entry: SocketAddr,
@@ -124,11 +137,11 @@
         .header("content-type", "application/json")
         .body(Full::new(body));
     let Ok(request) = request else { return false };
-    let answer = timeout(PATIENCE, client.request(request)).await;
-    matches!(answer, Ok(Ok(answer)) if answer.status() == StatusCode::NO_CONTENT)
+    let response = timeout(ENTRY_TIMEOUT, client.request(request)).await;
+    matches!(response, Ok(Ok(response)) if response.status() == StatusCode::NO_CONTENT)
 }
 
-/// A message as JSON; the messages have no form that JSON cannot take.
+/// Serializes a message; the types in use have no value that JSON cannot represent.
 fn json(message: &impl Serialize) -> Bytes {
     serde_json::to_vec(message).unwrap_or_default().into()
 }
--- a/crates/standin/src/batch.rs
+++ b/crates/standin/src/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: places in the batch by priority, and the pace of tokens.
+//! Continuous batching: batch slots granted by priority, and the interval between tokens.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,95 +6,101 @@
 
 use tokio::sync::oneshot;
 
-/// Who waits: a larger priority first, then the older.
-type Rank = (u32, u64);
+/// Queue order, served from the largest: priority first, then earlier arrival.
+type QueueKey = (u32, u64);
 
-/// The state of the batch.
+/// Occupancy and queue of a batch.
 #[derive(Debug, Default)]
 struct State {
-    /// Requests in the batch.
+    /// Requests that hold a slot.
     running: u32,
-    /// Those that wait for a place, the last one first.
-    waiting: BTreeMap<Rank, oneshot::Sender<Place>>,
-    /// Counts those that came.
-    came: u64,
+    /// Requests that wait for a slot; the last entry is served next.
+    waiting: BTreeMap<QueueKey, oneshot::Sender<Slot>>,
+    /// Number of requests that have been queued so far.
+    arrivals: u64,
 }
 
-/// The batch of one engine.
+/// The batch of one engine; clones share the same state.
 #[derive(Debug, Clone)]
 pub struct Batch {
-    /// Requests at once at most.
-    most: u32,
-    /// Requests that wait at most.
-    queue: usize,
-    /// Time of a token while the batch is small.
-    token: Duration,
-    /// Tokens of all requests together, a second.
-    rate: f64,
-    /// The state.
+    /// Maximum number of requests in the batch.
+    max_running: u32,
+    /// Maximum number of requests that wait for a slot.
+    max_queued: usize,
+    /// Time between two tokens of a request while the batch is small.
+    token_time: Duration,
+    /// Throughput limit over all requests in the batch.
+    tokens_per_second: f64,
+    /// Shared by all clones.
     state: Arc<Mutex<State>>,
 }
 
 impl Batch {
-    /// An empty batch.
-    pub fn new(most: u32, queue: usize, token: Duration, rate: f64) -> Self {
+    /// Creates an empty batch that runs at least one request.
+    pub fn new(
+        max_running: u32,
+        max_queued: usize,
+        token_time: Duration,
+        tokens_per_second: f64,
+    ) -> Self {
         Self {
-            most: most.max(1),
-            queue,
-            token,
-            rate: rate.max(1.0),
+            max_running: max_running.max(1),
+            max_queued,
+            token_time,
+            tokens_per_second: tokens_per_second.max(1.0),
             state: Arc::default(),
         }
     }
 
-    /// A place in the batch; none where too many wait already.
-    pub async fn place(&self, priority: u32) -> Option<Place> {
+    /// Waits for a slot in the batch; `None` if the queue is full.
+    pub async fn acquire(&self, priority: u32) -> Option<Slot> {
         let waiting = {
             let mut state = self.state();
-            if state.running < self.most {
+            if state.running < self.max_running {
                 state.running += 1;
-                return Some(self.new_place());
+                return Some(self.new_slot());
             }
-            if state.waiting.len() >= self.queue {
+            if state.waiting.len() >= self.max_queued {
                 return None;
             }
-            state.came += 1;
-            let rank = (priority, u64::MAX - state.came);
+            state.arrivals += 1;
+            let key = (priority, u64::MAX - state.arrivals);
             let (sender, receiver) = oneshot::channel();
-            state.waiting.insert(rank, sender);
+            state.waiting.insert(key, sender);
             receiver
         };
         waiting.await.ok()
     }
 
-    /// Requests in the batch.
+    /// Returns the number of requests in the batch.
     pub fn running(&self) -> u32 {
         self.state().running
     }
 
-    /// Requests that wait for a place.
+    /// Returns the number of requests that still wait for a slot.
     pub fn queued(&self) -> u32 {
         let state = self.state();
         let waiting = state.waiting.values().filter(|sender| !sender.is_closed());
         u32::try_from(waiting.count()).unwrap_or(u32::MAX)
     }
 
-    /// Time of the next token of each request.
-    pub fn pace(&self) -> Duration {
-        let shared = f64::from(self.running()) / self.rate;
-        self.token.max(Duration::from_secs_f64(shared))
+    /// Returns the time until the next token of each request at the current batch size.
+    pub fn token_interval(&self) -> Duration {
+        let shared_interval = f64::from(self.running()) / self.tokens_per_second;
+        self.token_time
+            .max(Duration::from_secs_f64(shared_interval))
     }
 
-    /// A place that is counted already.
-    fn new_place(&self) -> Place {
-        Place {
+    /// Wraps a slot that `running` already counts.
+    fn new_slot(&self) -> Slot {
+        Slot {
             batch: self.clone(),
         }
     }
 
-    /// Hands a place that became free to the next who waits.
+    /// Hands a freed slot to the next request in the queue.
     ///
-    /// Where that one has left, its place is dropped, which comes back here.
+    /// If that request is gone, its slot is dropped, which calls this function again.
     fn release(&self) {
         let mut state = self.state();
         let next = state.waiting.pop_last();
@@ -103,24 +109,23 @@
         }
         drop(state);
         if let Some((_, sender)) = next {
-            drop(sender.send(self.new_place()));
+            drop(sender.send(self.new_slot()));
         }
     }
 
-    /// The state.
+    /// Locks the state; a panic of another holder leaves it usable.
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A place in the batch, free again once it is dropped.
+/// A slot in the batch, released when dropped.
 #[derive(Debug)]
-pub struct Place {
-    /// The batch.
+pub struct Slot {
     batch: Batch,
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         self.batch.release();
     }
--- a/crates/standin/src/body.rs
+++ b/crates/standin/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! HTTP bodies of requests and responses.
 
 use std::io;
 
@@ -13,57 +13,61 @@
 use cornelhitch_target::message::{REQUEST_ID, RUN};
 use cornelhitch_types::refusal::Run;
 
-/// The largest body of a request in bytes.
-const LIMIT: usize = 64 << 20;
+/// Larger request bodies are refused.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// The body of an answer; its error breaks the connection.
+/// A response body; an error in it aborts the connection.
 pub type Body = BoxBody<Bytes, io::Error>;
 
-/// A piece of a streamed body.
-pub type Piece = Result<Frame<Bytes>, io::Error>;
+/// A chunk of a streamed body.
+pub type Chunk = Result<Frame<Bytes>, io::Error>;
 
-/// A body that is there already.
+/// Returns a body that is complete in memory.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed()
 }
 
-/// A body that comes piece by piece.
-pub fn streamed(pieces: mpsc::Receiver<Piece>) -> Body {
-    let pieces = futures_util::stream::unfold(pieces, |mut pieces| async {
-        pieces.recv().await.map(|piece| (piece, pieces))
+/// Returns a body that is sent chunk by chunk as the channel delivers.
+pub fn streamed(chunks: mpsc::Receiver<Chunk>) -> Body {
+    let chunks = futures_util::stream::unfold(chunks, |mut chunks| async {
+        chunks.recv().await.map(|chunk| (chunk, chunks))
     });
-    BodyExt::boxed(StreamBody::new(pieces))
+    BodyExt::boxed(StreamBody::new(chunks))
 }
 
-/// Reads a request's body; empty where it breaks off or is too large.
+/// Reads a request body; `None` if it is truncated or larger than [`MAX_BODY_BYTES`].
 pub async fn read(body: Incoming) -> Option<Bytes> {
-    let whole = Limited::new(body, LIMIT).collect().await;
-    whole.ok().map(http_body_util::Collected::to_bytes)
+    let collected = Limited::new(body, MAX_BODY_BYTES).collect().await;
+    collected.ok().map(http_body_util::Collected::to_bytes)
 }
 
-/// An answer with a status and a body.
-pub fn answer(status: StatusCode, kind: &'static str, body: impl Into<Bytes>) -> Response<Body> {
+/// Returns a response with a status, a content type and a body.
+pub fn response(
+    status: StatusCode,
+    content_type: &'static str,
+    body: impl Into<Bytes>,
+) -> Response<Body> {
     let mut response = Response::new(full(body));
     *response.status_mut() = status;
-    let kind = HeaderValue::from_static(kind);
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static(content_type);
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
-/// An error that says whether the request ran.
+/// Returns a problem document that says whether the request ran, in body and header.
 pub fn problem(status: StatusCode, run: Run, detail: &str) -> Response<Body> {
     let body = serde_json::json!({ "status": status.as_u16(), "detail": detail, "run": run });
-    let mut response = answer(status, "application/problem+json", body.to_string());
+    let mut response = response(status, "application/problem+json", body.to_string());
     if let Ok(run) = HeaderValue::from_str(&run.to_string()) {
         response.headers_mut().insert(RUN, run);
     }
     response
 }
 
-/// Repeats the request's id in its answer.
-pub fn echo(response: &mut Response<Body>, request: &HeaderMap) {
+/// Copies the request id into the response unless the response has one already.
+pub fn echo_request_id(response: &mut Response<Body>, request: &HeaderMap) {
     if response.headers().contains_key(REQUEST_ID) {
         return;
     }
--- a/crates/standin/src/counters.rs
+++ b/crates/standin/src/counters.rs
@@ -1,64 +1,64 @@
-//! What was done to an engine, over all its lives.
+//! Counters of a fake engine over all its restarts, for tests to compare with what was decided.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use cornelhitch_types::id::{ModelId, Name, ReplicaId};
 
-/// A load of a model for a replica.
+/// Identifies a load by model and replica.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Load {
-    /// The model.
+    /// The model, without adapter and version.
     pub model: ModelId,
-    /// The replica that the order named.
+    /// The replica that the load order named.
     pub replica: ReplicaId,
 }
 
-/// Counts since the engine was built.
+/// Counts since the engine was built, over all restarts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Loads begun, by model and replica.
+    /// Loads started, by model and replica.
     pub loads: BTreeMap<Load, u32>,
     /// Loads that became ready.
     pub loaded: u32,
-    /// Unloads done.
+    /// Copies unloaded.
     pub unloads: u32,
-    /// The most accelerator memory in use at once, in bytes.
+    /// Maximum accelerator memory in use at once, in bytes.
     pub memory_peak: u64,
-    /// Load orders that did not fit.
+    /// Load orders refused because not enough accelerator memory was free.
     pub overcommits: u32,
-    /// Orders refused for an old fencing number.
+    /// Orders refused because of an old fencing token.
     pub fenced: u32,
     /// Tokens generated.
     pub tokens: u64,
-    /// Times that each request began to run.
+    /// How often each request, by its id, started to run.
     pub runs: BTreeMap<Name, u32>,
-    /// Requests answered whole.
+    /// Requests whose response was complete.
     pub answered: u32,
-    /// Requests cancelled, or left by their caller.
+    /// Requests cancelled, or abandoned by their caller.
     pub cancelled: u32,
-    /// Requests broken off by an unload.
+    /// Requests aborted because their model copy was unloaded.
     pub cut: u32,
-    /// Crashes, by whatever cause.
+    /// Crashes, whatever their cause.
     pub crashes: u32,
-    /// How long after its farewell the last new request came.
+    /// Time from the leave message to the last new request; `None` if none arrived after it.
     pub after_leaving: Option<Duration>,
-    /// The largest batch.
+    /// Maximum number of requests in the batch at once.
     pub batch_peak: u32,
 }
 
 impl Counters {
-    /// Loads begun for a model, over all replicas.
+    /// Returns the number of loads started for a model, over all replicas.
     #[must_use]
     pub fn loads_of(&self, model: &str) -> u32 {
-        let rows = self.loads.iter().filter(|(load, _)| &*load.model == model);
-        rows.map(|(_, count)| count).sum()
+        let matching = self.loads.iter().filter(|(load, _)| &*load.model == model);
+        matching.map(|(_, count)| count).sum()
     }
 
-    /// Replicas that were loaded more than once.
+    /// Returns the replicas that were loaded more than once.
     #[must_use]
-    pub fn doubled(&self) -> Vec<Load> {
-        let rows = self.loads.iter().filter(|(_, count)| **count > 1);
-        rows.map(|(load, _)| load.clone()).collect()
+    pub fn duplicate_loads(&self) -> Vec<Load> {
+        let matching = self.loads.iter().filter(|(_, count)| **count > 1);
+        matching.map(|(load, _)| load.clone()).collect()
     }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a model engine, over all its lives.
+//! A fake model engine that survives simulated crashes by starting a new process.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,28 +16,28 @@
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
-use crate::announcer::{self, Announcer, Source};
+use crate::announcer::{self, Announcer, ReportSource};
 use crate::counters::Counters;
-use crate::fault::{Fault, Faults};
-use crate::life::{Life, Shared};
+use crate::fault::{Fault, FaultQueue};
+use crate::process::{Process, Shared};
 use crate::routes;
 use crate::settings::{Builder, Settings};
 
-/// How often a leaving engine looks whether its requests are done.
-const POLL: Duration = Duration::from_millis(5);
+/// How often a leaving engine checks whether its requests are done.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why an engine does not start.
+/// Why an engine failed to start.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No port can be had.
-    #[snafu(display("no port for the engine: {source}"))]
+    /// No loopback port could be bound.
+    #[snafu(display("cannot bind a loopback port for the engine: {source}"))]
     Bind {
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// A model engine on a loopback port of its own.
+/// A fake model engine on its own loopback port.
 ///
 /// ```
 /// use cornelhitch_standin::engine::Engine;
@@ -54,141 +54,145 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// What outlives a crash.
+    /// State that survives a crash.
     shared: Arc<Shared>,
-    /// The life of now, or the last one.
-    life: watch::Receiver<Life>,
-    /// Ends it.
+    /// The current process, or the last one once the engine has stopped.
+    process: watch::Receiver<Process>,
+    /// Stops the engine.
     token: CancellationToken,
 }
 
 impl Engine {
-    /// An engine with settings.
+    /// Returns a builder with default settings.
     pub fn builder() -> Builder {
         Builder::default()
     }
 
-    /// Starts an engine.
+    /// Binds a port and starts the first process.
     pub(crate) async fn start(settings: Settings, token: CancellationToken) -> Result<Self, Error> {
-        let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let listener = TcpListener::bind(any).await.context(BindSnafu)?;
+        let loopback = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let listener = TcpListener::bind(loopback).await.context(BindSnafu)?;
         let address = listener.local_addr().context(BindSnafu)?;
         let entries = Mutex::new(settings.entries.clone());
         let shared = Arc::new(Shared {
             settings,
-            faults: Faults::default(),
+            faults: FaultQueue::default(),
             counters: Mutex::default(),
             entries,
         });
         let first = shared.settings.incarnation;
-        let life = Life::new(Arc::clone(&shared), first, address, token.child_token());
-        let (sender, receiver) = watch::channel(life);
-        let keeper = Keeper {
+        let process = Process::new(Arc::clone(&shared), first, address, token.child_token());
+        let (sender, receiver) = watch::channel(process);
+        let supervisor = Supervisor {
             shared: Arc::clone(&shared),
-            lives: sender,
+            processes: sender,
             token: token.clone(),
         };
-        tokio::spawn(keeper.run(listener));
+        tokio::spawn(supervisor.run(listener));
         Ok(Self {
             shared,
-            life: receiver,
+            process: receiver,
             token,
         })
     }
 
-    /// Where it listens.
+    /// Returns the address of the current process; a restart may change the port.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
-        self.life.borrow().address
+        self.process.borrow().address
     }
 
-    /// Its life.
+    /// Returns the incarnation of the current process.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
-        self.life.borrow().incarnation
+        self.process.borrow().incarnation
     }
 
-    /// What was done to it.
+    /// Returns the counters since the engine was built, over all restarts.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.shared.counters().clone()
     }
 
-    /// Its copies, as its next heartbeat would list them.
+    /// Returns the inventory that the next heartbeat would list.
     #[must_use]
     pub fn inventory(&self) -> Vec<Holding> {
-        let life = self.life.borrow().clone();
-        let state = life.state();
+        let process = self.process.borrow().clone();
+        let state = process.state();
         state.memory.inventory()
     }
 
-    /// Accelerator memory in use, in bytes.
+    /// Returns the accelerator memory in use, in bytes.
     #[must_use]
-    pub fn used(&self) -> u64 {
-        let life = self.life.borrow().clone();
-        let state = life.state();
-        state.memory.used()
+    pub fn used_bytes(&self) -> u64 {
+        let process = self.process.borrow().clone();
+        let state = process.state();
+        state.memory.used_bytes()
     }
 
-    /// Replaces the entry hosts that it tells.
-    pub fn tell(&self, entries: Vec<SocketAddr>) {
+    /// Replaces the entry hosts that the engine reports to, and sends a heartbeat at once.
+    pub fn set_entries(&self, entries: Vec<SocketAddr>) {
         let mut list = self.shared.entries.lock();
         let list = list.as_deref_mut();
         if let Ok(list) = list {
             *list = entries;
         }
-        self.life.borrow().news.notify_one();
+        self.process.borrow().heartbeat_now.notify_one();
     }
 
-    /// Gives it a fault, which happens once at the next chance.
+    /// Queues a fault, which is injected once at the next operation that it applies to.
     pub fn fault(&self, fault: Fault) {
         self.shared.faults.add(fault);
     }
 
-    /// Kills it; it restarts with empty accelerators as its settings say.
+    /// Crashes the process; a new one with empty accelerators starts after the restart delay.
     pub fn crash(&self) {
-        self.life.borrow().crash();
+        self.process.borrow().crash();
     }
 
-    /// Waits for a life after the one of a number.
-    pub async fn next_life(&self, after: Incarnation) {
-        let mut life = self.life.clone();
-        // The only error is that the engine has ended, and then no life follows.
-        drop(life.wait_for(|life| life.incarnation > after).await);
+    /// Waits for a process whose incarnation is larger than `after`, or for the engine's end.
+    pub async fn wait_for_restart(&self, after: Incarnation) {
+        let mut process = self.process.clone();
+        // Fails only if the engine has stopped, and then no further process starts.
+        drop(
+            process
+                .wait_for(|process| process.incarnation > after)
+                .await,
+        );
     }
 
-    /// Says that it leaves, goes on for the notice, ends its requests and stops.
+    /// Announces that the engine leaves, serves on during the notice, drains and stops.
     pub async fn leave(&self, notice: Duration) {
-        let life = self.life.borrow().clone();
-        life.state().leaving = Some(Instant::now());
-        life.news.notify_one();
+        let process = self.process.borrow().clone();
+        process.state().leaving = Some(Instant::now());
+        process.heartbeat_now.notify_one();
         let leaving = Leaving {
             target: self.shared.settings.name.clone(),
-            incarnation: life.incarnation,
+            incarnation: process.incarnation,
         };
-        announcer::leave(&life.entries(), &leaving).await;
+        announcer::leave(&process.entries(), &leaving).await;
         sleep(notice).await;
-        while !life.state().requests.is_empty() && !life.token.is_cancelled() {
-            sleep(POLL).await;
+        while !process.state().requests.is_empty() && !process.token.is_cancelled() {
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
         self.stop().await;
     }
 
-    /// Stops it for good.
+    /// Stops the engine and waits until its supervisor has ended.
     pub async fn stop(&self) {
         self.token.cancel();
-        let mut life = self.life.clone();
-        while life.changed().await.is_ok() {}
+        let mut process = self.process.clone();
+        while process.changed().await.is_ok() {}
     }
 }
 
-impl Source for Life {
+impl ReportSource for Process {
     fn announcement(&self) -> Announcement {
-        Life::announcement(self)
+        Process::announcement(self)
     }
 
     fn heartbeat(&self) -> Heartbeat {
-        Life::heartbeat(self)
+        Process::heartbeat(self)
     }
 
     fn entries(&self) -> Vec<SocketAddr> {
@@ -197,40 +201,40 @@
     }
 }
 
-/// Starts one life after the other.
-struct Keeper {
-    /// What outlives a crash.
+/// Starts a new process after each crash.
+struct Supervisor {
+    /// State that survives a crash.
     shared: Arc<Shared>,
-    /// Publishes the life of now.
-    lives: watch::Sender<Life>,
-    /// Ends the engine.
+    /// Publishes the current process.
+    processes: watch::Sender<Process>,
+    /// Stops the engine.
     token: CancellationToken,
 }
 
-impl Keeper {
-    /// Goes on until the engine is stopped.
+impl Supervisor {
+    /// Serves and restarts until the engine is stopped.
     async fn run(self, mut listener: TcpListener) {
         loop {
-            let life = self.lives.borrow().clone();
-            serve(&life, listener).await;
-            let pause = sleep(self.shared.settings.restart);
+            let process = self.processes.borrow().clone();
+            serve(&process, listener).await;
+            let pause = sleep(self.shared.settings.restart_delay);
             if self.token.run_until_cancelled(pause).await.is_none() {
                 return;
             }
-            let Ok(next) = bind(life.address).await else {
+            let Ok(next) = bind(process.address).await else {
                 return;
             };
             listener = next;
-            let address = listener.local_addr().unwrap_or(life.address);
+            let address = listener.local_addr().unwrap_or(process.address);
             let shared = Arc::clone(&self.shared);
             let token = self.token.child_token();
-            let next = Life::new(shared, life.incarnation + 1, address, token);
-            self.lives.send_replace(next);
+            let next = Process::new(shared, process.incarnation + 1, address, token);
+            self.processes.send_replace(next);
         }
     }
 }
 
-/// A listener on the old address, or on another where that is taken.
+/// Binds the previous address, or another port if that one is taken.
 async fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     match TcpListener::bind(address).await {
         Ok(listener) => Ok(listener),
@@ -238,28 +242,32 @@
     }
 }
 
-/// Announces a life and serves its connections until it ends.
-async fn serve(life: &Life, listener: TcpListener) {
-    let every = life.shared.settings.heartbeat;
-    let announcer = Announcer::new(Box::new(life.clone()), every, Arc::clone(&life.news));
-    life.spawn(announcer.run());
-    while let Some(accepted) = life.token.run_until_cancelled(listener.accept()).await {
+/// Announces a process and serves its connections until the process ends.
+async fn serve(process: &Process, listener: TcpListener) {
+    let interval = process.shared.settings.heartbeat;
+    let announcer = Announcer::new(
+        Box::new(process.clone()),
+        interval,
+        Arc::clone(&process.heartbeat_now),
+    );
+    process.spawn(announcer.run());
+    while let Some(accepted) = process.token.run_until_cancelled(listener.accept()).await {
         if let Ok((socket, _)) = accepted {
-            life.spawn(connection(life.clone(), socket));
+            process.spawn(serve_connection(process.clone(), socket));
         }
     }
 }
 
-/// Serves one connection.
-async fn connection(life: Life, socket: TcpStream) {
-    // Without it answers are only later, not wrong.
+/// Serves one connection until either side closes it.
+async fn serve_connection(process: Process, socket: TcpStream) {
+    // Best effort: with Nagle's algorithm on, responses are only delayed.
     drop(socket.set_nodelay(true));
-    let service = service_fn(move |request| routes::handle(life.clone(), request));
+    let service = service_fn(move |request| routes::handle(process.clone(), request));
     let builder = auto::Builder::new(TokioExecutor::new());
     let served = builder
         .serve_connection(TokioIo::new(socket), service)
         .await;
     if let Err(error) = served {
-        tracing::debug!(%error, "a connection to the stand-in ended");
+        tracing::debug!(%error, "connection to the fake engine ended with an error");
     }
 }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,56 +1,56 @@
-//! Faults that an engine is told to have.
+//! Faults that a test injects into a fake engine.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 
 use strum::{Display, EnumIter};
 
-/// One fault, which happens once at the next chance.
+/// A fault that is injected once, at the next operation that it applies to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Fault {
-    /// The answer names another request in its head.
+    /// The response headers carry the id of another request.
     CrossedHead,
-    /// The answer's second event names another request.
+    /// The second event of the stream carries the id of another request.
     CrossedEvent,
-    /// The stream ends in good order, but without its terminator, after two tokens.
+    /// The stream ends regularly after two tokens, but without its terminator.
     NoTerminator,
-    /// The third token of a stream is left out.
+    /// The third token of a stream is omitted.
     Gap,
-    /// The connection breaks after two tokens.
+    /// The connection is aborted after two tokens.
     Break,
-    /// No token comes after the second, and the connection stays open.
+    /// The stream stalls after two tokens with the connection open.
     Stall,
     /// The engine refuses the request and says that it did not run.
     Refuse,
     /// The engine fails the request without saying whether it ran.
     Fail,
-    /// The order is obeyed, and its answer lost.
+    /// The order is executed, but its reply is lost.
     LostReply,
-    /// The order is neither obeyed nor answered.
+    /// The order is lost: neither executed nor replied to.
     LostOrder,
-    /// The engine dies half way through the next load.
+    /// The engine crashes halfway through the next load.
     DieInLoad,
 }
 
-/// Faults that wait for their chance.
+/// Faults that are still to be injected.
 #[derive(Debug, Default)]
-pub struct Faults {
-    /// Those that wait, oldest first.
-    waiting: Mutex<VecDeque<Fault>>,
+pub struct FaultQueue {
+    /// Oldest first.
+    queued: Mutex<VecDeque<Fault>>,
 }
 
-impl Faults {
-    /// Adds a fault.
+impl FaultQueue {
+    /// Appends a fault.
     pub fn add(&self, fault: Fault) {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        waiting.push_back(fault);
+        let mut queued = self.queued.lock().unwrap_or_else(PoisonError::into_inner);
+        queued.push_back(fault);
     }
 
-    /// Takes the oldest of some kinds.
+    /// Removes and returns the oldest fault of the given kinds.
     pub fn take(&self, kinds: &[Fault]) -> Option<Fault> {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        let at = waiting.iter().position(|fault| kinds.contains(fault))?;
-        waiting.remove(at)
+        let mut queued = self.queued.lock().unwrap_or_else(PoisonError::into_inner);
+        let at = queued.iter().position(|fault| kinds.contains(fault))?;
+        queued.remove(at)
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,21 +1,21 @@
-//! Stand-ins for what cornelhitch meets: model engines, plain services and the weight store.
+//! Fakes of the systems around cornelhitch: model engines, plain services and the weight store.
 //!
-//! Each speaks the HTTP and JSON form of `docs/INTERFACES.md` on a loopback
-//! port of its own, behaves badly on demand, and counts what was done to it, so
-//! that tests can compare that with what was decided. Several run in one
-//! process; nothing is shared between them but what their builders are given.
+//! Each engine and service speaks the target protocol (HTTP and JSON) on its own
+//! loopback port, injects faults on demand and counts what was done to it, so
+//! that tests can compare the counts with the decisions. Several run in one
+//! process and share only what their builders are given, such as a store.
 
 mod announcer;
-mod answer;
 mod batch;
 mod body;
 pub mod counters;
 pub mod engine;
 pub mod fault;
-mod life;
+mod generation;
 mod memory;
-mod prefixes;
+mod prefix_cache;
 pub mod prelude;
+mod process;
 mod routes;
 pub mod service;
 pub mod settings;
--- a/crates/standin/src/memory.rs
+++ b/crates/standin/src/memory.rs
@@ -1,4 +1,4 @@
-//! What an engine holds, in accelerator memory and below; no I/O.
+//! Model copies of an engine in accelerator memory, host memory and on disk; no I/O.
 
 use std::collections::BTreeMap;
 
@@ -6,111 +6,111 @@
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::target::{Holding, Stage};
 
-/// Names one copy in accelerator memory within a life.
-pub type Serial = u64;
+/// Identifies a copy in accelerator memory within one engine process.
+pub type CopyId = u64;
 
-/// A copy in accelerator memory.
+/// A model copy in accelerator memory.
 #[derive(Debug, Clone)]
-pub struct Copy {
-    /// Names it.
-    pub serial: Serial,
+pub struct ModelCopy {
+    /// Unique within the engine process.
+    pub id: CopyId,
     /// The model and version.
     pub model: Reference,
-    /// The replica that the order named.
+    /// The replica that the load order named.
     pub replica: ReplicaId,
-    /// Bytes it takes.
+    /// Accelerator memory that the copy takes.
     pub bytes: u64,
-    /// Whether it answers.
+    /// Whether the copy is loaded and serves requests.
     pub ready: bool,
-    /// Adapters that are ready on it.
+    /// Adapters that are loaded on the copy.
     pub adapters: Vec<Name>,
 }
 
-/// What became of a load order.
+/// The result of reserving memory for a load order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Begun {
-    /// A new copy is reserved.
-    New(Serial),
-    /// The replica is there already.
-    Known,
-    /// It does not fit.
-    Full,
+pub enum LoadOutcome {
+    /// Memory is reserved for a new copy.
+    Reserved(CopyId),
+    /// The replica has a copy already, ready or loading.
+    AlreadyPresent,
+    /// Not enough accelerator memory is free.
+    OutOfMemory,
 }
 
-/// An engine's copies.
+/// All model copies of an engine process.
 #[derive(Debug)]
 pub struct Memory {
     /// Accelerator memory in bytes.
-    pub size: u64,
-    /// Whether replica ids are kept.
-    pub keeps_replicas: bool,
+    pub capacity: u64,
+    /// Whether copies are told apart by replica id.
+    pub tracks_replicas: bool,
     /// Copies in accelerator memory.
-    pub copies: Vec<Copy>,
-    /// How near models are otherwise; those that are not listed are remote.
+    pub copies: Vec<ModelCopy>,
+    /// The nearest stage of each model below accelerator memory; unlisted models are remote.
     pub stages: BTreeMap<ModelId, Stage>,
-    /// The last serial that was given.
-    last: Serial,
+    /// The id assigned last.
+    last_id: CopyId,
 }
 
 impl Memory {
-    /// Empty accelerators above some stages.
-    pub fn new(size: u64, keeps_replicas: bool, stages: BTreeMap<ModelId, Stage>) -> Self {
+    /// Creates an empty accelerator memory above models at the given stages.
+    pub fn new(capacity: u64, tracks_replicas: bool, stages: BTreeMap<ModelId, Stage>) -> Self {
         Self {
-            size,
-            keeps_replicas,
+            capacity,
+            tracks_replicas,
             copies: Vec::new(),
             stages,
-            last: 0,
+            last_id: 0,
         }
     }
 
-    /// Bytes in use.
-    pub fn used(&self) -> u64 {
+    /// Returns the accelerator memory in use, copies that are loading included.
+    pub fn used_bytes(&self) -> u64 {
         self.copies.iter().map(|copy| copy.bytes).sum()
     }
 
-    /// Where the nearest copy of a model is outside accelerator memory.
+    /// Returns the nearest stage of a model outside accelerator memory.
     pub fn stage(&self, model: &str) -> Stage {
         self.stages.get(model).copied().unwrap_or(Stage::Remote)
     }
 
-    /// Brings a model at least to a stage.
-    pub fn bring(&mut self, model: &ModelId, stage: Stage) {
-        let nearer = self.stage(model).max(stage);
-        self.stages.insert(model.clone(), nearer);
+    /// Records that a model is available at least at a stage.
+    pub fn raise_stage(&mut self, model: &ModelId, stage: Stage) {
+        let raised = self.stage(model).max(stage);
+        self.stages.insert(model.clone(), raised);
     }
 
-    /// Reserves room for a copy.
-    pub fn load(&mut self, model: Reference, replica: ReplicaId, bytes: u64) -> Begun {
-        let known = self.copies.iter().any(|copy| copy.replica == replica);
-        if known && self.keeps_replicas {
-            return Begun::Known;
+    /// Reserves accelerator memory for a copy.
+    pub fn load(&mut self, model: Reference, replica: ReplicaId, bytes: u64) -> LoadOutcome {
+        let already_present = self.copies.iter().any(|copy| copy.replica == replica);
+        if already_present && self.tracks_replicas {
+            return LoadOutcome::AlreadyPresent;
         }
-        if self.used().saturating_add(bytes) > self.size {
-            return Begun::Full;
+        if self.used_bytes().saturating_add(bytes) > self.capacity {
+            return LoadOutcome::OutOfMemory;
         }
-        self.last += 1;
-        self.copies.push(Copy {
-            serial: self.last,
+        self.last_id += 1;
+        self.copies.push(ModelCopy {
+            id: self.last_id,
             model,
             replica,
             bytes,
             ready: false,
             adapters: Vec::new(),
         });
-        Begun::New(self.last)
+        LoadOutcome::Reserved(self.last_id)
     }
 
-    /// Marks a copy as answering, if it is still there.
-    pub fn ready(&mut self, serial: Serial) -> bool {
-        let copy = self.copies.iter_mut().find(|copy| copy.serial == serial);
+    /// Marks a copy as ready; returns `false` if it has been unloaded.
+    pub fn mark_ready(&mut self, id: CopyId) -> bool {
+        let copy = self.copies.iter_mut().find(|copy| copy.id == id);
         copy.map(|copy| copy.ready = true).is_some()
     }
 
-    /// Frees a copy: the replica's, or where ids are not kept the first of the model.
-    pub fn unload(&mut self, model: &Reference, replica: ReplicaId) -> Option<Copy> {
+    /// Removes the replica's copy, or the model's first one if replica ids are not tracked.
+    pub fn unload(&mut self, model: &Reference, replica: ReplicaId) -> Option<ModelCopy> {
         let at = self.copies.iter().position(|copy| {
-            if self.keeps_replicas {
+            if self.tracks_replicas {
                 copy.replica == replica
             } else {
                 copy.model.model == model.model
@@ -119,16 +119,16 @@
         at.map(|at| self.copies.remove(at))
     }
 
-    /// Adds an adapter to a copy that answers.
-    pub fn adapt(&mut self, model: &Reference, replica: ReplicaId) -> bool {
+    /// Adds an adapter to a copy; returns `false` without an adapter or a matching copy.
+    pub fn add_adapter(&mut self, model: &Reference, replica: ReplicaId) -> bool {
         let Some(adapter) = model.adapter.clone() else {
             return false;
         };
-        let keeps = self.keeps_replicas;
+        let tracked = self.tracks_replicas;
         let copy = self
             .copies
             .iter_mut()
-            .find(|copy| copy.model.model == model.model && (!keeps || copy.replica == replica));
+            .find(|copy| copy.model.model == model.model && (!tracked || copy.replica == replica));
         let Some(copy) = copy else { return false };
         if !copy.adapters.contains(&adapter) {
             copy.adapters.push(adapter);
@@ -136,8 +136,8 @@
         true
     }
 
-    /// The copy that would answer a request for a model.
-    pub fn answering(&self, model: &Reference) -> Option<&Copy> {
+    /// Returns the first ready copy that can serve the model, version and adapter.
+    pub fn find_ready(&self, model: &Reference) -> Option<&ModelCopy> {
         self.copies.iter().find(|copy| {
             let version = model.version.is_none() || copy.model.version == model.version;
             let adapter = model.adapter.as_ref();
@@ -146,16 +146,16 @@
         })
     }
 
-    /// Whether a copy is still there.
-    pub fn holds(&self, serial: Serial) -> bool {
-        self.copies.iter().any(|copy| copy.serial == serial)
+    /// Returns whether a copy is still in accelerator memory.
+    pub fn contains(&self, id: CopyId) -> bool {
+        self.copies.iter().any(|copy| copy.id == id)
     }
 
-    /// All copies, as heartbeats list them.
+    /// Lists all copies for a heartbeat, accelerator memory first.
     pub fn inventory(&self) -> Vec<Holding> {
         let copies = self.copies.iter().map(|copy| Holding {
             model: copy.model.clone(),
-            replica: self.keeps_replicas.then_some(copy.replica),
+            replica: self.tracks_replicas.then_some(copy.replica),
             stage: if copy.ready {
                 Stage::Ready
             } else {
--- a/crates/standin/src/prelude.rs
+++ b/crates/standin/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for a glob import.
+//! The common types, for glob imports.
 
 pub use crate::counters::Counters;
 pub use crate::engine::Engine;
--- a/crates/standin/src/life.rs
+++ b/crates/standin/src/process.rs
@@ -1,4 +1,4 @@
-//! One life of an engine: all that a crash takes with it.
+//! One process of a fake engine: all state that a crash loses, and the handling of orders.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -15,83 +15,82 @@
 
 use crate::batch::Batch;
 use crate::counters::{self, Counters};
-use crate::fault::{Fault, Faults};
-use crate::memory::{Begun, Memory, Serial};
-use crate::prefixes::Prefixes;
+use crate::fault::{Fault, FaultQueue};
+use crate::memory::{CopyId, LoadOutcome, Memory};
+use crate::prefix_cache::PrefixCache;
 use crate::settings::Settings;
 use crate::store::gibibytes;
 
-/// What outlives a crash.
+/// Engine state that survives a crash.
 #[derive(Debug)]
 pub struct Shared {
     /// The engine's settings.
     pub settings: Settings,
-    /// Faults it shall have.
-    pub faults: Faults,
-    /// What was done to it.
+    /// Faults that are still to be injected.
+    pub faults: FaultQueue,
+    /// Counts over all restarts.
     pub counters: Mutex<Counters>,
-    /// Entry hosts that it tells.
+    /// Entry hosts to report to.
     pub entries: Mutex<Vec<SocketAddr>>,
 }
 
 impl Shared {
-    /// Its counts.
+    /// Locks the counters.
     pub fn counters(&self) -> MutexGuard<'_, Counters> {
         self.counters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A load that was reported, and when it was measured.
+/// A load that heartbeats report once it is old enough.
 #[derive(Debug, Clone, Copy)]
-struct Measured {
-    /// When.
+struct LoadSample {
+    /// When the load was measured.
     at: Instant,
-    /// The load.
     load: Load,
 }
 
-/// The state of a life.
+/// The mutable state of a process.
 #[derive(Debug)]
 pub struct State {
-    /// Its copies.
+    /// Model copies and their stages.
     pub memory: Memory,
-    /// Its prefix cache.
-    pub prefixes: Prefixes,
-    /// The newest fencing number.
+    /// Prompt prefixes in the KV cache.
+    pub prefixes: PrefixCache,
+    /// The highest fencing token seen.
     pub fence: Term,
-    /// Its role.
+    /// The role that the last role order set.
     pub role: Role,
-    /// Since when it leaves.
+    /// When the engine announced that it leaves.
     pub leaving: Option<Instant>,
-    /// Requests in progress, each with what stops it.
+    /// Running requests, each with the token that cancels it.
     pub requests: BTreeMap<Name, CancellationToken>,
-    /// Counts heartbeats.
+    /// Sequence number of the last heartbeat.
     sequence: u64,
-    /// Loads of the last time.
-    measured: VecDeque<Measured>,
+    /// Measured loads that are recent enough to be reported, oldest first.
+    samples: VecDeque<LoadSample>,
 }
 
-/// One life.
+/// One engine process; clones share its state.
 #[derive(Debug, Clone)]
-pub struct Life {
-    /// What outlives it.
+pub struct Process {
+    /// State that survives a crash.
     pub shared: Arc<Shared>,
-    /// Its number.
+    /// Grows by one with each restart.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// Ends it.
+    /// Ends the process and its tasks.
     pub token: CancellationToken,
-    /// Its batch.
+    /// Limits running and queued requests.
     pub batch: Batch,
-    /// Asks for a heartbeat at once.
-    pub news: Arc<Notify>,
-    /// Its state.
+    /// Triggers a heartbeat before the interval is over.
+    pub heartbeat_now: Arc<Notify>,
+    /// Shared by all clones.
     state: Arc<Mutex<State>>,
 }
 
-impl Life {
-    /// A life that begins with empty accelerators.
+impl Process {
+    /// Creates a process with empty accelerators.
     pub fn new(
         shared: Arc<Shared>,
         incarnation: Incarnation,
@@ -100,17 +99,17 @@
     ) -> Self {
         let settings = &shared.settings;
         let stages = settings.stages.clone();
-        let memory = Memory::new(settings.memory, settings.keeps_replicas, stages);
+        let memory = Memory::new(settings.memory, settings.tracks_replicas, stages);
         let seed = settings.seed ^ incarnation;
         let state = State {
             memory,
-            prefixes: Prefixes::new(settings.prefixes, settings.lost_events, seed),
+            prefixes: PrefixCache::new(settings.prefixes, settings.lost_events_percent, seed),
             fence: 0,
             role: Role::Mixed,
             leaving: None,
             requests: BTreeMap::new(),
             sequence: 0,
-            measured: VecDeque::new(),
+            samples: VecDeque::new(),
         };
         let batch = Batch::new(
             settings.batch,
@@ -124,17 +123,17 @@
             address,
             token,
             batch,
-            news: Arc::default(),
+            heartbeat_now: Arc::default(),
             state: Arc::new(Mutex::new(state)),
         }
     }
 
-    /// Its state.
+    /// Locks the state; a panic of another holder leaves it usable.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Ends it as a crash does.
+    /// Ends the process and counts a crash unless it has ended already.
     pub fn crash(&self) {
         if !self.token.is_cancelled() {
             self.shared.counters().crashes += 1;
@@ -142,15 +141,15 @@
         self.token.cancel();
     }
 
-    /// Obeys an order or refuses it.
-    pub fn obey(&self, order: &Order) -> Reply {
-        if let Some(reply) = self.fenced(order) {
+    /// Executes an order, or refuses it.
+    pub fn execute(&self, order: &Order) -> Reply {
+        if let Some(reply) = self.check_fence(order) {
             return reply;
         }
         match &order.action {
             Action::Load { model, bytes } => self.load(order, model, *bytes),
             Action::Unload { model } => self.unload(order, model),
-            Action::Adapter { model } => self.adapt(order, model),
+            Action::Adapter { model } => self.load_adapter(order, model),
             Action::Warm { model } => self.warm(model),
             Action::DropAdapter { .. } => refused("this engine keeps its adapters"),
             Action::Role { role } => {
@@ -160,8 +159,8 @@
         }
     }
 
-    /// The refusal of an order that is old or for another life, if the engine looks at that.
-    fn fenced(&self, order: &Order) -> Option<Reply> {
+    /// Refuses an order with an old fencing token or for another incarnation, if fencing is on.
+    fn check_fence(&self, order: &Order) -> Option<Reply> {
         let mut state = self.state();
         if !self.shared.settings.fencing {
             state.fence = state.fence.max(order.fence);
@@ -179,98 +178,102 @@
         None
     }
 
-    /// Reserves room and begins to load.
+    /// Reserves memory and starts to load a model.
     fn load(&self, order: &Order, model: &Reference, bytes: u64) -> Reply {
         let mut state = self.state();
-        let begun = state.memory.load(model.clone(), order.replica, bytes);
+        let outcome = state.memory.load(model.clone(), order.replica, bytes);
         let mut counters = self.shared.counters();
-        match begun {
-            Begun::Known => Reply::Accepted,
-            Begun::Full => {
+        match outcome {
+            LoadOutcome::AlreadyPresent => Reply::Accepted,
+            LoadOutcome::OutOfMemory => {
                 counters.overcommits += 1;
                 refused("it does not fit into accelerator memory")
             }
-            Begun::New(serial) => {
-                counters.memory_peak = counters.memory_peak.max(state.memory.used());
+            LoadOutcome::Reserved(copy_id) => {
+                counters.memory_peak = counters.memory_peak.max(state.memory.used_bytes());
                 let load = counters::Load {
                     model: model.model.clone(),
                     replica: order.replica,
                 };
                 *counters.loads.entry(load).or_default() += 1;
-                let (life, model) = (self.clone(), model.clone());
-                self.spawn(async move { life.fill(serial, &model, bytes).await });
+                let (process, model) = (self.clone(), model.clone());
+                self.spawn(async move { process.load_weights(copy_id, &model, bytes).await });
                 Reply::Accepted
             }
         }
     }
 
-    /// Brings a copy's bytes, stage by stage, and marks it ready.
-    async fn fill(&self, serial: Serial, model: &Reference, bytes: u64) {
-        let dies = self.shared.faults.take(&[Fault::DieInLoad]).is_some();
-        self.bring(model, bytes, Stage::Memory).await;
-        let time = self.shared.settings.memory_gib.mul_f64(gibibytes(bytes));
+    /// Loads a copy stage by stage, and marks it ready. An injected crash comes halfway.
+    async fn load_weights(&self, copy_id: CopyId, model: &Reference, bytes: u64) {
+        let crashes = self.shared.faults.take(&[Fault::DieInLoad]).is_some();
+        self.fetch(model, bytes, Stage::Memory).await;
+        let time = self
+            .shared
+            .settings
+            .memory_time_per_gib
+            .mul_f64(gibibytes(bytes));
         sleep(time / 2).await;
-        if dies {
+        if crashes {
             self.crash();
             return;
         }
         sleep(time / 2).await;
-        if self.state().memory.ready(serial) {
+        if self.state().memory.mark_ready(copy_id) {
             self.shared.counters().loaded += 1;
         }
-        self.news.notify_one();
+        self.heartbeat_now.notify_one();
     }
 
-    /// Brings a model to a stage below accelerator memory.
-    async fn bring(&self, model: &Reference, bytes: u64, stage: Stage) {
+    /// Fetches a model to host memory or disk, if it is not there yet.
+    async fn fetch(&self, model: &Reference, bytes: u64, stage: Stage) {
         let settings = &self.shared.settings;
         let model = &model.model;
         if self.state().memory.stage(model) < Stage::Disk {
             settings.store.load(bytes).await;
-            self.state().memory.bring(model, Stage::Disk);
+            self.state().memory.raise_stage(model, Stage::Disk);
         } else if stage >= Stage::Memory && self.state().memory.stage(model) < Stage::Memory {
-            sleep(settings.disk_gib.mul_f64(gibibytes(bytes))).await;
+            sleep(settings.disk_time_per_gib.mul_f64(gibibytes(bytes))).await;
         }
-        self.state().memory.bring(model, stage);
+        self.state().memory.raise_stage(model, stage);
     }
 
-    /// Frees a copy; requests on it break off.
+    /// Unloads a copy; requests that run on it are aborted.
     fn unload(&self, order: &Order, model: &Reference) -> Reply {
         let mut state = self.state();
         let Some(copy) = state.memory.unload(model, order.replica) else {
             return Reply::Accepted;
         };
-        state.memory.bring(&copy.model.model, Stage::Memory);
+        state.memory.raise_stage(&copy.model.model, Stage::Memory);
         self.shared.counters().unloads += 1;
-        self.news.notify_one();
+        self.heartbeat_now.notify_one();
         Reply::Accepted
     }
 
-    /// Begins to load an adapter.
-    fn adapt(&self, order: &Order, model: &Reference) -> Reply {
+    /// Starts to load an adapter.
+    fn load_adapter(&self, order: &Order, model: &Reference) -> Reply {
         if model.adapter.is_none() {
             return refused("the order names no adapter");
         }
-        let (life, model, replica) = (self.clone(), model.clone(), order.replica);
+        let (process, model, replica) = (self.clone(), model.clone(), order.replica);
         self.spawn(async move {
-            life.shared.settings.store.adapter().await;
-            life.state().memory.adapt(&model, replica);
-            life.news.notify_one();
+            process.shared.settings.store.load_adapter().await;
+            process.state().memory.add_adapter(&model, replica);
+            process.heartbeat_now.notify_one();
         });
         Reply::Accepted
     }
 
-    /// Begins to bring a model to host memory.
+    /// Starts to fetch a model to host memory.
     fn warm(&self, model: &Reference) -> Reply {
-        let (life, model) = (self.clone(), model.clone());
+        let (process, model) = (self.clone(), model.clone());
         self.spawn(async move {
-            life.bring(&model, WARM, Stage::Memory).await;
-            life.news.notify_one();
+            process.fetch(&model, WARM_UP_BYTES, Stage::Memory).await;
+            process.heartbeat_now.notify_one();
         });
         Reply::Accepted
     }
 
-    /// Runs a task that ends with this life.
+    /// Spawns a task that ends with this process.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let token = self.token.clone();
         tokio::spawn(async move {
@@ -278,7 +281,7 @@
         });
     }
 
-    /// What it announces.
+    /// Returns the announcement of this process.
     pub fn announcement(&self) -> Announcement {
         let settings = &self.shared.settings;
         Announcement {
@@ -297,7 +300,7 @@
         }
     }
 
-    /// Its next heartbeat.
+    /// Returns the next heartbeat, with the load as it was the configured delay ago.
     pub fn heartbeat(&self) -> Heartbeat {
         let load = Load {
             running: self.batch.running(),
@@ -306,7 +309,7 @@
         };
         let mut state = self.state();
         state.sequence += 1;
-        let load = state.lagging(load, self.shared.settings.lag);
+        let load = state.delayed_load(load, self.shared.settings.load_delay);
         Heartbeat {
             target: self.shared.settings.name.clone(),
             incarnation: self.incarnation,
@@ -320,19 +323,20 @@
     }
 }
 
-/// Bytes that a warm-up counts, since its order names none.
-const WARM: u64 = 1 << 30;
+/// Assumed model size of a warm-up, since its order names none.
+const WARM_UP_BYTES: u64 = 1 << 30;
 
 impl State {
-    /// The load as it was a lag ago.
-    fn lagging(&mut self, load: Load, lag: Duration) -> Load {
+    /// Records the current load and returns the newest sample that is at least as old as the
+    /// delay, or the oldest one if none is.
+    fn delayed_load(&mut self, load: Load, load_delay: Duration) -> Load {
         let at = Instant::now();
-        self.measured.push_back(Measured { at, load });
-        while self.measured.len() > 1 && at - self.measured[1].at >= lag {
-            self.measured.pop_front();
+        self.samples.push_back(LoadSample { at, load });
+        while self.samples.len() > 1 && at - self.samples[1].at >= load_delay {
+            self.samples.pop_front();
         }
-        let oldest = self.measured.front().copied();
-        let oldest = oldest.unwrap_or(Measured { at, load });
+        let oldest = self.samples.front().copied();
+        let oldest = oldest.unwrap_or(LoadSample { at, load });
         let age = (at - oldest.at).as_millis();
         Load {
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
@@ -341,7 +345,7 @@
     }
 }
 
-/// The refusal of an order.
+/// Returns the refusal of an order.
 fn refused(reason: &str) -> Reply {
     let reason = reason.into();
     Reply::Refused { reason }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service, which counts how often each request ran.
+//! A fake plain service that counts how often each request ran.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -21,47 +21,47 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-use crate::announcer::{Announcer, Source};
-use crate::answer::text_of;
+use crate::announcer::{Announcer, ReportSource};
 use crate::body::{self, Body};
+use crate::generation::header_str;
 use crate::text;
 
-/// The key of a request that may not be repeated.
-const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+/// Identifies a request that must not run twice; its runs are counted under this key.
+const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// How a plain service fails.
+/// A failure that a test injects into a service, once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// The connection breaks before the request ran.
+    /// The connection is aborted before the request runs.
     BreakBefore,
-    /// The connection breaks after it ran.
+    /// The connection is aborted after the request has run.
     BreakAfter,
-    /// It is refused with the word that it did not run.
+    /// The request is refused and the response says that it did not run.
     Refuse,
-    /// It runs and is answered with status 500.
+    /// The request runs, but the response has status 500.
     Fail,
-    /// The answer names another request.
+    /// The request runs, but the response carries the id of another request.
     Crossed,
 }
 
-/// How a service is made; [`Builder`] has the same names.
+/// Settings of a service; [`Builder`] has a method for each.
 #[derive(Debug, Clone)]
 struct Settings {
-    /// Its name as a target.
+    /// Target id.
     name: TargetId,
-    /// The services it runs.
+    /// Names of the services that the target runs.
     services: Vec<Name>,
-    /// Its region.
+    /// Region that the target announces.
     region: RegionId,
-    /// Its availability zone.
+    /// Availability zone that the target announces.
     zone: ZoneId,
-    /// Its life.
+    /// Distinguishes this process from earlier ones of the same target.
     incarnation: Incarnation,
-    /// How long a request takes.
+    /// Run time of a request.
     delay: Duration,
-    /// How often it sends heartbeats.
+    /// Time between two heartbeats.
     heartbeat: Duration,
-    /// Entry hosts that it tells.
+    /// Entry hosts to report to.
     entries: Vec<SocketAddr>,
 }
 
@@ -69,66 +69,66 @@
 #[derive(Debug, Clone)]
 #[must_use]
 pub struct Builder {
-    /// The settings so far.
+    /// Settings made so far.
     settings: Settings,
 }
 
 impl Builder {
-    /// Its name as a target.
+    /// Sets the target id.
     pub fn name(mut self, name: impl Into<TargetId>) -> Self {
         self.settings.name = name.into();
         self
     }
 
-    /// A service that it runs.
+    /// Adds a service that the target runs.
     pub fn runs(mut self, service: impl Into<Name>) -> Self {
         self.settings.services.push(service.into());
         self
     }
 
-    /// Its region.
+    /// Sets the region that the target announces.
     pub fn region(mut self, region: impl Into<RegionId>) -> Self {
         self.settings.region = region.into();
         self
     }
 
-    /// Its availability zone.
+    /// Sets the availability zone that the target announces.
     pub fn zone(mut self, zone: impl Into<ZoneId>) -> Self {
         self.settings.zone = zone.into();
         self
     }
 
-    /// Its life.
+    /// Sets the incarnation that the target announces; 1 by default.
     pub fn incarnation(mut self, incarnation: Incarnation) -> Self {
         self.settings.incarnation = incarnation;
         self
     }
 
-    /// How long a request takes.
+    /// Sets the run time of a request; zero by default.
     pub fn delay(mut self, delay: Duration) -> Self {
         self.settings.delay = delay;
         self
     }
 
-    /// How often it sends heartbeats.
+    /// Sets the time between two heartbeats; one second by default.
     pub fn heartbeat(mut self, heartbeat: Duration) -> Self {
         self.settings.heartbeat = heartbeat;
         self
     }
 
-    /// Entry hosts that it tells.
+    /// Sets the entry hosts to report to.
     pub fn entries(mut self, entries: impl Into<Vec<SocketAddr>>) -> Self {
         self.settings.entries = entries.into();
         self
     }
 
-    /// Starts the service on a loopback port of its own; it ends with the token.
+    /// Starts the service on its own loopback port; cancelling the token stops it.
     ///
     /// # Errors
-    /// No port can be had.
+    /// No loopback port can be bound.
     pub async fn start(self, token: CancellationToken) -> io::Result<Service> {
-        let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let listener = TcpListener::bind(any).await?;
+        let loopback = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let listener = TcpListener::bind(loopback).await?;
         let address = listener.local_addr()?;
         let state = Mutex::new(State {
             entries: self.settings.entries.clone(),
@@ -138,7 +138,7 @@
             inner: Arc::new(Inner {
                 settings: self.settings,
                 address,
-                news: Arc::default(),
+                heartbeat_now: Arc::default(),
                 state,
             }),
             token,
@@ -148,44 +148,44 @@
     }
 }
 
-/// The state of a service.
+/// The mutable state of a service.
 #[derive(Debug, Default)]
 struct State {
-    /// Entry hosts that it tells.
+    /// Entry hosts to report to.
     entries: Vec<SocketAddr>,
-    /// How often each key ran, or each request id where there is no key.
+    /// Number of runs for each idempotency key, or for each request id without a key.
     runs: BTreeMap<Name, u32>,
-    /// Failures that wait for their chance.
+    /// Failures that are still to be injected, oldest first.
     failures: VecDeque<Failure>,
-    /// Requests in progress.
+    /// Requests in flight.
     running: u32,
-    /// Counts heartbeats.
+    /// Sequence number of the last heartbeat.
     sequence: u64,
-    /// Whether it leaves.
+    /// Whether heartbeats say that the target leaves.
     leaving: bool,
 }
 
-/// What the tasks of a service share.
+/// Data shared by the tasks of a service.
 #[derive(Debug)]
 struct Inner {
-    /// Its settings.
+    /// As given to the builder.
     settings: Settings,
-    /// Where it listens.
+    /// The address it listens on.
     address: SocketAddr,
-    /// Asks for a heartbeat at once.
-    news: Arc<Notify>,
-    /// Its state.
+    /// Triggers a heartbeat before the interval is over.
+    heartbeat_now: Arc<Notify>,
+    /// Counts, failures and entry hosts.
     state: Mutex<State>,
 }
 
 impl Inner {
-    /// Its state.
+    /// Locks the state; a panic of another holder leaves it usable.
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A plain service on a loopback port of its own.
+/// A fake plain service on its own loopback port; clones share state.
 ///
 /// ```
 /// use cornelhitch_standin::service::Service;
@@ -201,14 +201,14 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// What its tasks share.
+    /// Shared by all clones and tasks.
     inner: Arc<Inner>,
-    /// Ends it.
+    /// Stops the service.
     token: CancellationToken,
 }
 
 impl Service {
-    /// A service with settings.
+    /// Returns a builder with default settings.
     pub fn builder() -> Builder {
         Builder {
             settings: Settings {
@@ -224,55 +224,55 @@
         }
     }
 
-    /// Where it listens.
+    /// Returns the address that the service listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// How often each key ran, or each request id where there is no key.
+    /// Returns the number of runs for each idempotency key, or for each request id without a key.
     #[must_use]
     pub fn runs(&self) -> BTreeMap<Name, u32> {
         self.inner.state().runs.clone()
     }
 
-    /// Gives it a failure, which happens once to the next request.
+    /// Queues a failure, which is injected into the next request.
     pub fn fail(&self, failure: Failure) {
         self.inner.state().failures.push_back(failure);
     }
 
-    /// Replaces the entry hosts that it tells.
-    pub fn tell(&self, entries: Vec<SocketAddr>) {
+    /// Replaces the entry hosts that the service reports to, and sends a heartbeat at once.
+    pub fn set_entries(&self, entries: Vec<SocketAddr>) {
         self.inner.state().entries = entries;
-        self.inner.news.notify_one();
+        self.inner.heartbeat_now.notify_one();
     }
 
-    /// Says in its heartbeats that it leaves.
+    /// Announces in heartbeats that the service leaves, the first of them at once.
     pub fn leave(&self) {
         self.inner.state().leaving = true;
-        self.inner.news.notify_one();
+        self.inner.heartbeat_now.notify_one();
     }
 
-    /// Stops it; its connections break.
+    /// Stops the service and aborts its connections.
     pub fn stop(&self) {
         self.token.cancel();
     }
 
-    /// Starts the tasks that announce and serve it.
+    /// Spawns the tasks that report the service and accept its connections.
     fn serve(self, listener: TcpListener) {
-        let news = Arc::clone(&self.inner.news);
-        let every = self.inner.settings.heartbeat;
-        self.spawn(Announcer::new(Box::new(self.clone()), every, news).run());
+        let heartbeat_now = Arc::clone(&self.inner.heartbeat_now);
+        let interval = self.inner.settings.heartbeat;
+        self.spawn(Announcer::new(Box::new(self.clone()), interval, heartbeat_now).run());
         self.clone().spawn(async move {
             loop {
                 if let Ok((socket, _)) = listener.accept().await {
-                    self.spawn(connection(self.clone(), socket));
+                    self.spawn(serve_connection(self.clone(), socket));
                 }
             }
         });
     }
 
-    /// Runs a task that ends with the service.
+    /// Spawns a task that ends with the service.
     fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let token = self.token.clone();
         tokio::spawn(async move {
@@ -280,7 +280,7 @@
         });
     }
 
-    /// Answers one request; an error breaks the connection.
+    /// Handles one request; an error aborts the connection.
     async fn handle(self, request: Request<Incoming>) -> io::Result<Response<Body>> {
         let (head, incoming) = request.into_parts();
         let Some(bytes) = body::read(incoming).await else {
@@ -293,10 +293,11 @@
         if failure == Some(Failure::Refuse) {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             let mut refusal = body::problem(status, Run::NotRun, "refused");
-            body::echo(&mut refusal, &head.headers);
+            body::echo_request_id(&mut refusal, &head.headers);
             return Ok(refusal);
         }
-        let key = text_of(&head.headers, &KEY).or(text_of(&head.headers, &REQUEST_ID));
+        let key =
+            header_str(&head.headers, &IDEMPOTENCY_KEY).or(header_str(&head.headers, &REQUEST_ID));
         let run = self.run(key.unwrap_or_default().into()).await;
         if failure == Some(Failure::BreakAfter) {
             return Err(io::ErrorKind::ConnectionReset.into());
@@ -305,16 +306,16 @@
         match failure {
             Some(Failure::Fail) => *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
             Some(Failure::Crossed) => {
-                let other = http::HeaderValue::from_static("another-request");
-                response.headers_mut().insert(REQUEST_ID, other);
+                let wrong_id = http::HeaderValue::from_static("another-request");
+                response.headers_mut().insert(REQUEST_ID, wrong_id);
             }
             _ => (),
         }
-        body::echo(&mut response, &head.headers);
+        body::echo_request_id(&mut response, &head.headers);
         Ok(response)
     }
 
-    /// Runs a request; says how often its key has run.
+    /// Runs a request; returns how often its key has run, this time included.
     async fn run(&self, key: Name) -> u32 {
         let run = {
             let mut state = self.inner.state();
@@ -328,7 +329,7 @@
         run
     }
 
-    /// The answer: what was asked, and which run it was.
+    /// Returns a response that echoes the request and says which run of its key it was.
     fn respond(&self, uri: &http::Uri, bytes: &[u8], run: u32) -> Response<Body> {
         let answer = serde_json::json!({
             "target": &*self.inner.settings.name,
@@ -336,11 +337,11 @@
             "body": text::digest(bytes),
             "run": run,
         });
-        body::answer(StatusCode::OK, "application/json", answer.to_string())
+        body::response(StatusCode::OK, "application/json", answer.to_string())
     }
 }
 
-impl Source for Service {
+impl ReportSource for Service {
     fn announcement(&self) -> Announcement {
         let settings = &self.inner.settings;
         Announcement {
@@ -382,9 +383,9 @@
     }
 }
 
-/// Serves one connection.
-async fn connection(service: Service, socket: TcpStream) {
-    // Without it answers are only later, not wrong.
+/// Serves one connection until either side closes it.
+async fn serve_connection(service: Service, socket: TcpStream) {
+    // Best effort: with Nagle's algorithm on, responses are only delayed.
     drop(socket.set_nodelay(true));
     let handler = service_fn(move |request| service.clone().handle(request));
     let builder = auto::Builder::new(TokioExecutor::new());
@@ -392,6 +393,6 @@
         .serve_connection(TokioIo::new(socket), handler)
         .await;
     if let Err(error) = served {
-        tracing::debug!(%error, "a connection to the stand-in ended");
+        tracing::debug!(%error, "connection to the fake service ended with an error");
     }
 }
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an engine, and their builder.
+//! Settings of a fake engine, and their builder.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,60 +11,60 @@
 use crate::engine::{Engine, Error};
 use crate::store::Store;
 
-/// How an engine is made; [`Builder`] has the same names.
+/// Settings of an engine; [`Builder`] has a method of the same name for each.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Its name.
+    /// Target id of the engine.
     pub name: TargetId,
-    /// Its region.
+    /// Region that the engine announces.
     pub region: RegionId,
-    /// Its availability zone.
+    /// Availability zone that the engine announces.
     pub zone: ZoneId,
-    /// The number of its first life.
+    /// Incarnation of the first process; each restart adds one.
     pub incarnation: Incarnation,
     /// Accelerator memory in bytes.
     pub memory: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
-    /// Whether it refuses orders with an old fencing number or for another life.
+    /// Whether orders with an old fencing token or for another incarnation are refused.
     pub fencing: bool,
-    /// Whether it keeps the replica ids of its orders, and so loads each once.
-    pub keeps_replicas: bool,
-    /// How near models are at the start; those that are not listed are remote.
+    /// Whether the replica ids of orders are tracked, so that each replica is loaded once.
+    pub tracks_replicas: bool,
+    /// Nearest stage of each model at the start; unlisted models are remote.
     pub stages: BTreeMap<ModelId, Stage>,
-    /// Time of a gibibyte from disk.
-    pub disk_gib: Duration,
-    /// Time of a gibibyte from host memory.
-    pub memory_gib: Duration,
-    /// The weight store.
+    /// Load time per gibibyte from disk to host memory.
+    pub disk_time_per_gib: Duration,
+    /// Load time per gibibyte from host memory to accelerator memory.
+    pub memory_time_per_gib: Duration,
+    /// Weight store that remote models are loaded from.
     pub store: Store,
-    /// Requests in the batch at most.
+    /// Maximum number of requests in the batch.
     pub batch: u32,
-    /// Requests that wait for the batch at most.
+    /// Maximum number of requests that wait for the batch.
     pub queue: usize,
-    /// Time of a token while the batch is small.
+    /// Time between two tokens of a request while the batch is small.
     pub token: Duration,
-    /// Tokens of all requests together, a second.
+    /// Throughput limit over all requests, in tokens per second.
     pub rate: f64,
-    /// Time to read a prompt whose prefix is not held.
+    /// Time to process a prompt whose prefix is not cached.
     pub prefill: Duration,
-    /// Tokens of an answer where the request sets none.
+    /// Number of tokens to generate if the request sets none.
     pub tokens: u64,
-    /// Prompt prefixes held at most.
+    /// Maximum number of cached prompt prefixes.
     pub prefixes: usize,
-    /// Of a hundred cache events, how many are lost.
-    pub lost_events: u8,
-    /// How old the load is that it reports.
-    pub lag: Duration,
-    /// How often it sends heartbeats.
+    /// Percentage of cache events that are lost.
+    pub lost_events_percent: u8,
+    /// Age of the load that heartbeats report.
+    pub load_delay: Duration,
+    /// Time between two heartbeats.
     pub heartbeat: Duration,
-    /// Entry hosts that it tells.
+    /// Entry hosts that the engine reports to.
     pub entries: Vec<SocketAddr>,
-    /// Text in a body that crashes it.
+    /// Text in a request body that crashes the engine.
     pub poison: Option<Name>,
-    /// How long it is away after a crash.
-    pub restart: Duration,
-    /// The seed of its random choices.
+    /// Time between a crash and the start of the next process.
+    pub restart_delay: Duration,
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
@@ -78,10 +78,10 @@
             memory: 80 << 30,
             accelerators: 1,
             fencing: true,
-            keeps_replicas: true,
+            tracks_replicas: true,
             stages: BTreeMap::new(),
-            disk_gib: Duration::from_millis(40),
-            memory_gib: Duration::from_millis(8),
+            disk_time_per_gib: Duration::from_millis(40),
+            memory_time_per_gib: Duration::from_millis(8),
             store: Store::builder().gib(Duration::from_millis(100)).build(),
             batch: 16,
             queue: 64,
@@ -90,12 +90,12 @@
             prefill: Duration::from_millis(5),
             tokens: 16,
             prefixes: 128,
-            lost_events: 10,
-            lag: Duration::from_millis(500),
+            lost_events_percent: 10,
+            load_delay: Duration::from_millis(500),
             heartbeat: Duration::from_secs(1),
             entries: Vec::new(),
             poison: None,
-            restart: Duration::from_millis(500),
+            restart_delay: Duration::from_millis(500),
             seed: 1,
         }
     }
@@ -105,11 +105,11 @@
 #[derive(Debug, Clone, Default)]
 #[must_use]
 pub struct Builder {
-    /// The settings so far.
+    /// Settings made so far.
     settings: Settings,
 }
 
-/// A function of the builder for each setting that is named.
+/// Defines a builder method for each setting in the list.
 macro_rules! setters {
     ($($name:ident: $kind:ty, $doc:literal;)*) => {
         impl Builder {
@@ -125,44 +125,44 @@
 }
 
 setters! {
-    name: TargetId, "Its name.";
-    region: RegionId, "Its region.";
-    zone: ZoneId, "Its availability zone.";
-    incarnation: Incarnation, "The number of its first life.";
-    memory: u64, "Accelerator memory in bytes.";
-    accelerators: u32, "Accelerators.";
-    fencing: bool, "Whether it refuses orders with an old fencing number or for another life.";
-    keeps_replicas: bool, "Whether it keeps the replica ids of its orders, and so loads each once.";
-    disk_gib: Duration, "Time of a gibibyte from disk.";
-    memory_gib: Duration, "Time of a gibibyte from host memory.";
-    store: Store, "The weight store.";
-    batch: u32, "Requests in the batch at most.";
-    queue: usize, "Requests that wait for the batch at most.";
-    token: Duration, "Time of a token while the batch is small.";
-    rate: f64, "Tokens of all requests together, a second.";
-    prefill: Duration, "Time to read a prompt whose prefix is not held.";
-    tokens: u64, "Tokens of an answer where the request sets none.";
-    prefixes: usize, "Prompt prefixes held at most.";
-    lost_events: u8, "Of a hundred cache events, how many are lost.";
-    lag: Duration, "How old the load is that it reports.";
-    heartbeat: Duration, "How often it sends heartbeats.";
-    entries: Vec<SocketAddr>, "Entry hosts that it tells.";
-    poison: Option<Name>, "Text in a body that crashes it.";
-    restart: Duration, "How long it is away after a crash.";
-    seed: u64, "The seed of its random choices.";
+    name: TargetId, "Sets the target id of the engine.";
+    region: RegionId, "Sets the region that the engine announces.";
+    zone: ZoneId, "Sets the availability zone that the engine announces.";
+    incarnation: Incarnation, "Sets the incarnation of the first process; each restart adds one.";
+    memory: u64, "Sets the accelerator memory in bytes.";
+    accelerators: u32, "Sets the number of accelerators.";
+    fencing: bool, "Sets whether orders with an old fencing token or for another incarnation are refused.";
+    tracks_replicas: bool, "Sets whether the replica ids of orders are tracked, so that each replica is loaded once.";
+    disk_time_per_gib: Duration, "Sets the load time per gibibyte from disk to host memory.";
+    memory_time_per_gib: Duration, "Sets the load time per gibibyte from host memory to accelerator memory.";
+    store: Store, "Sets the weight store that remote models are loaded from.";
+    batch: u32, "Sets the maximum number of requests in the batch.";
+    queue: usize, "Sets the maximum number of requests that wait for the batch.";
+    token: Duration, "Sets the time between two tokens of a request while the batch is small.";
+    rate: f64, "Sets the throughput limit over all requests, in tokens per second.";
+    prefill: Duration, "Sets the time to process a prompt whose prefix is not cached.";
+    tokens: u64, "Sets the number of tokens to generate if the request sets none.";
+    prefixes: usize, "Sets the maximum number of cached prompt prefixes.";
+    lost_events_percent: u8, "Sets the percentage of cache events that are lost.";
+    load_delay: Duration, "Sets the age of the load that heartbeats report.";
+    heartbeat: Duration, "Sets the time between two heartbeats.";
+    entries: Vec<SocketAddr>, "Sets the entry hosts that the engine reports to.";
+    poison: Option<Name>, "Sets the text in a request body that crashes the engine.";
+    restart_delay: Duration, "Sets the time between a crash and the start of the next process.";
+    seed: u64, "Sets the seed of all random choices.";
 }
 
 impl Builder {
-    /// How near a model is at the start.
+    /// Sets the nearest stage of a model at the start.
     pub fn stage(mut self, model: impl Into<ModelId>, stage: Stage) -> Self {
         self.settings.stages.insert(model.into(), stage);
         self
     }
 
-    /// Starts the engine on a loopback port of its own; it ends with the token.
+    /// Starts the engine on its own loopback port; cancelling the token stops it.
     ///
     /// # Errors
-    /// No port can be had.
+    /// No loopback port can be bound.
     pub async fn start(self, token: CancellationToken) -> Result<Engine, Error> {
         Engine::start(self.settings, token).await
     }
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,28 +1,28 @@
-//! The weight store: one for all engines of a deployment.
+//! A fake weight store that the engines of one deployment share.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How often the progress of a load is counted.
-const STEP: Duration = Duration::from_millis(5);
+/// Step in which a load progresses; its speed may change between two steps.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Bytes in a gibibyte.
+/// Bytes per gibibyte.
 const GIB: f64 = 1_073_741_824.0;
 
 /// Builds a [`Store`].
 #[derive(Debug, Clone, Copy)]
 pub struct Builder {
-    /// Loads that may start, a second.
+    /// Limit on load starts, per second.
     starts: f64,
-    /// Loads that run at full speed at once.
+    /// Number of concurrent loads at full speed; more of them share that bandwidth.
     concurrency: u32,
-    /// Time of a gibibyte at full speed.
+    /// Load time per gibibyte at full speed.
     gib: Duration,
-    /// Time of an adapter while few are in flight.
+    /// Load time of an adapter while at most `adapters` are in flight.
     adapter: Duration,
-    /// Adapters in flight at full speed.
+    /// Number of adapters in flight at full speed.
     adapters: u32,
 }
 
@@ -39,42 +39,42 @@
 }
 
 impl Builder {
-    /// Loads that may start, a second.
+    /// Sets the limit on load starts, per second; starts above it are delayed.
     #[must_use]
     pub fn starts(mut self, starts: f64) -> Self {
         self.starts = starts;
         self
     }
 
-    /// Loads that run at full speed at once.
+    /// Sets the number of concurrent loads at full speed; more of them share that bandwidth.
     #[must_use]
     pub fn concurrency(mut self, concurrency: u32) -> Self {
         self.concurrency = concurrency;
         self
     }
 
-    /// Time of a gibibyte at full speed.
+    /// Sets the load time per gibibyte at full speed.
     #[must_use]
     pub fn gib(mut self, gib: Duration) -> Self {
         self.gib = gib;
         self
     }
 
-    /// Time of an adapter while few are in flight.
+    /// Sets the load time of an adapter at full speed.
     #[must_use]
     pub fn adapter(mut self, adapter: Duration) -> Self {
         self.adapter = adapter;
         self
     }
 
-    /// Adapters in flight at full speed.
+    /// Sets the number of adapters in flight at full speed; with more of them each is slower.
     #[must_use]
     pub fn adapters(mut self, adapters: u32) -> Self {
         self.adapters = adapters;
         self
     }
 
-    /// The store.
+    /// Returns a store with these settings.
     #[must_use]
     pub fn build(self) -> Store {
         Store {
@@ -84,45 +84,44 @@
     }
 }
 
-/// What the store has done.
+/// Counts of the loads of a store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Loads that asked to start.
-    pub asked: u32,
-    /// Loads that started.
+    /// Loads requested, those that still wait for their start included.
+    pub requested: u32,
+    /// Loads started.
     pub started: u32,
-    /// Loads that are in flight.
+    /// Loads in flight.
     pub in_flight: u32,
-    /// The most loads in flight at once.
+    /// Maximum number of loads in flight at once.
     pub peak: u32,
-    /// Adapters in flight.
+    /// Adapter loads in flight.
     pub adapters: u32,
-    /// The most adapters in flight at once.
+    /// Maximum number of adapter loads in flight at once.
     pub adapters_peak: u32,
 }
 
-/// The store's state.
+/// The mutable state of a store.
 #[derive(Debug)]
 struct State {
-    /// When the next load may start.
-    next: Option<Instant>,
-    /// How many times slower than usual it is.
+    /// Earliest start of the next load; `None` before the first one.
+    next_start: Option<Instant>,
+    /// Factor on all load times; 1 is normal.
     slowness: f64,
-    /// Counts.
     counters: Counters,
 }
 
 impl Default for State {
     fn default() -> Self {
         Self {
-            next: None,
+            next_start: None,
             slowness: 1.0,
             counters: Counters::default(),
         }
     }
 }
 
-/// A weight store with a limit on starts, and full speed for a few loads at once.
+/// A fake weight store with a limited rate of starts and limited bandwidth; clones share state.
 ///
 /// ```
 /// use std::time::Duration;
@@ -138,91 +137,93 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct Store {
-    /// The limits.
+    /// Limits and load times.
     settings: Builder,
-    /// The state that engines share.
+    /// Shared by all clones.
     state: Arc<Mutex<State>>,
 }
 
 impl Store {
-    /// A store with settings.
+    /// Returns a builder with default settings.
     #[must_use]
     pub fn builder() -> Builder {
         Builder::default()
     }
 
-    /// Makes it so many times slower than usual; 1 is its usual speed.
+    /// Sets the factor on all load times: 1 is normal, larger is slower, the minimum is 0.01.
     pub fn slow(&self, slowness: f64) {
         self.state().slowness = slowness.max(0.01);
     }
 
-    /// What it has done.
+    /// Returns the counts since the store was built.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.state().counters
     }
 
-    /// Loads so many bytes: waits for a start, then for the bytes.
+    /// Loads a model of the given size: waits for its start, then for the transfer.
     pub async fn load(&self, bytes: u64) {
-        sleep_until(self.start()).await;
-        let _flight = Flight::begin(self);
-        let mut left = self.settings.gib.as_secs_f64() * gibibytes(bytes);
-        while left > 0.0 {
-            let step = STEP.as_secs_f64().min(left / self.speed());
+        sleep_until(self.reserve_start()).await;
+        let _guard = LoadGuard::begin(self);
+        let mut remaining = self.settings.gib.as_secs_f64() * gibibytes(bytes);
+        while remaining > 0.0 {
+            let step = PROGRESS_INTERVAL
+                .as_secs_f64()
+                .min(remaining / self.relative_speed());
             sleep(Duration::from_secs_f64(step)).await;
-            left -= step * self.speed();
+            remaining -= step * self.relative_speed();
         }
     }
 
-    /// Loads an adapter; longer where more than allowed are in flight.
-    pub async fn adapter(&self) {
-        let flight = AdapterFlight::begin(self);
-        let crowd = f64::from(flight.crowd) / f64::from(self.settings.adapters.max(1));
+    /// Loads an adapter, in proportion slower when more than the full-speed number are in flight.
+    pub async fn load_adapter(&self) {
+        let guard = AdapterLoadGuard::begin(self);
+        let overload = f64::from(guard.in_flight) / f64::from(self.settings.adapters.max(1));
         let slowness = self.state().slowness;
-        sleep(self.settings.adapter.mul_f64(crowd.max(1.0) * slowness)).await;
+        sleep(self.settings.adapter.mul_f64(overload.max(1.0) * slowness)).await;
     }
 
-    /// When the next load may start; a later one may start only after it.
-    fn start(&self) -> Instant {
-        let pause = Duration::from_secs_f64(1.0 / self.settings.starts.max(0.001));
+    /// Reserves the start of a load; the next reservation is at least one interval later.
+    fn reserve_start(&self) -> Instant {
+        let interval = Duration::from_secs_f64(1.0 / self.settings.starts.max(0.001));
         let mut state = self.state();
         let now = Instant::now();
-        let start = state.next.map_or(now, |next| next.max(now));
-        state.next = Some(start + pause);
-        state.counters.asked += 1;
+        let start = state.next_start.map_or(now, |next| next.max(now));
+        state.next_start = Some(start + interval);
+        state.counters.requested += 1;
         start
     }
 
-    /// The share of full speed that each load has now.
-    fn speed(&self) -> f64 {
+    /// Returns the current speed of each load relative to full speed.
+    fn relative_speed(&self) -> f64 {
         let state = self.state();
-        let crowd = f64::from(state.counters.in_flight.max(1));
-        let share = f64::from(self.settings.concurrency.max(1)) / crowd;
+        let in_flight = f64::from(state.counters.in_flight.max(1));
+        let share = f64::from(self.settings.concurrency.max(1)) / in_flight;
         share.min(1.0) / state.slowness
     }
 
-    /// The state.
+    /// Locks the state; a panic of another holder leaves it usable.
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Bytes in gibibytes; a float is exact enough for a time.
+/// Converts bytes to gibibytes, for computing load times.
 #[expect(
     clippy::cast_precision_loss,
-    reason = "the times of a stand-in need no more than 53 bits"
+    reason = "simulated load times need no more than 53 bits of precision"
 )]
 pub(crate) fn gibibytes(bytes: u64) -> f64 {
     bytes as f64 / GIB
 }
 
-/// A load in flight; it ends when it is dropped, also with the engine that asked.
-struct Flight<'a> {
-    /// The store.
+/// Counts a load as in flight until dropped, also when the engine crashes during the load.
+struct LoadGuard<'a> {
+    /// The store that counts.
     store: &'a Store,
 }
-
-impl<'a> Flight<'a> {
+/// Counts a started load.
+impl<'a> LoadGuard<'a> {
     /// Begins a load.
     fn begin(store: &'a Store) -> Self {
         let mut state = store.state();
@@ -234,33 +235,33 @@
     }
 }
 
-impl Drop for Flight<'_> {
+impl Drop for LoadGuard<'_> {
     fn drop(&mut self) {
         self.store.state().counters.in_flight -= 1;
     }
 }
 
-/// An adapter in flight.
-struct AdapterFlight<'a> {
-    /// The store.
+/// Counts an adapter load as in flight until dropped.
+struct AdapterLoadGuard<'a> {
+    /// The store that counts.
     store: &'a Store,
-    /// How many are in flight with it.
-    crowd: u32,
+    /// Adapter loads in flight when this one started, itself included.
+    in_flight: u32,
 }
 
-impl<'a> AdapterFlight<'a> {
-    /// Begins to load an adapter.
+impl<'a> AdapterLoadGuard<'a> {
+    /// Counts a started adapter load.
     fn begin(store: &'a Store) -> Self {
         let mut state = store.state();
         let counters = &mut state.counters;
         counters.adapters += 1;
         counters.adapters_peak = counters.adapters_peak.max(counters.adapters);
-        let crowd = counters.adapters;
-        Self { store, crowd }
+        let in_flight = counters.adapters;
+        Self { store, in_flight }
     }
 }
 
-impl Drop for AdapterFlight<'_> {
+impl Drop for AdapterLoadGuard<'_> {
     fn drop(&mut self) {
         self.store.state().counters.adapters -= 1;
     }
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -1,37 +1,37 @@
-//! The text that stand-in engines generate: a pure function, so that a caller can check it.
+//! The text that fake engines generate: a pure function, so that a caller can verify responses.
 
 use cornelhitch_types::model::Reference;
 
-/// The offset basis of the 64-bit FNV-1a hash.
-const BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// The prime of the 64-bit FNV-1a hash.
-const PRIME: u64 = 0x0000_0100_0000_01b3;
+/// Offset basis of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// The bits of a hash that a token shows.
-const TOKEN: u64 = 0xffff_ffff;
+/// The bits of a hash that a token's text shows.
+const TOKEN_MASK: u64 = 0xffff_ffff;
 
-/// The 64-bit FNV-1a hash (Fowler, Noll and Vo) of some bytes.
+/// Returns the 64-bit FNV-1a (Fowler–Noll–Vo) hash of some bytes.
 ///
 /// ```
 /// assert_eq!(cornelhitch_standin::text::digest(b""), 0xcbf2_9ce4_8422_2325);
 /// ```
 #[must_use]
 pub fn digest(bytes: &[u8]) -> u64 {
-    let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(PRIME);
-    bytes.iter().fold(BASIS, step)
+    let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
+    bytes.iter().fold(FNV_OFFSET_BASIS, step)
 }
 
-/// The token at an offset of the answer to a body whose digest is given.
+/// Returns the token at an offset of the response to a body with the given digest.
 ///
-/// The model's version has no part in it, so that a caller need not know the one in force.
+/// The model's version is not part of it, so a caller need not know which version is in force.
 #[must_use]
 pub fn token(model: &Reference, digest_of_body: u64, offset: u64) -> String {
     let adapter = model.adapter.as_deref().unwrap_or_default();
     let seed = format!("{}+{adapter}/{digest_of_body}/{offset}", model.model);
-    format!(" {:08x}", digest(seed.as_bytes()) & TOKEN)
+    format!(" {:08x}", digest(seed.as_bytes()) & TOKEN_MASK)
 }
 
-/// The whole answer of so many tokens.
+/// Returns the complete response text with the given number of tokens.
 ///
 /// ```
 /// use cornelhitch_standin::text;
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -37,7 +37,7 @@
     let builder = Engine::builder()
         .token(quick)
         .prefill(quick)
-        .restart(quick)
+        .restart_delay(quick)
         .stage("report", Stage::Memory);
     let token = tokio_util::sync::CancellationToken::new();
     settings(builder).start(token).await.expect("a port")
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -71,7 +71,7 @@
         (false, 4, 8, 2, Reply::Accepted),
     ];
     for (fencing, fence, replica, loads, reply) in rows {
-        let engine = engine(|builder| builder.fencing(fencing).keeps_replicas(fencing)).await;
+        let engine = engine(|builder| builder.fencing(fencing).tracks_replicas(fencing)).await;
         let first = order(&engine, 5, 7, load(1 << 20));
         send(engine.address(), &first).await;
         let second = order(&engine, fence, replica, load(1 << 20));
@@ -100,7 +100,7 @@
     assert_eq!((counters.overcommits, counters.memory_peak), (1, 100));
     let unload = Action::Unload { model: model() };
     send(engine.address(), &order(&engine, 1, 1, unload)).await;
-    assert_eq!(engine.used(), 40);
+    assert_eq!(engine.used_bytes(), 40);
     engine.stop().await;
 }
 
@@ -143,8 +143,8 @@
     ready(&engine).await;
     let got = get(engine.address(), ask("r1", true, None)).await;
     assert_eq!(got.error.map(|error| error.run()), Some(Run::Unknown));
-    engine.next_life(1).await;
-    assert_eq!((engine.incarnation(), engine.used()), (2, 0));
+    engine.wait_for_restart(1).await;
+    assert_eq!((engine.incarnation(), engine.used_bytes()), (2, 0));
     assert_eq!(engine.counters().crashes, 1);
     engine.stop().await;
 }
@@ -233,7 +233,7 @@
             let part = futures_util::StreamExt::next(&mut parts).await;
             assert!(matches!(part, Some(Ok(_))), "{version:?} {life}: {part:?}");
             engine.crash();
-            engine.next_life(life).await;
+            engine.wait_for_restart(life).await;
         }
         engine.stop().await;
     }
--- a/crates/standin/tests/fault.rs
+++ b/crates/standin/tests/fault.rs
@@ -127,9 +127,9 @@
     let engine = engine(|builder| builder).await;
     engine.fault(Fault::DieInLoad);
     send(engine.address(), &order(&engine, 1, 1, load(1 << 20))).await;
-    engine.next_life(1).await;
+    engine.wait_for_restart(1).await;
     let counters = engine.counters();
     assert_eq!((counters.loads_of("report"), counters.loaded), (1, 0));
-    assert_eq!(engine.used(), 0);
+    assert_eq!(engine.used_bytes(), 0);
     engine.stop().await;
 }
--- a/crates/standin/tests/store.rs
+++ b/crates/standin/tests/store.rs
@@ -49,7 +49,7 @@
     for (count, millis) in [(1, 4), (30, 4), (60, 8), (300, 40)] {
         let store = Store::builder().adapter(Duration::from_millis(4)).build();
         let begun = Instant::now();
-        join_all((0..count).map(|_| store.adapter())).await;
+        join_all((0..count).map(|_| store.load_adapter())).await;
         assert_eq!(begun.elapsed().as_millis(), millis, "{count}");
         assert_eq!(store.counters().adapters_peak, count);
     }
