--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What the tests of this package share.
+//! Helpers shared by the integration tests.
 
 #![allow(
     dead_code,
-    reason = "each test file is a program of its own and uses a part"
+    reason = "each test file is its own crate and uses only some of the helpers"
 )]
 
 use std::net::SocketAddr;
@@ -17,35 +17,35 @@
 use cornelhitch_types::target::Stage;
 use futures_util::StreamExt;
 
-/// The caller's JSON of all tests.
+/// Request body of all tests.
 pub const BODY: &[u8] = br#"{"model":"report","messages":[],"max_tokens":6}"#;
 
-/// Tokens that it asks for.
+/// Number of tokens that [`BODY`] requests.
 pub const TOKENS: u64 = 6;
 
-/// Longer than anything that goes well; a test that needs it fails by its result, not by time.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Longer than any successful operation, so a test fails by its result and not by its run time.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The model of all tests.
+/// Returns the model of all tests.
 pub fn model() -> Reference {
     Reference::base("report")
 }
 
-/// A quick engine.
+/// Starts an engine with short delays.
 pub async fn engine(settings: impl FnOnce(Builder) -> Builder) -> Engine {
-    let quick = Duration::from_millis(1);
+    let fast = Duration::from_millis(1);
     let builder = Engine::builder()
-        .token(quick)
-        .prefill(quick)
-        .restart_delay(quick)
+        .token(fast)
+        .prefill(fast)
+        .restart_delay(fast)
         .stage("report", Stage::Memory);
     let token = tokio_util::sync::CancellationToken::new();
-    settings(builder).start(token).await.expect("a port")
+    settings(builder).start(token).await.expect("bind a port")
 }
 
 pub use cornelhitch_standin::settings::Builder;
 
-/// An order for the engine's life of now.
+/// Returns an order for the engine's current incarnation.
 pub fn order(engine: &Engine, fence: u64, replica: u64, action: Action) -> Order {
     Order {
         fence,
@@ -57,24 +57,24 @@
     }
 }
 
-/// A load of the model.
+/// Returns the action that loads the model.
 pub fn load(bytes: u64) -> Action {
     let model = model();
     Action::Load { model, bytes }
 }
 
-/// Sends an order and returns what came of it.
+/// Sends an order and returns its outcome.
 pub async fn send(address: SocketAddr, order: &Order) -> Outcome {
     let http = Http::default();
-    http.order(address, order, LONG, Box::new(|| true)).await
+    http.order(address, order, TIMEOUT, Box::new(|| true)).await
 }
 
-/// Loads the model and waits until it answers.
-pub async fn ready(engine: &Engine) {
+/// Loads the model and waits until it is ready.
+pub async fn load_model(engine: &Engine) {
     let order = order(engine, 1, 1, load(1 << 20));
     let outcome = send(engine.address(), &order).await;
     assert_eq!(outcome, Outcome::Answered(Reply::Accepted));
-    until(|| {
+    wait_until(|| {
         engine
             .inventory()
             .iter()
@@ -83,18 +83,20 @@
     .await;
 }
 
-/// Waits until something holds, which it does long before the watchdog ends the test.
-pub async fn until(holds: impl Fn() -> bool) {
+/// Waits until a condition holds; panics after [`TIMEOUT`], which is far longer than needed.
+pub async fn wait_until(holds: impl Fn() -> bool) {
     let wait = async {
         while !holds() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(LONG, wait).await.expect("it comes");
+    tokio::time::timeout(TIMEOUT, wait)
+        .await
+        .expect("condition holds before the timeout");
 }
 
-/// A request for the model.
-pub fn ask(id: &str, stream: bool, from: Option<u64>) -> Generate {
+/// Returns a streamed or plain request for the model.
+pub fn generate(id: &str, stream: bool, resume_from: Option<u64>) -> Generate {
     Generate {
         request: id.into(),
         replica: 1,
@@ -103,22 +105,22 @@
         body: BODY.into(),
         stream,
         priority: 1,
-        resume_from: from,
-        deadline: Some(LONG),
+        resume_from,
+        deadline: Some(TIMEOUT),
     }
 }
 
-/// What came of a request.
+/// The result of a generation request.
 #[derive(Debug)]
-pub struct Got {
-    /// The text that came, before an error too.
+pub struct Collected {
+    /// The text received, also if an error followed.
     pub text: String,
-    /// The error that ended it.
+    /// The error that ended the request.
     pub error: Option<Error>,
 }
 
-/// Asks and reads to the end.
-pub async fn get(address: SocketAddr, generate: Generate) -> Got {
+/// Sends a generation request and reads its response to the end.
+pub async fn collect(address: SocketAddr, generate: Generate) -> Collected {
     let http = Http::default();
     let mut text = String::new();
     let answer = http.generate(address, generate, Box::new(|| true)).await;
@@ -126,24 +128,24 @@
         Ok(answer) => answer.parts,
         Err(error) => {
             let error = Some(error);
-            return Got { text, error };
+            return Collected { text, error };
         }
     };
     while let Some(part) = parts.next().await {
         match part {
             Ok(Part::Event { bytes, .. }) => text += &content(&bytes),
             Ok(Part::Done { bytes }) if bytes.starts_with(b"{") => text += &content(&bytes),
-            Ok(Part::Done { .. }) => return Got { text, error: None },
+            Ok(Part::Done { .. }) => return Collected { text, error: None },
             Err(error) => {
                 let error = Some(error);
-                return Got { text, error };
+                return Collected { text, error };
             }
         }
     }
-    Got { text, error: None }
+    Collected { text, error: None }
 }
 
-/// The text in an event or a whole answer.
+/// Returns the generated text in an event or a complete response.
 fn content(bytes: &[u8]) -> String {
     let text = std::str::from_utf8(bytes).expect("UTF-8");
     let json = &text[text.find('{').expect("JSON")..];
@@ -151,5 +153,5 @@
     let choice = &json["choices"][0];
     let content = choice["delta"]["content"].as_str();
     let content = content.or(choice["message"]["content"].as_str());
-    content.expect("a content").to_owned()
+    content.expect("text content").to_owned()
 }
--- a/crates/standin/tests/contract.rs
+++ b/crates/standin/tests/contract.rs
@@ -1,14 +1,14 @@
-//! Sends every example of `docs/INTERFACES.md` and checks the answer that the page shows.
+//! Sends every example of `docs/INTERFACES.md` and checks the response that the page shows.
 
 mod common;
-mod page;
+mod interface_page;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::until;
+use common::wait_until;
 use cornelhitch_standin::engine::Engine;
 use cornelhitch_standin::service::Service;
 use cornelhitch_target::client::{Cache, Call, Client, Form, Generate, Part};
@@ -21,22 +21,22 @@
 use http_body_util::{BodyExt, Full};
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use page::{Exchange, Message};
+use interface_page::{Exchange, Message};
 use tokio_util::sync::CancellationToken;
 
-/// A path that entry hosts take.
+/// Path prefix of the messages from targets to entry hosts.
 const INBOUND: &str = "/v1/targets/";
 
-/// The examples of which the page shows no fitting answer if another stands in its place.
-fn exchanges() -> Vec<Exchange> {
+/// Reads the examples of the interface page; panics if a request has no response.
+fn documented_exchanges() -> Vec<Exchange> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/INTERFACES.md");
-    let page = std::fs::read_to_string(path).expect("the page");
-    page::exchanges(&page)
+    let page = std::fs::read_to_string(path).expect("read the interface page");
+    interface_page::exchanges(&page)
 }
 
 #[test]
-fn messages_to_entry_hosts_are_taken_as_the_page_says() {
-    let all = exchanges();
+fn messages_to_entry_hosts_are_decoded_and_acknowledged_as_documented() {
+    let all = documented_exchanges();
     let inbound: Vec<_> = all
         .iter()
         .filter(|e| e.request.path().starts_with(INBOUND))
@@ -49,17 +49,20 @@
         let answer = Json.answer("", message.map(|_| Receipt::Taken));
         let (head, body) = answer.into_parts();
         exchange
-            .answer
-            .same(&exchange.name, &Message::answer(&head, body));
+            .response
+            .assert_matches(&exchange.name, &Message::from_response(&head, body));
     }
 }
 
 #[tokio::test]
-async fn stand_ins_answer_as_the_page_says() {
-    let worker = worker().await;
+async fn fakes_respond_as_documented() {
+    let worker = start_worker().await;
     let bids = Service::builder().name("auction-1").runs("bids");
-    let bids = bids.start(CancellationToken::new()).await.expect("a port");
-    let outbound = exchanges();
+    let bids = bids
+        .start(CancellationToken::new())
+        .await
+        .expect("bind a port");
+    let outbound = documented_exchanges();
     let outbound = outbound
         .iter()
         .filter(|e| !e.request.path().starts_with(INBOUND));
@@ -71,12 +74,12 @@
         } else {
             worker.address()
         };
-        let answer = send(address, &exchange.request).await;
-        exchange.answer.same(&exchange.name, &answer);
+        let answer = exchange_raw(address, &exchange.request).await;
+        exchange.response.assert_matches(&exchange.name, &answer);
         sent += 1;
         match exchange.name.as_str() {
-            "load" => until(|| holds(&worker, Stage::Ready, 0)).await,
-            "adapter" => until(|| holds(&worker, Stage::Ready, 1)).await,
+            "load" => wait_until(|| lists_copy(&worker, Stage::Ready, 0)).await,
+            "adapter" => wait_until(|| lists_copy(&worker, Stage::Ready, 1)).await,
             _ => (),
         }
     }
@@ -86,54 +89,58 @@
 }
 
 #[tokio::test]
-async fn the_client_sends_and_reads_as_the_page_says() {
-    let all = exchanges();
+async fn the_client_sends_and_reads_as_documented() {
+    let all = documented_exchanges();
     let outbound = all
         .iter()
         .filter(|e| !e.request.path().starts_with(INBOUND));
     for exchange in outbound {
-        let (address, recorded) = record(exchange.answer.clone()).await;
-        let read = ask(address, exchange).await;
+        let (address, recorded) = serve_once(exchange.response.clone()).await;
+        let read = client_accepts(address, exchange).await;
         let recorded = recorded
             .lock()
-            .expect("no panic")
+            .expect("mutex is not poisoned")
             .take()
             .expect("a request");
-        exchange.request.same(&exchange.name, &recorded);
-        assert!(read, "{}: the client reads another answer", exchange.name);
+        exchange.request.assert_matches(&exchange.name, &recorded);
+        assert!(
+            read,
+            "{}: the client does not read the documented response",
+            exchange.name
+        );
     }
 }
 
-/// The engine of the page.
-async fn worker() -> Engine {
-    let quick = Duration::from_millis(1);
+/// Starts the engine that the examples address.
+async fn start_worker() -> Engine {
+    let fast = Duration::from_millis(1);
     let builder = Engine::builder().name("worker-1").incarnation(7_u64);
     let builder = builder
-        .token(quick)
-        .prefill(quick)
+        .token(fast)
+        .prefill(fast)
         .stage("report", Stage::Disk);
     builder
         .start(CancellationToken::new())
         .await
-        .expect("a port")
+        .expect("bind a port")
 }
 
-/// Whether a worker lists a copy at a stage with so many adapters.
-fn holds(worker: &Engine, stage: Stage, adapters: usize) -> bool {
+/// Returns whether a worker lists a copy at a stage with the given number of adapters.
+fn lists_copy(worker: &Engine, stage: Stage, adapters: usize) -> bool {
     let inventory = worker.inventory();
     inventory
         .iter()
         .any(|copy| copy.stage == stage && copy.adapters.len() == adapters)
 }
 
-/// Sends an example and returns the answer.
-async fn send(address: SocketAddr, example: &Message) -> Message {
+/// Sends an example as it is, without the client, and returns the response.
+async fn exchange_raw(address: SocketAddr, example: &Message) -> Message {
     let socket = tokio::net::TcpStream::connect(address)
         .await
-        .expect("it listens");
+        .expect("connect");
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(socket)).await;
-    let (mut sender, driver) = handshake.expect("a connection");
-    tokio::spawn(driver);
+    let (mut sender, connection) = handshake.expect("a connection");
+    tokio::spawn(connection);
     let mut request = http::Request::builder()
         .method(example.method())
         .uri(example.path());
@@ -145,30 +152,31 @@
         .expect("a request");
     let answer = sender.send_request(request).await.expect("an answer");
     let (head, body) = answer.into_parts();
-    let body = body.collect().await.expect("a whole body").to_bytes();
-    Message::answer(&head, body)
+    let body = body.collect().await.expect("a complete body").to_bytes();
+    Message::from_response(&head, body)
 }
 
-/// What a recorder has seen.
-type Recorded = Arc<Mutex<Option<Message>>>;
+/// The request that a server has recorded.
+type RecordedRequest = Arc<Mutex<Option<Message>>>;
 
-/// A server that keeps one request and answers as an example does.
-async fn record(answer: Message) -> (SocketAddr, Recorded) {
+/// Starts a server that records one request and sends the response of an example.
+async fn serve_once(response: Message) -> (SocketAddr, RecordedRequest) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
-        .expect("a port");
+        .expect("bind a port");
     let address = listener.local_addr().expect("an address");
-    let recorded = Recorded::default();
+    let recorded = RecordedRequest::default();
     let kept = Arc::clone(&recorded);
     tokio::spawn(async move {
         let (socket, _) = listener.accept().await.expect("a connection");
         let service = service_fn(move |request: http::Request<hyper::body::Incoming>| {
-            let (kept, answer) = (Arc::clone(&kept), answer.clone());
+            let (kept, response) = (Arc::clone(&kept), response.clone());
             async move {
                 let (head, body) = request.into_parts();
                 let body = body.collect().await?.to_bytes();
-                *kept.lock().expect("no panic") = Some(Message::request(&head, body));
-                Ok::<_, hyper::Error>(answer.response().map(Full::new))
+                *kept.lock().expect("mutex is not poisoned") =
+                    Some(Message::from_request(&head, body));
+                Ok::<_, hyper::Error>(response.to_response().map(Full::new))
             }
         });
         let server = hyper::server::conn::http1::Builder::new();
@@ -177,8 +185,8 @@
     (address, recorded)
 }
 
-/// Asks as an example does; says whether the client reads the answer that the page shows.
-async fn ask(address: SocketAddr, exchange: &Exchange) -> bool {
+/// Sends an example with the client; returns whether it reads the documented response.
+async fn client_accepts(address: SocketAddr, exchange: &Exchange) -> bool {
     let http = Http::default();
     let request = &exchange.request;
     let path = request.path();
@@ -186,22 +194,22 @@
         "/v1/orders" => {
             let order: Order = serde_json::from_slice(&request.body).expect("an order");
             let gate = Box::new(|| true);
-            let outcome = http.order(address, &order, common::LONG, gate).await;
-            let reply = serde_json::from_slice(&exchange.answer.body).expect("a reply");
+            let outcome = http.order(address, &order, common::TIMEOUT, gate).await;
+            let reply = serde_json::from_slice(&exchange.response.body).expect("a reply");
             outcome == Outcome::Answered(reply)
         }
-        "/v1/kv" => kv(&http, address, exchange).await,
+        "/v1/kv" => transfer_kv(&http, address, exchange).await,
         _ if path.starts_with("/v1/requests/") => {
             let id = request.text("x-request-id").into();
             http.cancel(address, &id).await.is_ok()
         }
-        _ if path.starts_with("/lots/") => call(&http, address, exchange).await,
+        _ if path.starts_with("/lots/") => call_service(&http, address, exchange).await,
         _ => generate(&http, address, exchange).await,
     }
 }
 
-/// Moves a KV cache.
-async fn kv(http: &Http, address: SocketAddr, exchange: &Exchange) -> bool {
+/// Exports or imports a KV cache.
+async fn transfer_kv(http: &Http, address: SocketAddr, exchange: &Exchange) -> bool {
     let request = &exchange.request;
     let cache = Cache {
         request: request.text("x-request-id").into(),
@@ -209,7 +217,7 @@
         model: request.text("x-model").parse().expect("a model"),
         prefix: request.number("x-prefix").expect("a prefix"),
     };
-    let succeeds = exchange.answer.start.contains("200");
+    let succeeds = exchange.response.start.contains("200");
     if request.method() == Method::GET {
         return http.export(address, &cache).await.is_ok() == succeeds;
     }
@@ -217,8 +225,8 @@
     imported.is_ok() == succeeds
 }
 
-/// Asks a plain service.
-async fn call(http: &Http, address: SocketAddr, exchange: &Exchange) -> bool {
+/// Calls a plain service.
+async fn call_service(http: &Http, address: SocketAddr, exchange: &Exchange) -> bool {
     let request = &exchange.request;
     let mut headers = http::HeaderMap::new();
     let key = request.text("idempotency-key").parse().expect("a key");
@@ -233,10 +241,10 @@
         deadline: request.number("x-deadline-ms").map(Duration::from_millis),
     };
     let reply = http.call(address, call, Box::new(|| true)).await;
-    reply.expect("a reply").body == exchange.answer.body
+    reply.expect("a reply").body == exchange.response.body
 }
 
-/// Asks a model, and puts its parts together again.
+/// Requests a generation and compares the joined parts with the documented body.
 async fn generate(http: &Http, address: SocketAddr, exchange: &Exchange) -> bool {
     let request = &exchange.request;
     let generate = Generate {
@@ -246,17 +254,18 @@
         form: request.path().parse::<Form>().expect("a form"),
         body: request.body.clone(),
         stream: request.text("accept") == "text/event-stream",
-        priority: u32::try_from(request.number("x-priority").expect("it")).expect("small"),
+        priority: u32::try_from(request.number("x-priority").expect("a priority"))
+            .expect("priority fits in 32 bits"),
         resume_from: request.number("x-resume-from"),
         deadline: request.number("x-deadline-ms").map(Duration::from_millis),
     };
     let answer = http.generate(address, generate, Box::new(|| true)).await;
     let Ok(answer) = answer else {
-        return !exchange.answer.start.contains("200");
+        return !exchange.response.start.contains("200");
     };
     let parts = answer.parts.map(|part| match part.expect("a part") {
         Part::Event { bytes, .. } | Part::Done { bytes } => bytes,
     });
     let parts: Vec<Bytes> = parts.collect().await;
-    parts.concat() == exchange.answer.body
+    parts.concat() == exchange.response.body
 }
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -1,10 +1,12 @@
-//! An engine obeys orders, answers whole, and is asked over the real client.
+//! Orders and generation requests to a fake engine, sent with the real client.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{BODY, TOKENS, ask, engine, get, load, model, order, ready, send, until};
+use common::{
+    BODY, TOKENS, collect, engine, generate, load, load_model, model, order, send, wait_until,
+};
 use cornelhitch_standin::text;
 use cornelhitch_target::client::{Cache, Client};
 use cornelhitch_target::error::Error;
@@ -14,9 +16,9 @@
 use cornelhitch_types::target::Stage;
 
 #[tokio::test]
-async fn answers_are_whole_in_both_forms_and_when_resumed() {
+async fn responses_are_complete_plain_streamed_and_resumed() {
     let engine = engine(|builder| builder).await;
-    ready(&engine).await;
+    load_model(&engine).await;
     let whole = text::answer(&model(), BODY, TOKENS);
     let first = text::answer(&model(), BODY, 4);
     let rows = [
@@ -26,7 +28,7 @@
         ("resumed-at-the-end", true, Some(TOKENS), ""),
     ];
     for (id, stream, from, expected) in rows {
-        let got = get(engine.address(), ask(id, stream, from)).await;
+        let got = collect(engine.address(), generate(id, stream, from)).await;
         assert!(got.error.is_none(), "{id}: {:?}", got.error);
         assert_eq!(got.text, expected, "{id}");
     }
@@ -40,20 +42,20 @@
 }
 
 #[tokio::test]
-async fn http_2_carries_many_requests_on_one_connection() {
+async fn http_2_serves_concurrent_requests() {
     let engine = engine(|builder| builder).await;
-    ready(&engine).await;
+    load_model(&engine).await;
     let http = Http::builder().version(Version::Two).build();
     let asks = (0..20).map(|at| {
         let (http, address) = (http.clone(), engine.address());
         async move {
-            let generate = ask(&format!("r{at}"), false, None);
+            let generate = generate(&format!("r{at}"), false, None);
             let answer = http.generate(address, generate, Box::new(|| true)).await;
             let mut parts = answer.expect("an answer").parts;
             futures_util::StreamExt::next(&mut parts)
                 .await
                 .expect("a part")
-                .expect("whole")
+                .expect("a complete response")
         }
     });
     let answers = futures_util::future::join_all(asks).await;
@@ -62,8 +64,8 @@
 }
 
 #[tokio::test]
-async fn orders_are_fenced_only_where_the_engine_looks() {
-    // Whether it looks; the fence and replica of a second load; loads begun; the reply.
+async fn old_orders_are_refused_only_if_fencing_is_on() {
+    // Fencing; fencing token and replica of a second load order; loads started; reply.
     let rows = [
         (true, 5, 7, 1, Reply::Accepted),
         (true, 4, 8, 1, Reply::Fenced { seen: 5 }),
@@ -91,7 +93,7 @@
 }
 
 #[tokio::test]
-async fn memory_is_never_overcommitted_and_attempts_are_counted() {
+async fn a_load_that_exceeds_accelerator_memory_is_refused_and_counted() {
     let engine = engine(|builder| builder.memory(100_u64)).await;
     for (replica, bytes) in [(1, 60), (2, 50), (3, 40)] {
         send(engine.address(), &order(&engine, 1, replica, load(bytes))).await;
@@ -105,19 +107,19 @@
 }
 
 #[tokio::test]
-async fn a_gate_that_stays_shut_keeps_the_request_back() {
+async fn a_closed_gate_prevents_requests_and_orders_from_being_sent() {
     let engine = engine(|builder| builder).await;
-    ready(&engine).await;
+    load_model(&engine).await;
     let http = Http::default();
     let shut = Box::new(|| false);
     let answer = http
-        .generate(engine.address(), ask("r1", true, None), shut)
+        .generate(engine.address(), generate("r1", true, None), shut)
         .await;
     let error = answer.err().expect("no answer");
     assert!(matches!(error, Error::Withdrawn), "{error}");
     let held = order(&engine, 2, 2, load(1));
     let outcome = http
-        .order(engine.address(), &held, common::LONG, Box::new(|| false))
+        .order(engine.address(), &held, common::TIMEOUT, Box::new(|| false))
         .await;
     assert_eq!(outcome, Outcome::Unsent);
     assert!(engine.counters().runs.is_empty());
@@ -125,23 +127,25 @@
 }
 
 #[tokio::test]
-async fn where_nobody_listens_nothing_is_sent_and_the_gate_is_not_asked() {
+async fn a_failed_connect_sends_nothing_and_does_not_evaluate_the_gate() {
     let engine = engine(|builder| builder).await;
     let (address, load) = (engine.address(), order(&engine, 1, 1, load(1)));
     engine.stop().await;
-    let gate = Box::new(|| panic!("asked although there is no connection"));
+    let gate = Box::new(|| panic!("gate evaluated without a connection"));
     let http = Http::default();
-    let answer = http.generate(address, ask("r1", true, None), gate).await;
+    let answer = http
+        .generate(address, generate("r1", true, None), gate)
+        .await;
     assert_eq!(answer.err().map(|error| error.run()), Some(Run::NotRun));
     assert_eq!(send(address, &load).await, Outcome::Unsent);
 }
 
 #[tokio::test]
-async fn a_crash_empties_it_and_a_new_life_begins() {
+async fn a_crash_starts_a_new_incarnation_with_empty_accelerators() {
     let poison = Some("report".into());
     let engine = engine(|builder| builder.poison(poison)).await;
-    ready(&engine).await;
-    let got = get(engine.address(), ask("r1", true, None)).await;
+    load_model(&engine).await;
+    let got = collect(engine.address(), generate("r1", true, None)).await;
     assert_eq!(got.error.map(|error| error.run()), Some(Run::Unknown));
     engine.wait_for_restart(1).await;
     assert_eq!((engine.incarnation(), engine.used_bytes()), (2, 0));
@@ -150,40 +154,48 @@
 }
 
 #[tokio::test]
-async fn cancelling_frees_the_place_and_a_caller_that_leaves_does_too() {
+async fn cancelling_and_disconnecting_both_free_the_batch_slot() {
     let slow = Duration::from_secs(30);
     let engine = engine(|builder| builder.token(slow).batch(1_u32)).await;
-    ready(&engine).await;
+    load_model(&engine).await;
     let http = Http::default();
     let answer = http
-        .generate(engine.address(), ask("r1", true, None), Box::new(|| true))
+        .generate(
+            engine.address(),
+            generate("r1", true, None),
+            Box::new(|| true),
+        )
         .await;
     http.cancel(engine.address(), &"r1".into())
         .await
-        .expect("it is cancelled");
-    until(|| engine.counters().cancelled == 1).await;
+        .expect("request is cancelled");
+    wait_until(|| engine.counters().cancelled == 1).await;
     drop(answer);
     let answer = http
-        .generate(engine.address(), ask("r2", true, None), Box::new(|| true))
+        .generate(
+            engine.address(),
+            generate("r2", true, None),
+            Box::new(|| true),
+        )
         .await;
     drop(answer);
     http.cancel(engine.address(), &"r2".into())
         .await
-        .expect("unknown is as good");
-    until(|| engine.counters().cancelled == 2).await;
+        .expect("cancelling an unknown request succeeds");
+    wait_until(|| engine.counters().cancelled == 2).await;
     engine.stop().await;
 }
 
 #[tokio::test]
-async fn adapters_warm_ups_and_kv_caches_work() {
+async fn adapters_are_loaded_and_kv_caches_are_transferred() {
     let engine = engine(|builder| builder.stage("preview", Stage::Disk)).await;
-    ready(&engine).await;
+    load_model(&engine).await;
     let with_adapter = || "report+dealer-17".parse().expect("a reference");
     let adapter = Action::Adapter {
         model: with_adapter(),
     };
     send(engine.address(), &order(&engine, 1, 1, adapter)).await;
-    until(|| {
+    wait_until(|| {
         engine
             .inventory()
             .iter()
@@ -192,9 +204,9 @@
     .await;
     let generate = cornelhitch_target::client::Generate {
         model: with_adapter(),
-        ..ask("r1", true, None)
+        ..generate("r1", true, None)
     };
-    let got = get(engine.address(), generate).await;
+    let got = collect(engine.address(), generate).await;
     assert_eq!(got.text, text::answer(&with_adapter(), BODY, TOKENS));
 
     let other = common::engine(|builder| builder).await;
@@ -208,32 +220,35 @@
     let kv = http
         .export(engine.address(), &cache)
         .await
-        .expect("it is held");
+        .expect("prefix is cached");
     assert!(http.export(other.address(), &cache).await.is_err());
     http.import(other.address(), &cache, kv)
         .await
-        .expect("it is taken");
+        .expect("KV cache is accepted");
     assert!(http.export(other.address(), &cache).await.is_ok());
     engine.stop().await;
     other.stop().await;
 }
 
 #[tokio::test]
-async fn a_connection_that_the_engine_closed_is_not_used_again() {
+async fn a_connection_closed_by_a_crash_is_not_reused() {
     for version in [Version::One, Version::Two] {
         let engine = engine(|builder| builder).await;
         let http = Http::builder().version(version).build();
-        for life in 1..4 {
-            ready(&engine).await;
-            let id = format!("r{life}");
+        for incarnation in 1..4 {
+            load_model(&engine).await;
+            let id = format!("r{incarnation}");
             let gate = Box::new(|| true);
-            let generate = ask(&id, false, None);
+            let generate = generate(&id, false, None);
             let answer = http.generate(engine.address(), generate, gate).await;
             let mut parts = answer.expect("an answer").parts;
             let part = futures_util::StreamExt::next(&mut parts).await;
-            assert!(matches!(part, Some(Ok(_))), "{version:?} {life}: {part:?}");
+            assert!(
+                matches!(part, Some(Ok(_))),
+                "{version:?} {incarnation}: {part:?}"
+            );
             engine.crash();
-            engine.wait_for_restart(life).await;
+            engine.wait_for_restart(incarnation).await;
         }
         engine.stop().await;
     }
--- a/crates/standin/tests/fault.rs
+++ b/crates/standin/tests/fault.rs
@@ -1,90 +1,92 @@
-//! Each fault of an engine is seen by the client as what it is.
+//! The client detects each fault of an engine and reports whether the request or order ran.
 
 mod common;
 
-use common::{BODY, TOKENS, ask, engine, get, load, model, order, ready, send, until};
+use common::{
+    BODY, TOKENS, collect, engine, generate, load, load_model, model, order, send, wait_until,
+};
 use cornelhitch_standin::fault::Fault;
 use cornelhitch_standin::text;
 use cornelhitch_types::order::{Outcome, Reply};
 use cornelhitch_types::refusal::Run;
 
-/// What the client says to a fault of a stream.
-struct Row {
-    /// The fault.
+/// A fault of a generation request and the client error it must cause.
+struct StreamFault {
+    /// The fault that is injected.
     fault: Fault,
-    /// Whether it ran, by the error.
+    /// What the error says about the request having run.
     run: Run,
-    /// Tokens sent before the error; a break may take the last of them along.
+    /// Tokens sent before the error; an aborted connection may lose the last of them.
     tokens: u64,
-    /// What the error says.
-    says: &'static str,
+    /// Text that the error contains.
+    error_text: &'static str,
 }
 
-/// All faults of streams.
-const ROWS: [Row; 6] = [
-    row(
+/// The faults, except a stall, that a streamed request can meet.
+const STREAM_FAULTS: [StreamFault; 6] = [
+    case(
         Fault::CrossedHead,
         Run::Unknown,
         0,
         "is to another-request, not to r1",
     ),
-    row(
+    case(
         Fault::CrossedEvent,
         Run::Unknown,
         1,
         "is to another-request, not to r1",
     ),
-    row(Fault::NoTerminator, Run::Unknown, 2, "no terminator"),
-    row(Fault::Gap, Run::Unknown, 2, "starts at token 3"),
-    row(Fault::Break, Run::Unknown, 2, "broke"),
-    row(Fault::Refuse, Run::NotRun, 0, "503"),
+    case(Fault::NoTerminator, Run::Unknown, 2, "no terminator"),
+    case(Fault::Gap, Run::Unknown, 2, "starts at token 3"),
+    case(Fault::Break, Run::Unknown, 2, "broke"),
+    case(Fault::Refuse, Run::NotRun, 0, "503"),
 ];
 
-/// One row.
-const fn row(fault: Fault, run: Run, tokens: u64, says: &'static str) -> Row {
-    Row {
+/// Shortens the table above.
+const fn case(fault: Fault, run: Run, tokens: u64, error_text: &'static str) -> StreamFault {
+    StreamFault {
         fault,
         run,
         tokens,
-        says,
+        error_text,
     }
 }
 
 #[tokio::test]
-async fn no_fault_of_a_stream_passes_as_a_whole_answer() {
+async fn a_faulty_stream_is_never_taken_for_a_complete_response() {
     let engine = engine(|builder| builder).await;
-    ready(&engine).await;
-    for row in ROWS {
-        engine.fault(row.fault);
-        let got = get(engine.address(), ask("r1", true, None)).await;
+    load_model(&engine).await;
+    for case in STREAM_FAULTS {
+        engine.fault(case.fault);
+        let got = collect(engine.address(), generate("r1", true, None)).await;
         let error = got
             .error
-            .unwrap_or_else(|| panic!("{}: no error", row.fault));
+            .unwrap_or_else(|| panic!("{}: no error", case.fault));
         let text = error.to_string();
-        assert!(text.contains(row.says), "{}: {text}", row.fault);
-        assert_eq!(error.run(), row.run, "{}", row.fault);
-        let sent = text::answer(&model(), BODY, row.tokens);
-        if row.fault == Fault::Break {
+        assert!(text.contains(case.error_text), "{}: {text}", case.fault);
+        assert_eq!(error.run(), case.run, "{}", case.fault);
+        let sent = text::answer(&model(), BODY, case.tokens);
+        if case.fault == Fault::Break {
             assert!(sent.starts_with(&got.text), "{}", got.text);
         } else {
-            assert_eq!(got.text, sent, "{}", row.fault);
+            assert_eq!(got.text, sent, "{}", case.fault);
         }
 
-        let whole = get(engine.address(), ask("r2", true, None)).await;
+        let whole = collect(engine.address(), generate("r2", true, None)).await;
         assert_eq!(
             whole.text,
             text::answer(&model(), BODY, TOKENS),
             "after {}",
-            row.fault
+            case.fault
         );
     }
     engine.stop().await;
 }
 
 #[tokio::test]
-async fn a_stalled_stream_ends_after_the_silence_that_is_allowed() {
+async fn a_stalled_stream_fails_after_the_silence_timeout() {
     let engine = engine(|builder| builder).await;
-    ready(&engine).await;
+    load_model(&engine).await;
     engine.fault(Fault::Stall);
     let silence = std::time::Duration::from_secs(2);
     let http = cornelhitch_target::http::Http::builder()
@@ -93,18 +95,18 @@
     let client: &dyn cornelhitch_target::client::Client = &http;
     let gate = Box::new(|| true);
     let answer = client
-        .generate(engine.address(), ask("r1", true, None), gate)
+        .generate(engine.address(), generate("r1", true, None), gate)
         .await;
-    let parts = answer.expect("a head").parts;
+    let parts = answer.expect("response headers").parts;
     let parts: Vec<_> = futures_util::StreamExt::collect(parts).await;
     assert_eq!(parts.len(), 3);
     assert!(matches!(&parts[2], Err(error) if error.to_string().contains("no byte")));
-    until(|| engine.counters().cancelled == 1).await;
+    wait_until(|| engine.counters().cancelled == 1).await;
     engine.stop().await;
 }
 
 #[tokio::test]
-async fn a_lost_answer_to_an_order_is_unknown_whether_it_was_obeyed_or_not() {
+async fn a_lost_order_and_a_lost_reply_are_both_reported_as_unknown() {
     for (fault, loads) in [(Fault::LostReply, 1), (Fault::LostOrder, 0)] {
         let engine = engine(|builder| builder).await;
         engine.fault(fault);
@@ -123,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn a_death_in_mid_load_leaves_nothing_behind() {
+async fn a_crash_during_a_load_leaves_no_memory_in_use() {
     let engine = engine(|builder| builder).await;
     engine.fault(Fault::DieInLoad);
     send(engine.address(), &order(&engine, 1, 1, load(1 << 20))).await;
--- a/crates/standin/tests/page/mod.rs
+++ b/crates/standin/tests/interface_page/mod.rs
@@ -1,42 +1,42 @@
-//! Reads the examples of the page on interfaces.
+//! Parses the HTTP examples of the interface page.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Response, StatusCode};
 
-/// Headers that depend on the connection, and are not on the page.
-const HIDDEN: [&str; 4] = ["content-length", "date", "host", "transfer-encoding"];
+/// Headers that depend on the connection and are not documented.
+const CONNECTION_HEADERS: [&str; 4] = ["content-length", "date", "host", "transfer-encoding"];
 
-/// An example: what is asked, and what is answered.
+/// A documented request and its response.
 #[derive(Debug, Clone)]
 pub struct Exchange {
-    /// The heading above it.
+    /// The heading above the example.
     pub name: String,
-    /// The request.
+    /// The documented request.
     pub request: Message,
-    /// The answer.
-    pub answer: Message,
+    /// The documented response.
+    pub response: Message,
 }
 
-/// A request or an answer.
+/// An HTTP request or response.
 #[derive(Debug, Clone)]
 pub struct Message {
-    /// The first line.
+    /// The request line, or HTTP version and status.
     pub start: String,
-    /// The headers.
+    /// All headers, undocumented ones included.
     pub headers: HeaderMap,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// All examples of a page, in its order.
+/// Returns all examples of a page in document order.
 pub fn exchanges(page: &str) -> Vec<Exchange> {
-    let mut found = Vec::new();
+    let mut exchanges = Vec::new();
     let mut name = String::new();
     let mut request = None;
     let mut lines = page.lines();
     while let Some(line) = lines.next() {
         if let Some(heading) = line.strip_prefix("#### ") {
-            assert!(request.is_none(), "{name}: no answer");
+            assert!(request.is_none(), "{name}: request without a response");
             heading.clone_into(&mut name);
         }
         if line != "```http" {
@@ -46,21 +46,21 @@
         let message = Message::read(&block);
         match request.take() {
             None => request = Some(message),
-            Some(request) => found.push(Exchange {
+            Some(request) => exchanges.push(Exchange {
                 name: name.clone(),
                 request,
-                answer: message,
+                response: message,
             }),
         }
     }
-    assert!(request.is_none(), "{name}: no answer");
-    found
+    assert!(request.is_none(), "{name}: request without a response");
+    exchanges
 }
 
 impl Message {
-    /// Reads the lines of an example; a stream's body ends with an empty line.
+    /// Parses the lines of an example; the body of an event stream ends with an empty line.
     fn read(block: &[&str]) -> Self {
-        let (start, rest) = block.split_first().expect("a first line");
+        let (start, rest) = block.split_first().expect("example has a first line");
         let empty = rest.iter().position(|line| line.is_empty());
         let (head, body) = rest.split_at(empty.unwrap_or(rest.len()));
         let mut headers = HeaderMap::new();
@@ -80,8 +80,8 @@
         }
     }
 
-    /// A request that was recorded.
-    pub fn request(head: &http::request::Parts, body: Bytes) -> Self {
+    /// Converts a recorded request.
+    pub fn from_request(head: &http::request::Parts, body: Bytes) -> Self {
         Self {
             start: format!("{} {} HTTP/1.1", head.method, head.uri),
             headers: head.headers.clone(),
@@ -89,8 +89,8 @@
         }
     }
 
-    /// An answer that was given.
-    pub fn answer(head: &http::response::Parts, body: Bytes) -> Self {
+    /// Converts a received response.
+    pub fn from_response(head: &http::response::Parts, body: Bytes) -> Self {
         Self {
             start: format!("HTTP/1.1 {}", head.status.as_u16()),
             headers: head.headers.clone(),
@@ -98,8 +98,8 @@
         }
     }
 
-    /// The response that this example shows.
-    pub fn response(&self) -> Response<Bytes> {
+    /// Returns the response that this example shows.
+    pub fn to_response(&self) -> Response<Bytes> {
         let status = self.start.split(' ').nth(1).expect("a status");
         let status: StatusCode = status.parse().expect("a status");
         let mut response = Response::new(self.body.clone());
@@ -108,45 +108,52 @@
         response
     }
 
-    /// The method of a request.
+    /// Returns the method of a request.
     pub fn method(&self) -> Method {
         let method = self.start.split(' ').next().expect("a method");
         method.parse().expect("a method")
     }
 
-    /// The path of a request.
+    /// Returns the path and query of a request.
     pub fn path(&self) -> &str {
         self.start.split(' ').nth(1).expect("a path")
     }
 
-    /// A header's text.
+    /// Returns a header's value; panics if it is missing.
     pub fn text(&self, name: &str) -> &str {
-        let value = self.headers.get(name).unwrap_or_else(|| panic!("{name}"));
+        let value = self
+            .headers
+            .get(name)
+            .unwrap_or_else(|| panic!("header {name} is missing"));
         value.to_str().expect("text")
     }
 
-    /// A header's number, if it is there.
+    /// Returns a header's value as a number; `None` if it is missing.
     pub fn number(&self, name: &str) -> Option<u64> {
         let value = self.headers.get(name)?.to_str().expect("text");
         Some(value.parse().expect("a number"))
     }
 
-    /// Checks that another message says the same as this example.
-    pub fn same(&self, name: &str, other: &Self) {
+    /// Asserts that a message equals this example; JSON bodies are compared as values.
+    pub fn assert_matches(&self, name: &str, other: &Self) {
         assert_eq!(self.start, other.start, "{name}: {:?}", other.body);
-        assert_eq!(self.shown(), other.shown(), "{name}");
+        assert_eq!(
+            self.documented_headers(),
+            other.documented_headers(),
+            "{name}"
+        );
         let json = |bytes: &[u8]| serde_json::from_slice::<serde_json::Value>(bytes);
         match (json(&self.body), json(&other.body)) {
-            (Ok(own), Ok(other)) => assert_eq!(own, other, "{name}"),
+            (Ok(expected), Ok(other)) => assert_eq!(expected, other, "{name}"),
             _ if self.body.is_empty() => (),
             _ => assert_eq!(self.body, other.body, "{name}"),
         }
     }
 
-    /// The headers that stand on the page.
-    fn shown(&self) -> HeaderMap {
+    /// Returns the headers without those of the connection.
+    fn documented_headers(&self) -> HeaderMap {
         let mut headers = self.headers.clone();
-        for name in HIDDEN {
+        for name in CONNECTION_HEADERS {
             headers.remove(name);
         }
         headers
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -1,4 +1,4 @@
-//! A plain service counts runs, and its failures are told for what they are.
+//! A fake plain service counts runs, and the client reports whether a failed request ran.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use http::{HeaderMap, HeaderValue, Method};
 use tokio_util::sync::CancellationToken;
 
-/// A bid with a key.
-fn bid(key: &'static str) -> Call {
+/// Returns a request with an idempotency key.
+fn bid_with_key(key: &'static str) -> Call {
     let mut headers = HeaderMap::new();
     headers.insert("idempotency-key", HeaderValue::from_static(key));
     Call {
@@ -20,13 +20,13 @@
         headers,
         body: "{}".into(),
         repeatable: false,
-        deadline: Some(common::LONG),
+        deadline: Some(common::TIMEOUT),
     }
 }
 
 #[tokio::test]
-async fn each_failure_leaves_the_runs_and_the_word_that_fit() {
-    // The failure, the runs that are counted, and whether it ran by the client's word.
+async fn the_client_reports_for_each_failure_whether_the_request_ran() {
+    // Failure; runs counted; what the client's error says about the run.
     let rows = [
         (None, 1, None),
         (Some(Failure::Fail), 1, None),
@@ -40,13 +40,13 @@
         let service = service
             .start(CancellationToken::new())
             .await
-            .expect("a port");
+            .expect("bind a port");
         if let Some(failure) = failure {
             service.fail(failure);
         }
         let gate = Box::new(|| true);
         let reply = Http::default()
-            .call(service.address(), bid("k1"), gate)
+            .call(service.address(), bid_with_key("k1"), gate)
             .await;
         assert_eq!(reply.err().map(|error| error.run()), run, "{failure:?}");
         let counted = service.runs().get("k1").copied().unwrap_or(0);
@@ -56,16 +56,16 @@
 }
 
 #[tokio::test]
-async fn a_key_that_comes_twice_is_counted_twice() {
+async fn two_requests_with_one_key_count_as_two_runs() {
     let service = Service::builder().runs("bids");
     let service = service
         .start(CancellationToken::new())
         .await
-        .expect("a port");
+        .expect("bind a port");
     let http = Http::default();
     for run in 1..=2 {
         let reply = http
-            .call(service.address(), bid("k1"), Box::new(|| true))
+            .call(service.address(), bid_with_key("k1"), Box::new(|| true))
             .await;
         let body = reply.expect("a reply").body;
         let body: serde_json::Value = serde_json::from_slice(&body).expect("JSON");
