--- a/crates/standin/examples/targets.rs
+++ b/crates/standin/examples/targets.rs
@@ -1,7 +1,7 @@
-//! Stand-in workers and a plain service, for trying a daemon by hand.
+//! Runs fake workers and a fake plain service, for trying a daemon by hand.
 //!
 //! `cargo run --release -p cornelhitch-standin --example targets -- --entry 127.0.0.1:8080`
-//! runs until it is interrupted.
+//! runs until it is interrupted; the workers then drain and leave.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -13,33 +13,33 @@
 use getopts::{Matches, Options};
 use tokio_util::sync::CancellationToken;
 
-/// Workers where none are asked for.
-const WORKERS: usize = 4;
+/// Default number of workers.
+const DEFAULT_WORKERS: usize = 4;
 
-/// Accelerator memory of a worker where none is asked for, in gibibytes.
-const MEMORY_GIB: u64 = 80;
+/// Default accelerator memory of a worker.
+const DEFAULT_MEMORY_GIB: u64 = 80;
 
-/// How long a leaving worker still takes requests.
-const NOTICE: Duration = Duration::from_secs(5);
+/// How long a leaving worker still accepts requests.
+const LEAVE_NOTICE: Duration = Duration::from_secs(5);
 
-/// The exit code for a wrong command line.
-const USAGE: u8 = 2;
+/// Exit code for a wrong command line and for targets that fail to start.
+const EXIT_USAGE: u8 = 2;
 
-/// What the command line asks for.
-struct Wanted {
-    /// Entry hosts.
+/// Parsed command line.
+struct Config {
+    /// Entry hosts to announce to.
     entries: Vec<SocketAddr>,
-    /// How many workers.
+    /// Number of workers.
     workers: usize,
-    /// Accelerator memory of each, in bytes.
+    /// Accelerator memory of each worker, in bytes.
     memory: u64,
-    /// The region.
+    /// Region of all targets.
     region: String,
-    /// The availability zone.
+    /// Availability zone of all targets.
     zone: String,
-    /// The plain service.
+    /// Name of the plain service, if one is to run.
     service: Option<String>,
-    /// Text in a body that crashes a worker.
+    /// Text in a request body that crashes a worker.
     poison: Option<String>,
 }
 
@@ -47,7 +47,7 @@
     let options = options();
     let matches = match options.parse(std::env::args().skip(1)) {
         Ok(matches) => matches,
-        Err(error) => return fail(&error.to_string()),
+        Err(error) => return report_error(&error.to_string()),
     };
     if matches.opt_present("help") {
         println!(
@@ -56,21 +56,21 @@
         );
         return ExitCode::SUCCESS;
     }
-    let wanted = match wanted(&matches) {
-        Ok(wanted) => wanted,
-        Err(error) => return fail(&error),
+    let config = match parse_config(&matches) {
+        Ok(config) => config,
+        Err(error) => return report_error(&error),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
-    let run = runtime.and_then(|runtime| runtime.block_on(run(wanted)));
+    let run = runtime.and_then(|runtime| runtime.block_on(run(config)));
     match run {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(&error.to_string()),
+        Err(error) => report_error(&error.to_string()),
     }
 }
 
-/// The options of the command line.
+/// Defines the command line options.
 fn options() -> Options {
     let mut options = Options::new();
     options.optmulti(
@@ -104,19 +104,22 @@
     options
 }
 
-/// What the command line asks for, or what is wrong with it.
-fn wanted(matches: &Matches) -> Result<Wanted, String> {
+/// Parses the command line; the error says which option is wrong.
+fn parse_config(matches: &Matches) -> Result<Config, String> {
     let entries = matches.opt_strs("entry");
     let entries = entries.iter().map(|text| {
         let address = text.parse();
         address.map_err(|_| format!("--entry {text}: not an IP address with a port"))
     });
-    let gib: u64 = number(matches, "memory", MEMORY_GIB)?;
-    let memory = gib.checked_mul(1 << 30).ok_or("--memory: too much")?;
-    let text = |name: &str, usual: &str| matches.opt_str(name).unwrap_or_else(|| usual.to_owned());
-    Ok(Wanted {
+    let gib: u64 = parse_number(matches, "memory", DEFAULT_MEMORY_GIB)?;
+    let memory = gib
+        .checked_mul(1 << 30)
+        .ok_or("--memory: size in bytes does not fit into 64 bits")?;
+    let text =
+        |name: &str, default: &str| matches.opt_str(name).unwrap_or_else(|| default.to_owned());
+    Ok(Config {
         entries: entries.collect::<Result<_, _>>()?,
-        workers: number(matches, "workers", WORKERS)?,
+        workers: parse_number(matches, "workers", DEFAULT_WORKERS)?,
         memory,
         region: text("region", "perth-a"),
         zone: text("zone", "perth-a-1"),
@@ -125,62 +128,66 @@
     })
 }
 
-/// The number of an option.
-fn number<T: std::str::FromStr>(matches: &Matches, name: &str, usual: T) -> Result<T, String> {
+/// Parses an option as a number, or returns the default if it is not given.
+fn parse_number<T: std::str::FromStr>(
+    matches: &Matches,
+    name: &str,
+    default: T,
+) -> Result<T, String> {
     let text = matches.opt_str(name);
-    text.map_or(Ok(usual), |text| {
-        let number = text.parse();
-        number.map_err(|_| format!("--{name} {text}: not a whole number"))
+    text.map_or(Ok(default), |text| {
+        let parsed = text.parse();
+        parsed.map_err(|_| format!("--{name} {text}: not a whole number"))
     })
 }
 
-/// Runs the targets until an interrupt; then the workers leave.
-async fn run(wanted: Wanted) -> std::io::Result<()> {
+/// Runs the targets until interrupted; then the workers leave.
+async fn run(config: Config) -> std::io::Result<()> {
     let store = Store::builder().build();
     let mut workers = Vec::new();
-    for at in 1..=wanted.workers {
-        let name = format!("{}-worker-{at}", wanted.zone);
+    for index in 1..=config.workers {
+        let name = format!("{}-worker-{index}", config.zone);
         let builder = Engine::builder()
             .name(name.as_str())
-            .incarnation(life())
-            .region(wanted.region.as_str())
-            .zone(wanted.zone.as_str())
-            .memory(wanted.memory)
+            .incarnation(clock_incarnation())
+            .region(config.region.as_str())
+            .zone(config.zone.as_str())
+            .memory(config.memory)
             .store(store.clone())
-            .poison(wanted.poison.clone().map(Into::into))
-            .entries(wanted.entries.clone());
+            .poison(config.poison.clone().map(Into::into))
+            .entries(config.entries.clone());
         let worker = builder.start(CancellationToken::new()).await;
         let worker = worker.map_err(std::io::Error::other)?;
         println!("{name} listens on {}", worker.address());
         workers.push(worker);
     }
-    if let Some(name) = wanted.service {
+    if let Some(name) = config.service {
         let service = Service::builder()
             .name(format!("{name}-1"))
             .runs(name.as_str());
         let service = service
-            .region(wanted.region)
-            .zone(wanted.zone)
-            .incarnation(life());
-        let service = service.entries(wanted.entries);
+            .region(config.region)
+            .zone(config.zone)
+            .incarnation(clock_incarnation());
+        let service = service.entries(config.entries);
         let service = service.start(CancellationToken::new()).await?;
         println!("{name}-1 listens on {}", service.address());
     }
     tokio::signal::ctrl_c().await?;
     println!("leaving");
-    let leaving = workers.iter().map(|worker| worker.leave(NOTICE));
+    let leaving = workers.iter().map(|worker| worker.leave(LEAVE_NOTICE));
     futures_util::future::join_all(leaving).await;
     Ok(())
 }
 
-/// A number for this life that is larger than that of an earlier run: the time in seconds.
-fn life() -> u64 {
-    let since = std::time::UNIX_EPOCH.elapsed();
-    since.map_or(1, |since| since.as_secs())
+/// Returns an incarnation larger than that of an earlier run: the Unix time in seconds.
+fn clock_incarnation() -> u64 {
+    let elapsed = std::time::UNIX_EPOCH.elapsed();
+    elapsed.map_or(1, |elapsed| elapsed.as_secs())
 }
 
-/// Tells an error.
-fn fail(error: &str) -> ExitCode {
+/// Prints an error and returns the exit code.
+fn report_error(error: &str) -> ExitCode {
     eprintln!("targets: {error}");
-    ExitCode::from(USAGE)
+    ExitCode::from(EXIT_USAGE)
 }
