--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -103,7 +103,7 @@
         let seed = settings.seed ^ incarnation;
         let state = State {
             memory,
-            prefixes: PrefixCache::new(settings.prefixes, settings.lost_events_percent, seed),
+            prefixes: PrefixCache::new(settings.max_prefixes, settings.lost_events_percent, seed),
             fence: 0,
             role: Role::Mixed,
             leaving: None,
--- a/crates/standin/src/routes.rs
+++ b/crates/standin/src/routes.rs
@@ -67,7 +67,7 @@
     chat: bool,
     bytes: Bytes,
 ) -> Response<Body> {
-    let tokens = process.shared.settings.tokens;
+    let tokens = process.shared.settings.default_tokens;
     match GenerationRequest::parse(headers, chat, bytes, tokens) {
         Ok(request) => generation::generate(process, request).await,
         Err(detail) => malformed(&detail),
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -49,9 +49,9 @@
     /// Time to process a prompt whose prefix is not cached.
     pub prefill: Duration,
     /// Number of tokens to generate if the request sets none.
-    pub tokens: u64,
+    pub default_tokens: u64,
     /// Maximum number of cached prompt prefixes.
-    pub prefixes: usize,
+    pub max_prefixes: usize,
     /// Percentage of cache events that are lost.
     pub lost_events_percent: u8,
     /// Age of the load that heartbeats report.
@@ -88,8 +88,8 @@
             token: Duration::from_millis(2),
             rate: 5_000.0,
             prefill: Duration::from_millis(5),
-            tokens: 16,
-            prefixes: 128,
+            default_tokens: 16,
+            max_prefixes: 128,
             lost_events_percent: 10,
             load_delay: Duration::from_millis(500),
             heartbeat: Duration::from_secs(1),
@@ -141,8 +141,8 @@
     token: Duration, "Sets the time between two tokens of a request while the batch is small.";
     rate: f64, "Sets the throughput limit over all requests, in tokens per second.";
     prefill: Duration, "Sets the time to process a prompt whose prefix is not cached.";
-    tokens: u64, "Sets the number of tokens to generate if the request sets none.";
-    prefixes: usize, "Sets the maximum number of cached prompt prefixes.";
+    default_tokens: u64, "Sets the number of tokens to generate if the request sets none.";
+    max_prefixes: usize, "Sets the maximum number of cached prompt prefixes.";
     lost_events_percent: u8, "Sets the percentage of cache events that are lost.";
     load_delay: Duration, "Sets the age of the load that heartbeats report.";
     heartbeat: Duration, "Sets the time between two heartbeats.";
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -15,25 +15,25 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Builder {
     /// Limit on load starts, per second.
-    starts: f64,
+    starts_per_second: f64,
     /// Number of concurrent loads at full speed; more of them share that bandwidth.
     concurrency: u32,
     /// Load time per gibibyte at full speed.
-    gib: Duration,
-    /// Load time of an adapter while at most `adapters` are in flight.
-    adapter: Duration,
+    time_per_gib: Duration,
+    /// Load time of an adapter while at most `adapter_concurrency` are in flight.
+    adapter_time: Duration,
     /// Number of adapters in flight at full speed.
-    adapters: u32,
+    adapter_concurrency: u32,
 }
 
 impl Default for Builder {
     fn default() -> Self {
         Self {
-            starts: 2.0,
+            starts_per_second: 2.0,
             concurrency: 4,
-            gib: Duration::from_secs(1),
-            adapter: Duration::from_millis(4),
-            adapters: 30,
+            time_per_gib: Duration::from_secs(1),
+            adapter_time: Duration::from_millis(4),
+            adapter_concurrency: 30,
         }
     }
 }
@@ -42,7 +42,7 @@
     /// Sets the limit on load starts, per second; starts above it are delayed.
     #[must_use]
     pub fn starts(mut self, starts: f64) -> Self {
-        self.starts = starts;
+        self.starts_per_second = starts;
         self
     }
 
@@ -56,21 +56,21 @@
     /// Sets the load time per gibibyte at full speed.
     #[must_use]
     pub fn gib(mut self, gib: Duration) -> Self {
-        self.gib = gib;
+        self.time_per_gib = gib;
         self
     }
 
     /// Sets the load time of an adapter at full speed.
     #[must_use]
-    pub fn adapter(mut self, adapter: Duration) -> Self {
-        self.adapter = adapter;
+    pub fn adapter_time(mut self, adapter_time: Duration) -> Self {
+        self.adapter_time = adapter_time;
         self
     }
 
     /// Sets the number of adapters in flight at full speed; with more of them each is slower.
     #[must_use]
-    pub fn adapters(mut self, adapters: u32) -> Self {
-        self.adapters = adapters;
+    pub fn adapter_concurrency(mut self, adapter_concurrency: u32) -> Self {
+        self.adapter_concurrency = adapter_concurrency;
         self
     }
 
@@ -165,7 +165,7 @@
     pub async fn load(&self, bytes: u64) {
         sleep_until(self.reserve_start()).await;
         let _guard = LoadGuard::begin(self);
-        let mut remaining = self.settings.gib.as_secs_f64() * gibibytes(bytes);
+        let mut remaining = self.settings.time_per_gib.as_secs_f64() * gibibytes(bytes);
         while remaining > 0.0 {
             let step = PROGRESS_INTERVAL
                 .as_secs_f64()
@@ -178,14 +178,20 @@
     /// Loads an adapter, in proportion slower when more than the full-speed number are in flight.
     pub async fn load_adapter(&self) {
         let guard = AdapterLoadGuard::begin(self);
-        let overload = f64::from(guard.in_flight) / f64::from(self.settings.adapters.max(1));
+        let overload =
+            f64::from(guard.in_flight) / f64::from(self.settings.adapter_concurrency.max(1));
         let slowness = self.state().slowness;
-        sleep(self.settings.adapter.mul_f64(overload.max(1.0) * slowness)).await;
+        sleep(
+            self.settings
+                .adapter_time
+                .mul_f64(overload.max(1.0) * slowness),
+        )
+        .await;
     }
 
     /// Reserves the start of a load; the next reservation is at least one interval later.
     fn reserve_start(&self) -> Instant {
-        let interval = Duration::from_secs_f64(1.0 / self.settings.starts.max(0.001));
+        let interval = Duration::from_secs_f64(1.0 / self.settings.starts_per_second.max(0.001));
         let mut state = self.state();
         let now = Instant::now();
         let start = state.next_start.map_or(now, |next| next.max(now));
--- a/crates/standin/tests/store.rs
+++ b/crates/standin/tests/store.rs
@@ -47,7 +47,9 @@
 #[tokio::test(start_paused = true)]
 async fn adapter_loads_slow_down_above_the_concurrency_limit() {
     for (count, millis) in [(1, 4), (30, 4), (60, 8), (300, 40)] {
-        let store = Store::builder().adapter(Duration::from_millis(4)).build();
+        let store = Store::builder()
+            .adapter_time(Duration::from_millis(4))
+            .build();
         let started = Instant::now();
         join_all((0..count).map(|_| store.load_adapter())).await;
         assert_eq!(started.elapsed().as_millis(), millis, "{count}");
