--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -244,7 +244,7 @@
 
 /// Announces a process and serves its connections until the process ends.
 async fn serve(process: &Process, listener: TcpListener) {
-    let interval = process.shared.settings.heartbeat;
+    let interval = process.shared.settings.heartbeat_interval;
     let announcer = Announcer::new(
         Box::new(process.clone()),
         interval,
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -60,7 +60,7 @@
     /// Run time of a request.
     delay: Duration,
     /// Time between two heartbeats.
-    heartbeat: Duration,
+    heartbeat_interval: Duration,
     /// Entry hosts to report to.
     entries: Vec<SocketAddr>,
 }
@@ -111,8 +111,8 @@
     }
 
     /// Sets the time between two heartbeats; one second by default.
-    pub fn heartbeat(mut self, heartbeat: Duration) -> Self {
-        self.settings.heartbeat = heartbeat;
+    pub fn heartbeat_interval(mut self, heartbeat_interval: Duration) -> Self {
+        self.settings.heartbeat_interval = heartbeat_interval;
         self
     }
 
@@ -218,7 +218,7 @@
                 zone: "perth-a-1".into(),
                 incarnation: 1,
                 delay: Duration::ZERO,
-                heartbeat: Duration::from_secs(1),
+                heartbeat_interval: Duration::from_secs(1),
                 entries: Vec::new(),
             },
         }
@@ -261,7 +261,7 @@
     /// Spawns the tasks that report the service and accept its connections.
     fn serve(self, listener: TcpListener) {
         let heartbeat_now = Arc::clone(&self.inner.heartbeat_now);
-        let interval = self.inner.settings.heartbeat;
+        let interval = self.inner.settings.heartbeat_interval;
         self.spawn(Announcer::new(Box::new(self.clone()), interval, heartbeat_now).run());
         self.clone().spawn(async move {
             loop {
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -57,7 +57,7 @@
     /// Age of the load that heartbeats report.
     pub load_delay: Duration,
     /// Time between two heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Entry hosts that the engine reports to.
     pub entries: Vec<SocketAddr>,
     /// Text in a request body that crashes the engine.
@@ -92,7 +92,7 @@
             max_prefixes: 128,
             lost_events_percent: 10,
             load_delay: Duration::from_millis(500),
-            heartbeat: Duration::from_secs(1),
+            heartbeat_interval: Duration::from_secs(1),
             entries: Vec::new(),
             poison: None,
             restart_delay: Duration::from_millis(500),
@@ -145,7 +145,7 @@
     max_prefixes: usize, "Sets the maximum number of cached prompt prefixes.";
     lost_events_percent: u8, "Sets the percentage of cache events that are lost.";
     load_delay: Duration, "Sets the age of the load that heartbeats report.";
-    heartbeat: Duration, "Sets the time between two heartbeats.";
+    heartbeat_interval: Duration, "Sets the time between two heartbeats.";
     entries: Vec<SocketAddr>, "Sets the entry hosts that the engine reports to.";
     poison: Option<Name>, "Sets the text in a request body that crashes the engine.";
     restart_delay: Duration, "Sets the time between a crash and the start of the next process.";
--- a/crates/standin/tests/announce.rs
+++ b/crates/standin/tests/announce.rs
@@ -102,7 +102,7 @@
     let entry = Entry::default();
     let entries = vec![entry.start().await];
     let interval = Duration::from_millis(5);
-    let engine = engine(|builder| builder.entries(entries).heartbeat(interval)).await;
+    let engine = engine(|builder| builder.entries(entries).heartbeat_interval(interval)).await;
     wait_until(|| entry.count(is_announcement(1)) >= 1).await;
     send(engine.address(), &order(&engine, 1, 1, load(1 << 20))).await;
     wait_until(|| entry.count(lists_ready_copy(1)) > 0).await;
--- a/crates/standin/tests/fault.rs
+++ b/crates/standin/tests/fault.rs
@@ -42,7 +42,7 @@
     case(Fault::Refuse, Run::NotRun, 0, "503"),
 ];
 
-/// Shortens the table above.
+/// Returns a row of the table.
 const fn case(fault: Fault, run: Run, tokens: u64, error_text: &'static str) -> StreamFault {
     StreamFault {
         fault,
--- a/crates/standin/tests/interface_page/mod.rs
+++ b/crates/standin/tests/interface_page/mod.rs
@@ -134,7 +134,8 @@
         Some(value.parse().expect("a number"))
     }
 
-    /// Asserts that a message equals this example; JSON bodies are compared as values.
+    /// Asserts that a message equals this example. JSON bodies are compared as values, and an
+    /// empty documented body matches any body.
     pub fn assert_matches(&self, name: &str, other: &Self) {
         assert_eq!(self.start, other.start, "{name}: {:?}", other.body);
         assert_eq!(
