--- a/crates/trial/examples/burst.rs
+++ b/crates/trial/examples/burst.rs
@@ -1,6 +1,9 @@
-//! 200 first requests for one idle model through nine entry hosts, several times.
+//! Measures a cold start under load: 200 simultaneous requests for one unloaded model through nine
+//! hosts.
 //!
-//! `cargo run --release -p cornelhitch-trial --example burst [RUNS]`; each run is a new cluster.
+//! `cargo run --release -p cornelhitch-trial --example burst [RUNS]`; each run starts a new cluster.
+//! The exit status is 1 if a run fails, if a request is neither answered nor refused as not run,
+//! if no request is answered, or if the number of loaded replicas differs from the number decided.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -8,36 +11,36 @@
 
 use cornelhitch_standin::engine::Engine;
 use cornelhitch_standin::store::Store;
-use cornelhitch_trial::caller::{Ask, Caller, End};
+use cornelhitch_trial::caller::{Caller, ModelRequest, Outcome};
 use cornelhitch_trial::cluster::{self, Cluster};
-use cornelhitch_trial::{meter, operator, workers};
+use cornelhitch_trial::{operator, process_stats, workers};
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::target::Stage;
 use futures_util::future::join_all;
 use tokio_util::sync::CancellationToken;
 
-/// Runs where none are asked for.
-const RUNS: usize = 5;
+/// Number of runs if the argument is missing.
+const DEFAULT_RUNS: usize = 5;
 
-/// Entry hosts, of which the first three vote.
+/// Number of hosts, of which the first three are voters.
 const HOSTS: usize = 9;
 
-/// Requests of the burst.
+/// Number of requests in the burst.
 const REQUESTS: usize = 200;
 
-/// Tokens of an answer.
-const TOKENS: u64 = 4;
+/// Length of an answer in tokens.
+const MAX_TOKENS: u64 = 4;
 
-/// How long the cluster settles before the burst.
-const SETTLE: Duration = Duration::from_secs(4);
+/// Time before the burst in which the hosts elect a leader and the workers announce themselves.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// How often the workers and the leader are looked at.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which the inventories of the workers are read.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The bare load of the model: 4 GiB at 100 ms each.
-const LOAD: Duration = Duration::from_millis(400);
+/// Time that the stand-in store takes for the model: 4 GiB at 100 ms per GiB.
+const BARE_LOAD_TIME: Duration = Duration::from_millis(400);
 
-/// The fleet's settings.
+/// Settings of the fleet.
 const FLEET: &str = "
 loading: { starts-per-second: 4.0, concurrency: 4, remote-ms-per-gib: 100 }
 placing: { replicas: 2, concurrency: 16 }
@@ -46,57 +49,60 @@
   - { name: summary, bytes: 4294967296 }
 ";
 
-/// The model.
+/// Name of the model in [`FLEET`].
 const MODEL: &str = "summary";
 
-/// When the workers were first seen at a step, after the burst began.
+/// Times from the start of the burst until any worker first had the model in a stage; `None` if it
+/// was not observed.
 #[derive(Debug, Default)]
-struct Seen {
-    loading: Option<Duration>,
-    ready: Option<Duration>,
+struct LoadTimes {
+    first_loading: Option<Duration>,
+    first_ready: Option<Duration>,
 }
 
-/// What came of one run.
-struct Outcome {
-    ends: Vec<End>,
-    seen: Seen,
-    decided: u64,
-    loaded: u32,
+/// Results of one run.
+struct RunResult {
+    outcomes: Vec<Outcome>,
+    load_times: LoadTimes,
+    replicas_decided: u64,
+    replicas_loaded: u32,
 }
 
 fn main() -> ExitCode {
-    let wanted = std::env::args().nth(1);
-    let runs = wanted.and_then(|runs| runs.parse().ok()).unwrap_or(RUNS);
+    let argument = std::env::args().nth(1);
+    let runs = argument
+        .and_then(|runs| runs.parse().ok())
+        .unwrap_or(DEFAULT_RUNS);
     println!(
         "bare load {} ms; times in ms after the burst began",
-        LOAD.as_millis()
+        BARE_LOAD_TIME.as_millis()
     );
     println!(
         "| run | answered | refused | lost or wrong | decided | loaded | load begins | load ends | \
          first token: first | p50 | last | added | load average |"
     );
     println!("|{}", " --- |".repeat(13));
-    let mut kept = true;
+    let mut passed = true;
     for number in 1..=runs {
         match run() {
-            Ok(outcome) => kept &= outcome.print(number),
+            Ok(outcome) => passed &= outcome.print(number),
             Err(error) => {
-                println!("run {number} did not run: {error}");
-                kept = false;
+                println!("run {number} failed: {error}");
+                passed = false;
             }
         }
     }
-    if kept {
+    if passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-/// One run on a new cluster.
-fn run() -> Result<Outcome, Box<dyn std::error::Error>> {
+/// Sends the burst to a new cluster.
+fn run() -> Result<RunResult, Box<dyn std::error::Error>> {
     let regions = ["north", "middle", "south"].map(str::to_owned).to_vec();
-    let cluster = Cluster::start(&cluster::Plan {
+    let cluster = Cluster::start(&cluster::ClusterSpec {
         regions: regions.clone(),
         hosts: HOSTS,
         voters: 3,
@@ -104,7 +110,7 @@
     })?;
     let runtime = tokio::runtime::Runtime::new()?;
     let stop = CancellationToken::new();
-    let plan = workers::Plan {
+    let spec = workers::WorkerSpec {
         regions,
         workers: 6,
         memory: 8 << 30,
@@ -112,27 +118,27 @@
         store: Store::builder().gib(Duration::from_millis(100)).build(),
     };
     let outcome = runtime.block_on(async {
-        let hosts = cluster.callers();
-        let engines = workers::start(&plan, &hosts, &stop).await?;
-        tokio::time::sleep(SETTLE).await;
+        let hosts = cluster.caller_addresses();
+        let engines = workers::start(&spec, &hosts, &stop).await?;
+        tokio::time::sleep(SETTLE_TIME).await;
         let started = Instant::now();
-        let asks = (0..REQUESTS).map(|number| async move {
+        let requests = (0..REQUESTS).map(|number| async move {
             let caller = Caller::new(format!("caller-{number}"));
-            let host = hosts_at(number);
-            (caller, host, ask(number))
+            let host = host_index(number);
+            (caller, host, model_request(number))
         });
-        let asks = join_all(asks).await;
-        let burst = asks
+        let requests = join_all(requests).await;
+        let burst = requests
             .iter()
-            .map(|(caller, host, ask)| caller.ask(hosts[*host], ask));
-        let (ends, seen) = tokio::join!(join_all(burst), look(&engines, started));
+            .map(|(caller, host, request)| caller.request_model(hosts[*host], request));
+        let (outcomes, load_times) = tokio::join!(join_all(burst), watch_load(&engines, started));
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let decided = operator::decided(&cluster).await;
-        Ok::<_, Box<dyn std::error::Error>>(Outcome {
-            ends,
-            seen,
-            decided: decided.get(MODEL).copied().unwrap_or_default(),
-            loaded: engines
+        let decided = operator::replicas_decided(&cluster).await;
+        Ok::<_, Box<dyn std::error::Error>>(RunResult {
+            outcomes,
+            load_times,
+            replicas_decided: decided.get(MODEL).copied().unwrap_or_default(),
+            replicas_loaded: engines
                 .iter()
                 .map(|engine| engine.counters().loads_of(MODEL))
                 .sum(),
@@ -143,73 +149,87 @@
     outcome
 }
 
-/// The host that a request goes to.
-fn hosts_at(number: usize) -> usize {
+/// Returns the index of the host that receives a request.
+fn host_index(number: usize) -> usize {
     number % HOSTS
 }
 
-/// One request.
-fn ask(number: usize) -> Ask {
-    Ask {
+/// Returns the request with the given number.
+fn model_request(number: usize) -> ModelRequest {
+    ModelRequest {
         model: Reference::base(MODEL),
         prompt: format!("the {number}th item"),
-        tokens: TOKENS,
+        tokens: MAX_TOKENS,
         stream: true,
         class: None,
         deadline: None,
     }
 }
 
-/// Looks at the workers until one is ready or for ten seconds.
-async fn look(engines: &[Engine], started: Instant) -> Seen {
-    let mut seen = Seen::default();
-    while seen.ready.is_none() && started.elapsed() < Duration::from_secs(10) {
+/// Reads the inventories until a worker has the model ready, for at most about ten seconds.
+async fn watch_load(engines: &[Engine], started: Instant) -> LoadTimes {
+    let mut load_times = LoadTimes::default();
+    while load_times.first_ready.is_none() && started.elapsed() < Duration::from_secs(10) {
         for engine in engines {
             for holding in engine.inventory() {
                 if holding.stage >= Stage::Loading {
-                    seen.loading.get_or_insert_with(|| started.elapsed());
+                    load_times
+                        .first_loading
+                        .get_or_insert_with(|| started.elapsed());
                 }
                 if holding.stage == Stage::Ready {
-                    seen.ready.get_or_insert_with(|| started.elapsed());
+                    load_times
+                        .first_ready
+                        .get_or_insert_with(|| started.elapsed());
                 }
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    seen
+    load_times
 }
 
-impl Outcome {
-    /// Prints a row; tells whether the promises were kept.
+impl RunResult {
+    /// Prints a row of the table. Returns whether the run passed.
     fn print(&self, number: usize) -> bool {
-        let mut firsts: Vec<Duration> = self.ends.iter().filter_map(first).collect();
+        let mut firsts: Vec<Duration> = self.outcomes.iter().filter_map(first_token_time).collect();
         firsts.sort_unstable();
-        let refused = self.ends.iter().filter(|end| end.is_not_run()).count();
-        let bad = self.ends.len() - firsts.len() - refused;
-        let earliest = firsts.first().copied().unwrap_or_default();
+        let refused = self
+            .outcomes
+            .iter()
+            .filter(|outcome| outcome.is_not_run())
+            .count();
+        let failed = self.outcomes.len() - firsts.len() - refused;
+        let first = firsts.first().copied().unwrap_or_default();
         println!(
-            "| {number} | {} | {refused} | {bad} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
+            "| {number} | {} | {refused} | {failed} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
             firsts.len(),
-            self.decided,
-            self.loaded,
-            millis(self.seen.loading),
-            millis(self.seen.ready),
-            earliest.as_millis(),
-            millis(firsts.get(firsts.len() / 2).copied()),
-            millis(firsts.last().copied()),
-            earliest.saturating_sub(LOAD).as_millis(),
-            meter::load(),
+            self.replicas_decided,
+            self.replicas_loaded,
+            format_millis(self.load_times.first_loading),
+            format_millis(self.load_times.first_ready),
+            first.as_millis(),
+            format_millis(firsts.get(firsts.len() / 2).copied()),
+            format_millis(firsts.last().copied()),
+            first.saturating_sub(BARE_LOAD_TIME).as_millis(),
+            process_stats::load_average(),
         );
-        self.explain();
-        bad == 0 && u64::from(self.loaded) == self.decided && !firsts.is_empty()
+        self.print_failures();
+        failed == 0
+            && u64::from(self.replicas_loaded) == self.replicas_decided
+            && !firsts.is_empty()
     }
 
-    /// Prints how the others ended, a line a kind.
-    fn explain(&self) {
+    /// Prints the distinct outcomes of requests that were not answered, with their counts.
+    fn print_failures(&self) {
         let mut kinds = BTreeMap::<String, usize>::new();
-        for end in self.ends.iter().filter(|end| !end.is_answered()) {
-            let kind = match end {
-                End::Refused { detail, .. } => format!("refused: {detail}"),
+        for outcome in self
+            .outcomes
+            .iter()
+            .filter(|outcome| !outcome.is_answered())
+        {
+            let kind = match outcome {
+                Outcome::Refused { detail, .. } => format!("refused: {detail}"),
                 other => format!("{other:?}"),
             };
             *kinds.entry(kind).or_default() += 1;
@@ -220,16 +240,16 @@
     }
 }
 
-/// Time of the first token of an answer.
-fn first(end: &End) -> Option<Duration> {
-    match end {
-        End::Answered { first, .. } => Some(*first),
+/// Returns the time to first token, or `None` if the request was not answered.
+fn first_token_time(outcome: &Outcome) -> Option<Duration> {
+    match outcome {
+        Outcome::Answered { first_token, .. } => Some(*first_token),
         _ => None,
     }
 }
 
-/// Milliseconds, or that it was not seen.
-fn millis(time: Option<Duration>) -> String {
+/// Formats a time in milliseconds.
+fn format_millis(time: Option<Duration>) -> String {
     time.map_or_else(
         || "not seen".to_owned(),
         |time| time.as_millis().to_string(),
--- a/crates/trial/examples/faults/load.rs
+++ b/crates/trial/examples/faults/load.rs
@@ -1,10 +1,11 @@
-//! Callers and operators of a trial.
+//! Generates the load: callers of models and of the plain service, and operators that change the
+//! settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use cornelhitch_trial::caller::{Ask, Caller, End};
+use cornelhitch_trial::caller::{Caller, ModelRequest, Outcome};
 use cornelhitch_trial::operator;
 use cornelhitch_types::model::Reference;
 use rand::rngs::SmallRng;
@@ -13,129 +14,133 @@
 use tokio::task::JoinSet;
 
 use crate::Trial;
-use crate::verdict::{Bid, Request};
+use crate::checks::{BidRecord, RequestRecord};
 
-/// Time between two requests to models.
-const MODEL: Duration = Duration::from_millis(15);
+/// Interval between two requests to models.
+const MODEL_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Requests to models for each bid.
-const BID: u64 = 4;
+/// Number of requests to models per request to the plain service.
+const MODEL_REQUESTS_PER_BID: u64 = 4;
 
-/// Sends of one bid at most.
-const SENDS: usize = 4;
+/// Limit of attempts for one bid.
+const MAX_BID_ATTEMPTS: usize = 4;
 
-/// Time between two changes of the settings by each operator.
-const CHANGE: Duration = Duration::from_millis(900);
+/// Pause between two rounds of settings changes.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(900);
 
-/// How long a caller waits.
-pub const DEADLINE: Duration = Duration::from_secs(8);
+/// Deadline of requests to models.
+pub const REQUEST_DEADLINE: Duration = Duration::from_secs(8);
 
-/// Loads the hosts until the end, and waits for all answers.
-pub async fn run(trial: &Arc<Trial>, seed: u64, end: Instant) {
+/// Sends requests until `stop_at` and waits for all outcomes.
+pub async fn run(trial: &Arc<Trial>, seed: u64, stop_at: Instant) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut tasks = JoinSet::new();
     let mut number = 0;
-    while Instant::now() < end {
+    while Instant::now() < stop_at {
         number += 1;
         let seed = random.random();
-        tasks.spawn(ask(trial.clone(), number, seed));
-        if number % BID == 0 {
-            tasks.spawn(bid(trial.clone(), number, seed));
+        tasks.spawn(request_model(trial.clone(), number, seed));
+        if number % MODEL_REQUESTS_PER_BID == 0 {
+            tasks.spawn(send_bid(trial.clone(), number, seed));
         }
-        tokio::time::sleep(MODEL).await;
+        tokio::time::sleep(MODEL_INTERVAL).await;
     }
     while tasks.join_next().await.is_some() {}
 }
 
-/// A host that runs, as a caller's kept answer would name it.
-fn host(trial: &Trial, random: &mut SmallRng) -> Option<SocketAddr> {
-    let hosts = trial.cluster().callers();
-    let at = random.random_range(0..hosts.len().max(1));
-    hosts.get(at).copied()
+/// Returns a random running host, as a caller would choose it from a cached list of entry hosts.
+fn random_host(trial: &Trial, random: &mut SmallRng) -> Option<SocketAddr> {
+    let hosts = trial.cluster().caller_addresses();
+    let index = random.random_range(0..hosts.len().max(1));
+    hosts.get(index).copied()
 }
 
-/// One request to a model.
-async fn ask(trial: Arc<Trial>, number: u64, seed: u64) {
+/// Sends one request to a model and records its outcome.
+async fn request_model(trial: Arc<Trial>, number: u64, seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
-    let Some(host) = host(&trial, &mut random) else {
+    let Some(host) = random_host(&trial, &mut random) else {
         return;
     };
-    // Few models are asked for often, the others now and then.
+    // The minimum of two draws makes the models with low numbers the most requested.
     let model = 1 + random.random_range(0..8_u32).min(random.random_range(0..8));
-    let ask = Ask {
+    let model_request = ModelRequest {
         model: Reference::base(format!("model-{model}")),
         prompt: format!("item {number}"),
         tokens: random.random_range(4..40),
         stream: random.random(),
         class: None,
-        deadline: Some(DEADLINE),
+        deadline: Some(REQUEST_DEADLINE),
     };
     let started = Instant::now();
-    let end = Caller::new(format!("caller-{}", number % 20))
-        .ask(host, &ask)
+    let outcome = Caller::new(format!("caller-{}", number % 20))
+        .request_model(host, &model_request)
         .await;
-    let request = Request {
+    let record = RequestRecord {
         host,
         started,
         ended: Instant::now(),
-        stream: ask.stream,
-        end,
+        stream: model_request.stream,
+        outcome,
     };
-    trial.log().requests.push(request);
+    trial.log().requests.push(record);
 }
 
-/// One bid, sent again through any host until its outcome is known.
-async fn bid(trial: Arc<Trial>, number: u64, seed: u64) {
+/// Sends one bid, retrying through random hosts until it is answered, and records its attempts.
+async fn send_bid(trial: Arc<Trial>, number: u64, seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed ^ 1);
     let key = format!("bid-{number}");
     let caller = Caller::new(format!("bidder-{}", number % 20));
-    let mut sends = Vec::new();
-    for _ in 0..SENDS {
-        let Some(host) = host(&trial, &mut random) else {
+    let mut attempts = Vec::new();
+    for _ in 0..MAX_BID_ATTEMPTS {
+        let Some(host) = random_host(&trial, &mut random) else {
             break;
         };
         let started = Instant::now();
         let path = "auction/bids";
-        let end = caller
-            .call(host, http::Method::POST, path, Some(&key), &key)
+        let outcome = caller
+            .call_service(host, http::Method::POST, path, Some(&key), &key)
             .await;
-        let answered = end.is_answered();
-        sends.push(Request {
+        let answered = outcome.is_answered();
+        attempts.push(RequestRecord {
             host,
             started,
             ended: Instant::now(),
             stream: false,
-            end,
+            outcome,
         });
-        // A quarter of the callers send again although they were answered.
+        // One in four answered attempts is repeated nevertheless.
         if answered && random.random_range(0..4) > 0 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(random.random_range(0..300))).await;
     }
-    trial.log().bids.push(Bid { key, sends });
+    trial.log().bids.push(BidRecord { key, attempts });
 }
 
-/// Two operators that change the settings at once, from equal versions.
-pub async fn operators(trial: Arc<Trial>, end: Instant) {
+/// Runs two operators that change the settings concurrently, starting from the same version.
+pub async fn run_operators(trial: Arc<Trial>, stop_at: Instant) {
     let mut round = 0;
-    while Instant::now() < end {
+    while Instant::now() < stop_at {
         round += 1;
-        tokio::join!(change(&trial, "ann", round), change(&trial, "ben", round));
-        tokio::time::sleep(CHANGE).await;
+        tokio::join!(
+            change_settings(&trial, "ann", round),
+            change_settings(&trial, "ben", round)
+        );
+        tokio::time::sleep(CHANGE_INTERVAL).await;
     }
 }
 
-/// One change by one operator, through a host of its own.
-async fn change(trial: &Trial, operator: &str, round: u32) {
+/// Submits one settings change of an operator. The two operators use different hosts.
+async fn change_settings(trial: &Trial, operator: &str, round: u32) {
     let hosts: Vec<SocketAddr> = {
         let cluster = trial.cluster();
-        let all = (0..cluster.hosts.len()).filter(|index| cluster.node(*index).is_some());
-        all.map(|index| cluster.hosts[index].addresses.operators)
+        let running = (0..cluster.hosts.len()).filter(|index| cluster.node(*index).is_some());
+        running
+            .map(|index| cluster.hosts[index].addresses.operators)
             .collect()
     };
-    let at = round as usize * 2 + usize::from(operator == "ben");
-    let Some(host) = hosts.get(at % hosts.len().max(1)) else {
+    let index = round as usize * 2 + usize::from(operator == "ben");
+    let Some(host) = hosts.get(index % hosts.len().max(1)) else {
         return;
     };
     let settings = operator::call(*host, "GET", "/settings", &json!(null)).await;
@@ -147,7 +152,7 @@
         "operator": operator,
         "request": format!("{operator}-{round}"),
         "base": base,
-        "text": crate::fleet(queue),
+        "text": crate::fleet_settings(queue),
     });
     let answer = operator::call(*host, "POST", "/settings", &body).await;
     if answer["result"] == "accepted" {
@@ -157,9 +162,12 @@
     }
 }
 
-impl Request {
-    /// Whether the caller was left without a word.
+impl RequestRecord {
+    /// Whether the caller got neither an answer nor a refusal.
     pub fn is_lost(&self) -> bool {
-        matches!(self.end, End::Lost { .. } | End::BrokenOff { .. })
+        matches!(
+            self.outcome,
+            Outcome::Lost { .. } | Outcome::Interrupted { .. }
+        )
     }
 }
--- a/crates/trial/examples/faults/main.rs
+++ b/crates/trial/examples/faults/main.rs
@@ -1,14 +1,14 @@
-//! The whole system under faults, judged from the outside alone.
+//! Injects faults into a complete system and checks its guarantees from the outside.
 //!
 //! `cargo run --release --example faults -- [SEEDS] [FIRST SEED] [SECONDS]`
-//! starts nine hosts, twelve model workers and three workers of plain services
-//! on loopback for each seed, loads them, breaks them by a schedule that
-//! follows from the seed, and checks the promises from the callers', the
-//! targets' and the operators' side. It ends with status 1 if one was broken.
+//! starts nine hosts, twelve model workers and three workers of a plain service
+//! on loopback for each seed, puts them under load, injects faults by a schedule
+//! derived from the seed, and checks what callers, targets and operators observe.
+//! The exit status is 1 if a guarantee was violated or a run failed.
 
+mod checks;
 mod load;
 mod schedule;
-mod verdict;
 
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -22,26 +22,26 @@
 use cornelhitch_trial::workers;
 use tokio_util::sync::CancellationToken;
 
-/// Entry hosts, and how many of them vote.
+/// Number of hosts and of the voters among them.
 const HOSTS: usize = 9;
 const VOTERS: usize = 3;
 
-/// Model workers and their memory in bytes.
-const WORKERS: usize = 12;
-const MEMORY: u64 = 16 << 30;
+/// Number of model workers and the accelerator memory of each.
+const MODEL_WORKERS: usize = 12;
+const WORKER_MEMORY_BYTES: u64 = 16 << 30;
 
-/// Workers of plain services.
-const SERVICES: usize = 3;
+/// Number of workers of the plain service.
+const SERVICE_WORKERS: usize = 3;
 
-/// Time that the cluster may take to be ready.
-const READY: Duration = Duration::from_secs(10);
+/// Timeout until all hosts are ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time after the load in which everything recovers.
-const SETTLE: Duration = Duration::from_secs(6);
+/// Time after the load for recovery, in which the settings versions are still watched.
+const SETTLE_TIME: Duration = Duration::from_secs(6);
 
-/// The fleet's settings, with a number that operators change.
+/// Returns the settings of the fleet. Operators change the limit `queue`.
 #[must_use]
-pub fn fleet(queue: u32) -> String {
+pub fn fleet_settings(queue: u32) -> String {
     let models: Vec<String> = (1..=8_u64)
         .map(|n| {
             let bytes = (n % 4 + 2) << 30;
@@ -62,30 +62,30 @@
     )
 }
 
-/// What the tasks of one trial share.
+/// State that the tasks of one run share.
 pub struct Trial {
-    /// The hosts.
+    /// Cluster under test.
     pub cluster: Mutex<Cluster>,
     /// Model workers.
     pub engines: Vec<Engine>,
-    /// Workers of plain services.
+    /// Workers of the plain service.
     pub services: Vec<Service>,
-    /// The weight store.
+    /// Weight store of all model workers.
     pub store: Store,
-    /// What happened.
-    pub log: Mutex<verdict::Log>,
-    /// When the trial began.
+    /// Record of the run.
+    pub log: Mutex<checks::TrialLog>,
+    /// Start of the run.
     pub started: Instant,
 }
 
 impl Trial {
-    /// The hosts.
+    /// Cluster under test.
     pub fn cluster(&self) -> std::sync::MutexGuard<'_, Cluster> {
         self.cluster.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What happened.
-    pub fn log(&self) -> std::sync::MutexGuard<'_, verdict::Log> {
+    /// Record of the run.
+    pub fn log(&self) -> std::sync::MutexGuard<'_, checks::TrialLog> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -97,21 +97,21 @@
         .with_ansi(false)
         .init();
     let mut numbers = std::env::args().skip(1).map(|text| text.parse::<u64>());
-    let mut number = |fallback| numbers.next().and_then(Result::ok).unwrap_or(fallback);
+    let mut number = |default| numbers.next().and_then(Result::ok).unwrap_or(default);
     let (seeds, first, seconds) = (number(1), number(1), number(20));
     let mut broken = 0;
     for seed in first..first + seeds {
         match run(seed, Duration::from_secs(seconds)) {
-            Ok(faults) if faults.is_empty() => println!("seed {seed}: every promise was kept"),
-            Ok(faults) => {
+            Ok(found) if found.is_empty() => println!("seed {seed}: every promise was kept"),
+            Ok(found) => {
                 broken += 1;
-                for fault in faults {
-                    println!("seed {seed}: BROKEN: {fault}");
+                for violation in found {
+                    println!("seed {seed}: BROKEN: {violation}");
                 }
             }
             Err(error) => {
                 broken += 1;
-                println!("seed {seed}: the trial did not run: {error}");
+                println!("seed {seed}: the run failed: {error}");
             }
         }
     }
@@ -123,34 +123,34 @@
     }
 }
 
-/// Runs one seed and returns what broke a promise.
+/// Runs one seed and returns the violations.
 fn run(seed: u64, length: Duration) -> Result<Vec<String>, Box<dyn std::error::Error>> {
     let regions = ["perth-a", "bunbury-a", "kalgoorlie-a"]
         .map(str::to_owned)
         .to_vec();
-    let cluster = Cluster::start(&cluster::Plan {
+    let cluster = Cluster::start(&cluster::ClusterSpec {
         regions: regions.clone(),
         hosts: HOSTS,
         voters: VOTERS,
-        fleet: fleet(1_000),
+        fleet: fleet_settings(1_000),
     })?;
     let runtime = tokio::runtime::Runtime::new()?;
     let stop = CancellationToken::new();
-    let hosts = cluster.callers();
+    let hosts = cluster.caller_addresses();
     let store = Store::builder()
         .starts(4.0)
         .gib(Duration::from_millis(100))
         .build();
-    let plan = workers::Plan {
+    let spec = workers::WorkerSpec {
         regions,
-        workers: WORKERS,
-        memory: MEMORY,
+        workers: MODEL_WORKERS,
+        memory: WORKER_MEMORY_BYTES,
         token: Duration::from_millis(5),
         store: store.clone(),
     };
-    let faults = runtime.block_on(async {
-        let engines = workers::start(&plan, &hosts, &stop).await?;
-        let services = services(&plan.regions, &hosts, &stop).await?;
+    let violations = runtime.block_on(async {
+        let engines = workers::start(&spec, &hosts, &stop).await?;
+        let services = start_services(&spec.regions, &hosts, &stop).await?;
         let trial = Arc::new(Trial {
             cluster: Mutex::new(cluster),
             engines,
@@ -159,34 +159,34 @@
             log: Mutex::default(),
             started: Instant::now(),
         });
-        ready(&hosts).await?;
-        let end = Instant::now() + length;
+        wait_until_ready(&hosts).await?;
+        let stop_at = Instant::now() + length;
         let faults = std::thread::spawn({
             let trial = trial.clone();
-            move || schedule::run(&trial, seed, end)
+            move || schedule::run(&trial, seed, stop_at)
         });
-        let watching = tokio::spawn(verdict::watch(trial.clone(), end + SETTLE));
-        let operating = tokio::spawn(load::operators(trial.clone(), end));
-        load::run(&trial, seed, end).await;
+        let watching = tokio::spawn(checks::watch_settings(trial.clone(), stop_at + SETTLE_TIME));
+        let operating = tokio::spawn(load::run_operators(trial.clone(), stop_at));
+        load::run(&trial, seed, stop_at).await;
         operating.await?;
         let joined = tokio::task::spawn_blocking(move || faults.join()).await?;
-        joined.map_err(|_| "the schedule panicked")?;
+        joined.map_err(|_| "the fault schedule panicked")?;
         watching.await?;
-        Ok::<_, Box<dyn std::error::Error>>(verdict::judge(&trial, MEMORY).await)
+        Ok::<_, Box<dyn std::error::Error>>(checks::violations(&trial, WORKER_MEMORY_BYTES).await)
     });
     stop.cancel();
     runtime.shutdown_background();
-    faults
+    violations
 }
 
-/// Starts the workers of the plain service.
-async fn services(
+/// Starts the workers of the plain service, distributed over the regions.
+async fn start_services(
     regions: &[String],
     entries: &[std::net::SocketAddr],
     stop: &CancellationToken,
 ) -> std::io::Result<Vec<Service>> {
     let mut services = Vec::new();
-    for (index, region) in regions.iter().cycle().take(SERVICES).enumerate() {
+    for (index, region) in regions.iter().cycle().take(SERVICE_WORKERS).enumerate() {
         let service = Service::builder()
             .name(format!("auction-{}", index + 1))
             .runs("auction")
@@ -201,20 +201,22 @@
     Ok(services)
 }
 
-/// Waits until a bid is answered through every host.
-async fn ready(hosts: &[std::net::SocketAddr]) -> Result<(), String> {
+/// Waits until every host relays a request to the plain service.
+async fn wait_until_ready(hosts: &[std::net::SocketAddr]) -> Result<(), String> {
     let caller = Caller::new("probe");
     let started = Instant::now();
     for host in hosts {
         loop {
-            let end = caller
-                .call(*host, http::Method::GET, "auction/stock", None, "")
+            let outcome = caller
+                .call_service(*host, http::Method::GET, "auction/stock", None, "")
                 .await;
-            if end.is_answered() {
+            if outcome.is_answered() {
                 break;
             }
-            if started.elapsed() > READY {
-                return Err(format!("{host} was not ready within {READY:?}: {end:?}"));
+            if started.elapsed() > READY_TIMEOUT {
+                return Err(format!(
+                    "{host} was not ready within {READY_TIMEOUT:?}: {outcome:?}"
+                ));
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
--- a/crates/trial/examples/faults/schedule.rs
+++ b/crates/trial/examples/faults/schedule.rs
@@ -1,4 +1,4 @@
-//! What is broken, when, by a seed.
+//! Injects a random sequence of faults that is derived from the seed.
 
 use std::time::{Duration, Instant};
 
@@ -9,71 +9,74 @@
 use strum::IntoEnumIterator;
 
 use crate::Trial;
-use crate::verdict::Away;
+use crate::checks::Downtime;
 
-/// Time between two faults, at least and at most.
-const PAUSE: std::ops::Range<u64> = 300..1_500;
+/// Range of the pause before each fault.
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 300..1_500;
 
-/// Time that a graceful shutdown may take.
-const DRAIN: Duration = Duration::from_secs(40);
+/// Time limit for draining a host.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// What is broken.
+/// Kind of fault.
 #[derive(Debug, Clone, Copy, strum::EnumIter)]
-enum Kind {
+enum FaultKind {
     /// A host is killed and started again.
     Kill,
-    /// A host is shut down gracefully and started again.
+    /// A host is drained and started again.
     Drain,
-    /// A host is cut off from all others for a while.
+    /// A host is partitioned from all others for a while.
     Cut,
     /// A model worker crashes.
     Crash,
-    /// A model worker has one of the stand-ins' faults.
+    /// A model worker shows one of the faults of the stand-in engine.
     Engine,
-    /// A plain service breaks a connection before or after it ran.
+    /// A worker of the plain service fails in one of several ways, before or after running a request.
     Service,
-    /// The weight store slows down for a while.
+    /// The weight store is slow for a while.
     Store,
 }
 
-/// Breaks things until the end; everything is whole again afterwards.
-pub fn run(trial: &Trial, seed: u64, end: Instant) {
+/// Injects faults until `stop_at`. All hosts are running and connected on return, and the store has
+/// its normal speed.
+pub fn run(trial: &Trial, seed: u64, stop_at: Instant) {
     let mut random = SmallRng::seed_from_u64(seed);
-    let kinds: Vec<Kind> = Kind::iter().collect();
-    while Instant::now() < end {
-        std::thread::sleep(Duration::from_millis(random.random_range(PAUSE)));
+    let kinds: Vec<FaultKind> = FaultKind::iter().collect();
+    while Instant::now() < stop_at {
+        std::thread::sleep(Duration::from_millis(
+            random.random_range(FAULT_INTERVAL_MS),
+        ));
         let kind = kinds[random.random_range(0..kinds.len())];
         tracing::warn!(?kind, at = ?trial.started.elapsed(), "fault");
-        act(trial, kind, &mut random);
+        inject(trial, kind, &mut random);
     }
     trial.store.slow(1.0);
 }
 
-/// Breaks one thing, and mends what is not mended by itself.
-fn act(trial: &Trial, kind: Kind, random: &mut SmallRng) {
+/// Injects one fault and undoes it if it does not end by itself.
+fn inject(trial: &Trial, kind: FaultKind, random: &mut SmallRng) {
     let host = random.random_range(0..crate::HOSTS);
-    let pause = Duration::from_millis(random.random_range(200..3_000));
+    let duration = Duration::from_millis(random.random_range(200..3_000));
     let engine = &trial.engines[random.random_range(0..trial.engines.len())];
     match kind {
-        Kind::Kill => {
+        FaultKind::Kill => {
             let from = Instant::now();
             trial.cluster().kill(host);
-            std::thread::sleep(pause);
+            std::thread::sleep(duration);
             restart(trial, host, from, true);
         }
-        Kind::Drain => drain(trial, host),
-        Kind::Cut => {
+        FaultKind::Drain => drain_and_restart(trial, host),
+        FaultKind::Cut => {
             let others: Vec<HostId> = (1..=crate::HOSTS as HostId).collect();
-            trial.cluster().cut(host, &others);
-            std::thread::sleep(pause * 2);
-            trial.cluster().cut(host, &[]);
+            trial.cluster().partition(host, &others);
+            std::thread::sleep(duration * 2);
+            trial.cluster().partition(host, &[]);
         }
-        Kind::Crash => engine.crash(),
-        Kind::Engine => {
+        FaultKind::Crash => engine.crash(),
+        FaultKind::Engine => {
             let faults: Vec<Fault> = Fault::iter().collect();
             engine.fault(faults[random.random_range(0..faults.len())]);
         }
-        Kind::Service => {
+        FaultKind::Service => {
             use cornelhitch_standin::service::Failure;
             let failures = [
                 Failure::BreakBefore,
@@ -85,40 +88,37 @@
             let service = &trial.services[random.random_range(0..trial.services.len())];
             service.fail(failures[random.random_range(0..failures.len())]);
         }
-        Kind::Store => {
+        FaultKind::Store => {
             trial.store.slow(random.random_range(2.0..6.0));
-            std::thread::sleep(pause);
+            std::thread::sleep(duration);
             trial.store.slow(1.0);
         }
     }
 }
 
-/// Shuts a host down gracefully and starts it again.
-fn drain(trial: &Trial, host: usize) {
+/// Drains a host and starts it again. Records a violation if it does not end in time.
+fn drain_and_restart(trial: &Trial, host: usize) {
     let from = Instant::now();
-    let taken = trial.cluster().take(host);
-    if let Some(taken) = taken
-        && !taken.drain(DRAIN)
+    let running = trial.cluster().take_running(host);
+    if let Some(running) = running
+        && !running.drain(DRAIN_TIMEOUT)
     {
-        let line = format!(
-            "host {} did not end within {DRAIN:?} of its drain",
-            host + 1
-        );
-        trial.log().broken.push(line);
+        let line = format!("host {} was not drained within {DRAIN_TIMEOUT:?}", host + 1);
+        trial.log().violations.push(line);
     }
     restart(trial, host, from, false);
 }
 
-/// Starts a host again.
+/// Starts a host again and records its downtime.
 fn restart(trial: &Trial, host: usize, from: Instant, killed: bool) {
     let address = trial.cluster().hosts[host].addresses.callers;
     let restarted = trial.cluster().restart(host);
     let mut log = trial.log();
     if let Err(error) = restarted {
-        log.broken
-            .push(format!("host {} did not start again: {error}", host + 1));
+        log.violations
+            .push(format!("host {} failed to restart: {error}", host + 1));
     }
-    log.away.push(Away {
+    log.downtimes.push(Downtime {
         host: address,
         from,
         until: Instant::now(),
--- a/crates/trial/examples/idle.rs
+++ b/crates/trial/examples/idle.rs
@@ -1,8 +1,10 @@
-//! What idle hosts cost: bytes to peers, processor time and memory, at several sizes.
+//! Measures the overhead of idle hosts: traffic between peers, CPU time and memory, for several
+//! cluster sizes.
 //!
-//! `cargo run --release -p cornelhitch-trial --example idle [HOSTS TARGETS]...` runs each size in
-//! a process of its own; without sizes: 9 0, 9 15, 9 150, 9 300, 30 15, 60 15. The first three
-//! hosts vote. Targets are light tasks that announce to every host and send heartbeats every second.
+//! `cargo run --release -p cornelhitch-trial --example idle [HOSTS TARGETS]` measures one size.
+//! Without arguments, it measures 9 0, 9 15, 9 150, 9 300, 30 15 and 60 15, each in its own process.
+//! The first three hosts are voters. The targets are tasks that announce themselves to every host
+//! and send it a heartbeat every second.
 
 #![allow(clippy::cast_precision_loss)]
 
@@ -14,7 +16,7 @@
 use bytes::Bytes;
 use cornelhitch_target::inbound::{ANNOUNCE, HEARTBEAT};
 use cornelhitch_trial::cluster::{self, Cluster};
-use cornelhitch_trial::{meter, operator};
+use cornelhitch_trial::{operator, process_stats};
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::target::{Announcement, Heartbeat, Holding, Kind, Load, Stage};
 use futures_util::future::join_all;
@@ -26,8 +28,8 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// The sizes where none are given: hosts and targets.
-const SIZES: [[&str; 2]; 6] = [
+/// Sizes that are measured if there are no arguments: hosts and targets.
+const DEFAULT_SIZES: [[&str; 2]; 6] = [
     ["9", "0"],
     ["9", "15"],
     ["9", "150"],
@@ -36,63 +38,64 @@
     ["60", "15"],
 ];
 
-/// Hosts that vote.
+/// Number of voters, if there are enough hosts.
 const VOTERS: usize = 3;
 
-/// How long the cluster settles before it is measured.
-const SETTLE: Duration = Duration::from_secs(6);
+/// Time before the measurement in which the hosts elect a leader and the targets announce
+/// themselves.
+const SETTLE_TIME: Duration = Duration::from_secs(6);
 
-/// How long it is measured.
-const SPAN: Duration = Duration::from_secs(8);
+/// Duration of the measurement.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(8);
 
-/// Time between two heartbeats of a target.
-const BEAT: Duration = Duration::from_secs(1);
+/// Pause between two rounds of heartbeats of a target.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The fleet's settings.
+/// Settings of the fleet.
 const FLEET: &str = "
 regions: [{ name: north }, { name: middle }, { name: south }]
 models:
   - { name: summary, bytes: 4294967296 }
 ";
 
-/// What one host has spent so far.
+/// Bytes exchanged with peers and CPU time of one host since its start.
 #[derive(Debug, Clone, Copy, Default)]
-struct Spent {
+struct Usage {
     sent: u64,
     received: u64,
-    processor: Duration,
+    cpu_time: Duration,
 }
 
-/// Heartbeats that hosts took.
-static TAKEN: AtomicU64 = AtomicU64::new(0);
+/// Number of heartbeats that hosts accepted.
+static HEARTBEATS_ACCEPTED: AtomicU64 = AtomicU64::new(0);
 
-/// Connections of targets to hosts.
-type Connections = Client<HttpConnector, Full<Bytes>>;
+/// HTTP client of a target.
+type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let measured = match arguments.as_slice() {
         [hosts, targets] => measure(hosts, targets),
-        _ => all(),
+        _ => measure_all(),
     };
     match measured {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("the trial did not run: {error}");
+            eprintln!("the measurement failed: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Measures each size in a process of its own.
-fn all() -> Result<(), Box<dyn std::error::Error>> {
+/// Measures each default size in its own process.
+fn measure_all() -> Result<(), Box<dyn std::error::Error>> {
     println!(
         "| hosts | targets | heartbeats/s | role | sent B/s | received B/s | of a core | process MB | load |"
     );
     println!("|{}", " --- |".repeat(9));
-    let me = std::env::current_exe()?;
-    for size in SIZES {
-        let status = Command::new(&me).args(size).status()?;
+    let executable = std::env::current_exe()?;
+    for size in DEFAULT_SIZES {
+        let status = Command::new(&executable).args(size).status()?;
         if !status.success() {
             println!("| {} | {} | failed |", size[0], size[1]);
         }
@@ -100,63 +103,73 @@
     Ok(())
 }
 
-/// Measures one size.
+/// Measures one size and prints its rows.
 fn measure(hosts: &str, targets: &str) -> Result<(), Box<dyn std::error::Error>> {
     let (hosts, targets): (usize, usize) = (hosts.parse()?, targets.parse()?);
     let regions = ["north", "middle", "south"].map(str::to_owned).to_vec();
-    let cluster = Cluster::start(&cluster::Plan {
+    let cluster = Cluster::start(&cluster::ClusterSpec {
         regions,
         hosts,
         voters: VOTERS.min(hosts),
         fleet: FLEET.to_owned(),
     })?;
     let runtime = tokio::runtime::Runtime::new()?;
-    let addresses = cluster.callers();
+    let addresses = cluster.caller_addresses();
     for number in 0..targets {
-        runtime.spawn(target(number, addresses.clone()));
+        runtime.spawn(run_target(number, addresses.clone()));
     }
-    std::thread::sleep(SETTLE);
-    let before = runtime.block_on(spent(&cluster));
-    let taken = TAKEN.load(Ordering::Relaxed);
+    std::thread::sleep(SETTLE_TIME);
+    let before = runtime.block_on(read_usage(&cluster));
+    let heartbeats = HEARTBEATS_ACCEPTED.load(Ordering::Relaxed);
     let started = Instant::now();
-    std::thread::sleep(SPAN);
-    let after = runtime.block_on(spent(&cluster));
-    let span = started.elapsed().as_secs_f64();
-    let taken = TAKEN.load(Ordering::Relaxed) - taken;
-    print(&before, &after, span, targets, taken as f64 / span);
+    std::thread::sleep(MEASUREMENT_TIME);
+    let after = runtime.block_on(read_usage(&cluster));
+    let seconds = started.elapsed().as_secs_f64();
+    let heartbeats = HEARTBEATS_ACCEPTED.load(Ordering::Relaxed) - heartbeats;
+    print_rows(
+        &before,
+        &after,
+        seconds,
+        targets,
+        heartbeats as f64 / seconds,
+    );
     runtime.shutdown_background();
-    if meter::resident() == 0 || after.iter().any(|spent| spent.sent == 0) {
-        return Err("a host or the system did not tell its figures".into());
+    if process_stats::resident_bytes() == 0 || after.iter().any(|usage| usage.sent == 0) {
+        return Err(
+            "a host reported no bytes sent, or the memory of this process could not be read".into(),
+        );
     }
     Ok(())
 }
 
-/// Prints a row for the leader, for the other voters and for the entry hosts.
-fn print(before: &[Spent], after: &[Spent], span: f64, targets: usize, taken: f64) {
+/// Prints the mean of the leader, of the other voters and of the remaining hosts. The voter that
+/// sends most is taken for the leader.
+fn print_rows(before: &[Usage], after: &[Usage], seconds: f64, targets: usize, heartbeats: f64) {
     let hosts = before.len();
     let rates: Vec<[f64; 3]> = before
         .iter()
         .zip(after)
-        .map(|(before, after)| after.rates(before, span))
+        .map(|(before, after)| after.rates(before, seconds))
         .collect();
     let voters = VOTERS.min(hosts);
-    let most = (0..voters).max_by(|a, b| rates[*a][0].total_cmp(&rates[*b][0]));
-    let leader = most.unwrap_or_default();
+    let busiest = (0..voters).max_by(|a, b| rates[*a][0].total_cmp(&rates[*b][0]));
+    let leader = busiest.unwrap_or_default();
     let followers: Vec<[f64; 3]> = (0..voters)
-        .filter(|at| *at != leader)
-        .map(|at| rates[at])
+        .filter(|index| *index != leader)
+        .map(|index| rates[index])
         .collect();
     let rows = [
         ("voter that sends most", vec![rates[leader]]),
         ("other voters", followers),
         ("entry only", rates[voters..].to_vec()),
     ];
-    let resident = meter::resident() as f64 / 1e6;
-    let load = meter::load();
+    let resident_mb = process_stats::resident_bytes() as f64 / 1e6;
+    let load = process_stats::load_average();
     for (role, rates) in rows {
-        let mean = |at: usize| rates.iter().map(|rate| rate[at]).sum::<f64>() / rates.len() as f64;
+        let mean =
+            |index: usize| rates.iter().map(|rate| rate[index]).sum::<f64>() / rates.len() as f64;
         println!(
-            "| {hosts} | {targets} | {taken:.0} | {role} | {:.0} | {:.0} | {:.2}% | {resident:.0} | {load} |",
+            "| {hosts} | {targets} | {heartbeats:.0} | {role} | {:.0} | {:.0} | {:.2}% | {resident_mb:.0} | {load} |",
             mean(0),
             mean(1),
             mean(2) * 100.0,
@@ -164,56 +177,55 @@
     }
 }
 
-impl Spent {
-    /// Bytes sent and received and processor time, each a second.
-    fn rates(&self, before: &Self, span: f64) -> [f64; 3] {
-        let processor = self.processor.saturating_sub(before.processor);
+impl Usage {
+    /// Returns the bytes sent, the bytes received and the CPU seconds, each per second since `before`.
+    fn rates(&self, before: &Self, seconds: f64) -> [f64; 3] {
+        let cpu_time = self.cpu_time.saturating_sub(before.cpu_time);
         [
-            self.sent.saturating_sub(before.sent) as f64 / span,
-            self.received.saturating_sub(before.received) as f64 / span,
-            processor.as_secs_f64() / span,
+            self.sent.saturating_sub(before.sent) as f64 / seconds,
+            self.received.saturating_sub(before.received) as f64 / seconds,
+            cpu_time.as_secs_f64() / seconds,
         ]
     }
 }
 
-/// What each host has spent.
-async fn spent(cluster: &Cluster) -> Vec<Spent> {
+/// Reads the usage of each host.
+async fn read_usage(cluster: &Cluster) -> Vec<Usage> {
     let hosts = cluster.hosts.iter().map(|host| async {
-        let dump = dump(host.addresses.operators).await;
-        let count = |name: &str| dump["metrics"][name].as_u64().unwrap_or_default();
-        Spent {
-            sent: count("cornelhitch.bytes-sent"),
-            received: count("cornelhitch.bytes-received"),
-            processor: meter::processor(&cluster::threads(host.process.host)),
+        let dump = fetch_dump(host.addresses.operators).await;
+        let counter = |name: &str| dump["metrics"][name].as_u64().unwrap_or_default();
+        Usage {
+            sent: counter("cornelhitch.bytes-sent"),
+            received: counter("cornelhitch.bytes-received"),
+            cpu_time: process_stats::cpu_time(&cluster::thread_name(host.process.host)),
         }
     });
     join_all(hosts).await
 }
 
-/// The dump of a host.
-async fn dump(host: SocketAddr) -> Value {
+async fn fetch_dump(host: SocketAddr) -> Value {
     operator::call(host, "GET", "/dump", &Value::Null).await
 }
 
-/// A target that only announces itself and lives.
-async fn target(number: usize, hosts: Vec<SocketAddr>) {
-    let client: Connections = Client::builder(TokioExecutor::new()).build_http();
+/// Announces a target to all hosts and then sends heartbeats forever.
+async fn run_target(number: usize, hosts: Vec<SocketAddr>) {
+    let client: HttpClient = Client::builder(TokioExecutor::new()).build_http();
     let announcement = announcement(number);
     for host in &hosts {
         post(&client, *host, ANNOUNCE, &announcement).await;
     }
     for sequence in 1.. {
         let heartbeat = heartbeat(&announcement, sequence);
-        let told = hosts
+        let posts = hosts
             .iter()
             .map(|host| post(&client, *host, HEARTBEAT, &heartbeat));
-        join_all(told).await;
-        tokio::time::sleep(BEAT).await;
+        join_all(posts).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-/// Posts a message and reads the answer.
-async fn post(client: &Connections, host: SocketAddr, path: &str, message: &impl Serialize) {
+/// Posts a message and discards the response, after counting accepted heartbeats.
+async fn post(client: &HttpClient, host: SocketAddr, path: &str, message: &impl Serialize) {
     let body = serde_json::to_vec(message).unwrap_or_default();
     let request = Request::post(format!("http://{host}{path}"))
         .header("content-type", "application/json")
@@ -223,13 +235,13 @@
     };
     if let Ok(response) = client.request(request).await {
         if path == HEARTBEAT && response.status().is_success() {
-            TAKEN.fetch_add(1, Ordering::Relaxed);
+            HEARTBEATS_ACCEPTED.fetch_add(1, Ordering::Relaxed);
         }
         drop(response.into_body().collect().await);
     }
 }
 
-/// That a target is there.
+/// Returns the announcement of a target.
 fn announcement(number: usize) -> Announcement {
     let region = ["north", "middle", "south"][number % 3];
     Announcement {
@@ -248,7 +260,7 @@
     }
 }
 
-/// That a target lives; its load is never twice the same.
+/// Returns a heartbeat. Its load differs from that of the heartbeat before.
 fn heartbeat(announcement: &Announcement, sequence: u64) -> Heartbeat {
     Heartbeat {
         target: announcement.target.clone(),
--- a/crates/trial/examples/quickstart.rs
+++ b/crates/trial/examples/quickstart.rs
@@ -1,7 +1,8 @@
-//! Three hosts and four stand-in workers on loopback, and a burst of first requests.
+//! Runs three hosts and four stand-in workers on loopback and sends a burst of requests for three
+//! unloaded models.
 //!
-//! `cargo run --release --example quickstart` prints a row a model, and ends
-//! with status 1 if a promise was broken.
+//! `cargo run --release --example quickstart` prints one row per model and exits with status 1 if a
+//! guarantee was violated.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,7 +11,7 @@
 
 use cornelhitch_standin::engine::Engine;
 use cornelhitch_standin::store::Store;
-use cornelhitch_trial::caller::{Ask, Caller, End};
+use cornelhitch_trial::caller::{Caller, ModelRequest, Outcome};
 use cornelhitch_trial::cluster::{self, Cluster};
 use cornelhitch_trial::workers;
 use cornelhitch_types::model::Reference;
@@ -18,22 +19,22 @@
 use hdrhistogram::Histogram;
 use tokio_util::sync::CancellationToken;
 
-/// First requests for each model.
+/// Number of requests for each model.
 const REQUESTS: usize = 40;
 
-/// Tokens of an answer.
-const TOKENS: u64 = 12;
+/// Length of an answer in tokens.
+const MAX_TOKENS: u64 = 12;
 
-/// The longest time to a first token that is told apart, in milliseconds.
-const LONGEST_MS: u64 = 60_000;
+/// Upper bound of the histogram. Longer times to first token are counted as this one.
+const MAX_RECORDED_MS: u64 = 60_000;
 
-/// Time that the cluster may take to be ready.
-const READY: Duration = Duration::from_secs(8);
+/// Timeout until the first host is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time after the burst in which the workers' counts settle.
-const SETTLE: Duration = Duration::from_millis(1_500);
+/// Time after the burst in which the workers finish loads that are in progress.
+const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
-/// The fleet's settings: three models on workers that hold one or two each.
+/// Settings of the fleet: three models, of which a worker can hold one or two.
 const FLEET: &str = "
 loading: { starts-per-second: 4.0, concurrency: 4, remote-ms-per-gib: 100 }
 placing: { replicas: 2 }
@@ -48,12 +49,12 @@
 /// The models of [`FLEET`].
 const MODELS: [&str; 3] = ["summary", "preview", "review"];
 
-/// What came of one model's requests.
-struct Row {
+/// Results for one model.
+struct ModelResult {
     model: &'static str,
-    ends: Vec<End>,
-    decided: u64,
-    loaded: u32,
+    outcomes: Vec<Outcome>,
+    replicas_decided: u64,
+    replicas_loaded: u32,
 }
 
 fn main() -> ExitCode {
@@ -62,27 +63,27 @@
         .with_writer(std::io::stderr)
         .init();
     match run() {
-        Ok(broken) if broken.is_empty() => {
+        Ok(violations) if violations.is_empty() => {
             println!("every promise was kept");
             ExitCode::SUCCESS
         }
-        Ok(broken) => {
-            for line in broken {
+        Ok(violations) => {
+            for line in violations {
                 println!("BROKEN: {line}");
             }
             ExitCode::FAILURE
         }
         Err(error) => {
-            println!("the trial did not run: {error}");
+            println!("the run failed: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Runs the burst and returns what broke a promise.
+/// Runs the burst and returns the violated guarantees.
 fn run() -> Result<Vec<String>, Box<dyn std::error::Error>> {
     let regions = ["north", "middle", "south"].map(str::to_owned).to_vec();
-    let cluster = Cluster::start(&cluster::Plan {
+    let cluster = Cluster::start(&cluster::ClusterSpec {
         regions: regions.clone(),
         hosts: 3,
         voters: 3,
@@ -90,7 +91,7 @@
     })?;
     let runtime = tokio::runtime::Runtime::new()?;
     let stop = CancellationToken::new();
-    let plan = workers::Plan {
+    let spec = workers::WorkerSpec {
         regions,
         workers: 4,
         memory: 8 << 30,
@@ -100,128 +101,138 @@
             .gib(Duration::from_millis(100))
             .build(),
     };
-    let hosts = cluster.callers();
-    let broken = runtime.block_on(async {
-        let engines = workers::start(&plan, &hosts, &stop).await?;
-        ready(hosts[0]).await?;
-        let rows = burst(&hosts).await;
-        tokio::time::sleep(SETTLE).await;
-        let rows = count(rows, &cluster, &engines).await;
-        let mut broken: Vec<String> = rows.iter().flat_map(Row::broken).collect();
+    let hosts = cluster.caller_addresses();
+    let violations = runtime.block_on(async {
+        let engines = workers::start(&spec, &hosts, &stop).await?;
+        wait_until_ready(hosts[0]).await?;
+        let results = send_burst(&hosts).await;
+        tokio::time::sleep(SETTLE_TIME).await;
+        let results = add_replica_counts(results, &cluster, &engines).await;
+        let mut violations: Vec<String> =
+            results.iter().flat_map(ModelResult::violations).collect();
         for engine in &engines {
             let counters = engine.counters();
-            if counters.overcommits > 0 || counters.memory_peak > plan.memory {
-                broken.push(format!("a worker's memory was overcommitted: {counters:?}"));
+            if counters.overcommits > 0 || counters.memory_peak > spec.memory {
+                violations.push(format!("a worker's memory was overcommitted: {counters:?}"));
             }
         }
-        Ok::<_, Box<dyn std::error::Error>>(broken)
+        Ok::<_, Box<dyn std::error::Error>>(violations)
     });
     stop.cancel();
     runtime.shutdown_background();
-    broken
+    violations
 }
 
-/// Waits until a host takes requests.
-async fn ready(host: SocketAddr) -> Result<(), String> {
+/// Waits until a host knows all entry hosts and the settings.
+async fn wait_until_ready(host: SocketAddr) -> Result<(), String> {
     let caller = Caller::new("probe");
     let started = Instant::now();
-    while started.elapsed() < READY {
-        if caller.entries(host).await.len() == 3 && models(&caller, host).await {
+    while started.elapsed() < READY_TIMEOUT {
+        if caller.fetch_entries(host).await.len() == 3 && knows_settings(&caller, host).await {
             println!("three hosts ready after {:?}", started.elapsed());
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    Err(format!("the hosts were not ready within {READY:?}"))
+    Err(format!("{host} was not ready within {READY_TIMEOUT:?}"))
 }
 
-/// Whether a host knows the settings: an unknown model is told from an isolated host.
-async fn models(caller: &Caller, host: SocketAddr) -> bool {
-    let ask = Ask {
+/// Whether a host has the settings. Without them it refuses all requests as isolated; with them it
+/// answers a request for an unknown model with 404.
+async fn knows_settings(caller: &Caller, host: SocketAddr) -> bool {
+    let request = ModelRequest {
         model: Reference::base("nothing"),
-        ..ask("nothing", 0)
+        ..model_request("nothing", 0)
     };
-    let end = caller.ask(host, &ask).await;
-    end.is_status(http::StatusCode::NOT_FOUND)
+    let outcome = caller.request_model(host, &request).await;
+    outcome.is_status(http::StatusCode::NOT_FOUND)
 }
 
-/// A request for a model.
-fn ask(model: &str, number: usize) -> Ask {
-    Ask {
+/// Returns a request for a model, streamed if `number` is even.
+fn model_request(model: &str, number: usize) -> ModelRequest {
+    ModelRequest {
         model: Reference::base(model),
         prompt: format!("the {number}th item"),
-        tokens: TOKENS,
+        tokens: MAX_TOKENS,
         stream: number.is_multiple_of(2),
         class: None,
         deadline: None,
     }
 }
 
-/// Sends the first requests for all models at once, to all hosts.
-async fn burst(hosts: &[SocketAddr]) -> Vec<Row> {
-    let asks = MODELS.map(|model| async move {
+/// Sends the requests for all models at the same time, distributed over all hosts.
+async fn send_burst(hosts: &[SocketAddr]) -> Vec<ModelResult> {
+    let models = MODELS.map(|model| async move {
         let requests = (0..REQUESTS).map(|number| async move {
             let caller = Caller::new(format!("caller-{number}"));
             let host = hosts[number % hosts.len()];
-            caller.ask(host, &ask(model, number)).await
+            caller
+                .request_model(host, &model_request(model, number))
+                .await
         });
-        Row {
+        ModelResult {
             model,
-            ends: join_all(requests).await,
-            decided: 0,
-            loaded: 0,
+            outcomes: join_all(requests).await,
+            replicas_decided: 0,
+            replicas_loaded: 0,
         }
     });
-    join_all(asks).await
+    join_all(models).await
 }
 
-/// Adds what was decided and what was loaded.
-async fn count(mut rows: Vec<Row>, cluster: &Cluster, engines: &[Engine]) -> Vec<Row> {
-    let decided = cornelhitch_trial::operator::decided(cluster).await;
+/// Adds the replicas decided and loaded to the results, and prints them.
+async fn add_replica_counts(
+    mut results: Vec<ModelResult>,
+    cluster: &Cluster,
+    engines: &[Engine],
+) -> Vec<ModelResult> {
+    let decided = cornelhitch_trial::operator::replicas_decided(cluster).await;
     println!("model     requests answered refused decided loaded     p50     p99");
-    for row in &mut rows {
-        row.decided = decided.get(row.model).copied().unwrap_or_default();
-        row.loaded = engines
+    for result in &mut results {
+        result.replicas_decided = decided.get(result.model).copied().unwrap_or_default();
+        result.replicas_loaded = engines
             .iter()
-            .map(|engine| engine.counters().loads_of(row.model))
+            .map(|engine| engine.counters().loads_of(result.model))
             .sum();
-        row.print();
-        row.explain();
+        result.print();
+        result.print_refusal_reasons();
     }
-    rows
+    results
 }
 
-impl Row {
-    /// Prints the row.
+impl ModelResult {
+    /// Prints the row of the model.
     fn print(&self) {
-        let mut times = Histogram::<u64>::new_with_bounds(1, LONGEST_MS, 3).expect("bounds");
-        for end in &self.ends {
-            if let End::Answered { first, .. } = end {
-                times.saturating_record(u64::try_from(first.as_millis()).unwrap_or(u64::MAX));
+        let mut first_token_times = Histogram::<u64>::new_with_bounds(1, MAX_RECORDED_MS, 3)
+            .expect("valid histogram bounds");
+        for outcome in &self.outcomes {
+            if let Outcome::Answered { first_token, .. } = outcome {
+                first_token_times
+                    .saturating_record(u64::try_from(first_token.as_millis()).unwrap_or(u64::MAX));
             }
         }
         let refused = self
-            .ends
+            .outcomes
             .iter()
-            .filter(|end| matches!(end, End::Refused { .. }));
+            .filter(|outcome| matches!(outcome, Outcome::Refused { .. }));
         println!(
             "{:9} {:8} {:8} {:7} {:7} {:6} {:4} ms {:4} ms",
             self.model,
-            self.ends.len(),
-            times.len(),
+            self.outcomes.len(),
+            first_token_times.len(),
             refused.count(),
-            self.decided,
-            self.loaded,
-            times.value_at_quantile(0.5),
-            times.value_at_quantile(0.99),
+            self.replicas_decided,
+            self.replicas_loaded,
+            first_token_times.value_at_quantile(0.5),
+            first_token_times.value_at_quantile(0.99),
         );
     }
 
-    /// Prints why requests were refused, a line a reason.
-    fn explain(&self) {
+    /// Prints the distinct reasons of refusals, with their counts.
+    fn print_refusal_reasons(&self) {
         let mut reasons = BTreeMap::<&str, usize>::new();
-        for end in &self.ends {
-            if let End::Refused { detail, .. } = end {
+        for outcome in &self.outcomes {
+            if let Outcome::Refused { detail, .. } = outcome {
                 *reasons.entry(detail).or_default() += 1;
             }
         }
@@ -230,23 +241,24 @@
         }
     }
 
-    /// What broke a promise.
-    fn broken(&self) -> Vec<String> {
-        let mut broken = Vec::new();
-        for end in &self.ends {
-            if !end.is_answered() && !end.is_not_run() {
-                broken.push(format!("{}: {end:?}", self.model));
+    /// Returns the violated guarantees: each request is answered or refused as not run, at least one
+    /// is answered, and no more replicas are loaded than were decided.
+    fn violations(&self) -> Vec<String> {
+        let mut violations = Vec::new();
+        for outcome in &self.outcomes {
+            if !outcome.is_answered() && !outcome.is_not_run() {
+                violations.push(format!("{}: {outcome:?}", self.model));
             }
         }
-        if u64::from(self.loaded) > self.decided {
-            broken.push(format!(
+        if u64::from(self.replicas_loaded) > self.replicas_decided {
+            violations.push(format!(
                 "{}: {} replicas loaded, {} decided",
-                self.model, self.loaded, self.decided
+                self.model, self.replicas_loaded, self.replicas_decided
             ));
         }
-        if !self.ends.iter().any(End::is_answered) {
-            broken.push(format!("{}: no request was answered", self.model));
+        if !self.outcomes.iter().any(Outcome::is_answered) {
+            violations.push(format!("{}: no request was answered", self.model));
         }
-        broken
+        violations
     }
 }
--- a/crates/trial/examples/rolling.rs
+++ b/crates/trial/examples/rolling.rs
@@ -1,8 +1,9 @@
-//! A rolling restart of all nine hosts under load, which cuts off no request.
+//! Restarts all nine hosts of a cluster one after another under load, and checks that no request is
+//! interrupted.
 //!
-//! `cargo run --release --example rolling` lets callers follow `/v1/entries`,
-//! shuts one host down after another gracefully and starts it again, and counts
-//! what was cut off. It ends with status 1 if anything was.
+//! `cargo run --release --example rolling` starts callers that choose their host from
+//! `/v1/entries`, and drains and restarts each host. The exit status is 1 if a request was
+//! interrupted.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,26 +13,27 @@
 use std::time::{Duration, Instant};
 
 use cornelhitch_standin::store::Store;
-use cornelhitch_trial::caller::{Ask, Caller, End};
-use cornelhitch_trial::cluster::{Cluster, Plan};
+use cornelhitch_trial::caller::{Caller, ModelRequest, Outcome};
+use cornelhitch_trial::cluster::{Cluster, ClusterSpec};
 use cornelhitch_trial::workers;
 use cornelhitch_types::model::Reference;
 use tokio_util::sync::CancellationToken;
 
-/// Hosts, and how many of them vote.
+/// Number of hosts and of the voters among them.
 const HOSTS: usize = 9;
 const VOTERS: usize = 3;
 
-/// Callers that ask one request after another.
+/// Number of concurrent callers, each with one request in flight.
 const CALLERS: usize = 40;
 
-/// Time that a caller keeps an answer of `/v1/entries`; hosts name 7 to 10 s.
-const KEPT: Duration = Duration::from_secs(5);
+/// Time for which a caller caches the answer of `/v1/entries`. Below the `max-age` of 7 to 10 s
+/// that hosts send.
+const ENTRIES_TTL: Duration = Duration::from_secs(5);
 
-/// Time that a graceful shutdown may take.
-const DRAIN: Duration = Duration::from_mins(1);
+/// Time limit for draining a host.
+const DRAIN_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// The fleet's settings.
+/// Settings of the fleet.
 const FLEET: &str = "
 loading: { starts-per-second: 4.0, remote-ms-per-gib: 100 }
 regions: [{ name: a }, { name: b }, { name: c }]
@@ -41,21 +43,21 @@
 fn main() -> ExitCode {
     match run() {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(cut) => {
-            println!("BROKEN: {cut} requests were cut off");
+        Ok(interrupted) => {
+            println!("BROKEN: {interrupted} requests were cut off");
             ExitCode::FAILURE
         }
         Err(error) => {
-            println!("the trial did not run: {error}");
+            println!("the run failed: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Runs the restart and returns how many requests were cut off.
+/// Restarts all hosts and returns the number of interrupted requests.
 fn run() -> Result<usize, Box<dyn std::error::Error>> {
     let regions = ["a", "b", "c"].map(str::to_owned).to_vec();
-    let mut cluster = Cluster::start(&Plan {
+    let mut cluster = Cluster::start(&ClusterSpec {
         regions: regions.clone(),
         hosts: HOSTS,
         voters: VOTERS,
@@ -63,8 +65,8 @@
     })?;
     let runtime = tokio::runtime::Runtime::new()?;
     let stop = CancellationToken::new();
-    let hosts = cluster.callers();
-    let plan = workers::Plan {
+    let hosts = cluster.caller_addresses();
+    let spec = workers::WorkerSpec {
         regions,
         workers: 4,
         memory: 4 << 30,
@@ -74,16 +76,16 @@
             .gib(Duration::from_millis(100))
             .build(),
     };
-    let _engines = runtime.block_on(workers::start(&plan, &hosts, &stop))?;
+    let _engines = runtime.block_on(workers::start(&spec, &hosts, &stop))?;
     std::thread::sleep(Duration::from_secs(5));
-    let over = Arc::new(AtomicBool::new(false));
+    let stop_callers = Arc::new(AtomicBool::new(false));
     let callers: Vec<_> = (0..CALLERS)
-        .map(|number| runtime.spawn(call(number, hosts.clone(), over.clone())))
+        .map(|number| runtime.spawn(run_caller(number, hosts.clone(), stop_callers.clone())))
         .collect();
     for index in 0..HOSTS {
         let started = Instant::now();
-        let host = cluster.take(index);
-        let ended = host.is_none_or(|host| host.drain(DRAIN));
+        let host = cluster.take_running(index);
+        let ended = host.is_none_or(|host| host.drain(DRAIN_TIMEOUT));
         println!(
             "host {}: ended {ended} after {:?}",
             index + 1,
@@ -92,76 +94,86 @@
         cluster.restart(index)?;
         std::thread::sleep(Duration::from_secs(3));
     }
-    over.store(true, Ordering::Relaxed);
-    let mut kinds: BTreeMap<&str, usize> = BTreeMap::new();
+    stop_callers.store(true, Ordering::Relaxed);
+    let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for caller in callers {
-        for end in runtime.block_on(caller)? {
-            *kinds.entry(kind(&end)).or_default() += 1;
+        for outcome in runtime.block_on(caller)? {
+            *counts.entry(outcome_label(&outcome)).or_default() += 1;
         }
     }
-    println!("{kinds:?}");
+    println!("{counts:?}");
     stop.cancel();
     runtime.shutdown_background();
-    let cut = ["broken off", "cut off", "wrong"];
-    Ok(cut.iter().filter_map(|kind| kinds.get(kind)).sum())
+    let interrupted = ["broken off", "cut off", "wrong"];
+    Ok(interrupted
+        .iter()
+        .filter_map(|label| counts.get(label))
+        .sum())
 }
 
-/// One caller that follows `/v1/entries` until the end.
-async fn call(number: usize, hosts: Vec<SocketAddr>, over: Arc<AtomicBool>) -> Vec<End> {
+/// Sends requests one after another to the first host of `/v1/entries` until `stop_callers` is set.
+async fn run_caller(
+    number: usize,
+    hosts: Vec<SocketAddr>,
+    stop_callers: Arc<AtomicBool>,
+) -> Vec<Outcome> {
     let caller = Caller::new(format!("caller-{number}"));
-    let mut ends = Vec::new();
-    let mut kept: Vec<SocketAddr> = Vec::new();
-    let mut asked = Instant::now();
-    let mut count = 0;
-    while !over.load(Ordering::Relaxed) {
-        count += 1;
-        if kept.is_empty() || asked.elapsed() > KEPT {
-            // Any host answers; the one after may be away.
-            for host in hosts.iter().cycle().skip(number + count).take(HOSTS) {
-                kept = caller.entries(*host).await;
-                if !kept.is_empty() {
+    let mut outcomes = Vec::new();
+    let mut entries: Vec<SocketAddr> = Vec::new();
+    let mut fetched_at = Instant::now();
+    let mut sequence = 0;
+    while !stop_callers.load(Ordering::Relaxed) {
+        sequence += 1;
+        if entries.is_empty() || fetched_at.elapsed() > ENTRIES_TTL {
+            // Any host can answer; the next one is tried if a host is down.
+            for host in hosts.iter().cycle().skip(number + sequence).take(HOSTS) {
+                entries = caller.fetch_entries(*host).await;
+                if !entries.is_empty() {
                     break;
                 }
             }
-            asked = Instant::now();
+            fetched_at = Instant::now();
         }
-        let Some(host) = kept.first().copied() else {
+        let Some(host) = entries.first().copied() else {
             continue;
         };
-        let end = caller.ask(host, &ask(number, count)).await;
-        if !end.is_answered() {
-            kept.clear();
+        let outcome = caller
+            .request_model(host, &model_request(number, sequence))
+            .await;
+        if !outcome.is_answered() {
+            entries.clear();
         }
-        ends.push(end);
+        outcomes.push(outcome);
     }
-    ends
+    outcomes
 }
 
-/// A request.
-fn ask(number: usize, count: usize) -> Ask {
-    Ask {
+/// Returns a request, streamed if `sequence` is even.
+fn model_request(number: usize, sequence: usize) -> ModelRequest {
+    ModelRequest {
         model: Reference::base(if number.is_multiple_of(2) {
             "report"
         } else {
             "preview"
         }),
-        prompt: format!("{number}/{count}"),
+        prompt: format!("{number}/{sequence}"),
         tokens: 40,
-        stream: count.is_multiple_of(2),
+        stream: sequence.is_multiple_of(2),
         class: None,
         deadline: None,
     }
 }
 
-/// The kind of an end; a connection that was refused reached no host.
-fn kind(end: &End) -> &'static str {
-    match end {
-        End::Answered { .. } => "answered",
-        End::Refused { .. } if end.is_not_run() => "refused, not run",
-        End::Refused { .. } => "refused",
-        End::BrokenOff { .. } => "broken off",
-        End::Lost { detail } if detail.contains("Connect") => "no connection",
-        End::Lost { .. } => "cut off",
-        End::Wrong { .. } => "wrong",
+/// Returns the label under which an outcome is counted. A failed connection attempt is no
+/// interruption, since the request reached no host.
+fn outcome_label(outcome: &Outcome) -> &'static str {
+    match outcome {
+        Outcome::Answered { .. } => "answered",
+        Outcome::Refused { .. } if outcome.is_not_run() => "refused, not run",
+        Outcome::Refused { .. } => "refused",
+        Outcome::Interrupted { .. } => "broken off",
+        Outcome::Lost { detail } if detail.contains("Connect") => "no connection",
+        Outcome::Lost { .. } => "cut off",
+        Outcome::Wrong { .. } => "wrong",
     }
 }
--- a/crates/trial/examples/warm.rs
+++ b/crates/trial/examples/warm.rs
@@ -1,8 +1,10 @@
-//! The warm path: one host relaying to a stand-in engine, beside a bare hyper relay.
+//! Measures the overhead of a host for a model that is loaded, compared with a minimal hyper relay
+//! to the same stand-in engine.
 //!
 //! `cargo run --release -p cornelhitch-trial --example warm [PART]...` with the parts `instant`,
-//! `paced`, `load`, `streams-bare` and `streams-host`; without any, each in a process of its own.
-//! Both relays have two threads, whose processor time is told by their names.
+//! `paced`, `load`, `streams-bare` and `streams-host`. A single part runs in this process; several,
+//! or all if none is named, run in a process each. Both relays have two threads, whose CPU time is
+//! found by thread name.
 
 #![allow(clippy::cast_precision_loss)]
 
@@ -15,9 +17,9 @@
 use cornelhitch_standin::engine::Engine;
 use cornelhitch_standin::store::Store;
 use cornelhitch_target::message::{MODEL, REPLICA, REQUEST_ID};
-use cornelhitch_trial::caller::{Ask, Caller, End};
+use cornelhitch_trial::caller::{Caller, ModelRequest, Outcome};
 use cornelhitch_trial::cluster::{self, Cluster};
-use cornelhitch_trial::meter;
+use cornelhitch_trial::process_stats;
 use cornelhitch_types::model::Reference;
 use futures_util::future::join_all;
 use hdrhistogram::Histogram;
@@ -34,16 +36,16 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio_util::sync::CancellationToken;
 
-/// Threads of the bare relay, as many as a host has.
-const THREADS: usize = 2;
+/// Number of threads of the bare relay, the same as for a host.
+const RELAY_THREADS: usize = 2;
 
-/// The name of the bare relay's threads.
-const RELAY: &str = "relay";
+/// Name of the bare relay's threads.
+const RELAY_THREAD_NAME: &str = "relay";
 
-/// The model.
-const SUMMARY: &str = "summary";
+/// Name of the model in [`FLEET`].
+const MODEL_NAME: &str = "summary";
 
-/// The fleet's settings: one model that stays loaded, and no limit in the way.
+/// Settings of the fleet: one model that stays loaded, and limits that no measurement reaches.
 const FLEET: &str = "
 loading: { remote-ms-per-gib: 10 }
 keeping: { minimum-s: 3600, maximum-s: 7200 }
@@ -52,125 +54,125 @@
 models: [{ name: summary, bytes: 1073741824 }]
 ";
 
-/// Time that the host may take to be ready and loaded.
-const READY: Duration = Duration::from_secs(12);
+/// Timeout until the model is loaded and the host answers.
+const READY_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Rounds of the comparison, each with both relays in turn.
+/// Number of rounds of the comparison, which alternates between the relays.
 const ROUNDS: usize = 10;
 
-/// Callers at once.
+/// Number of concurrent callers in the comparison.
 const CALLERS: usize = 4;
 
-/// Requests of a caller in a round.
-const REQUESTS: usize = 40;
+/// Number of requests that each caller sends in a round.
+const REQUESTS_PER_CALLER: usize = 40;
 
-/// Tokens of an answer of the comparison.
-const TOKENS: u64 = 16;
+/// Length of an answer in tokens in the comparison.
+const COMPARE_TOKENS: u64 = 16;
 
-/// Requests a second of one node at the later size.
-const RATE: u32 = 83;
+/// Request rate of one node at the later size of the fleet.
+const LOAD_REQUESTS_PER_SECOND: u32 = 83;
 
-/// Tokens of an answer at the later size: 21,200 tokens a second.
-const LONG: u64 = 255;
+/// Length of an answer in tokens at that size; with the request rate, 21,200 tokens/s.
+const LOAD_TOKENS: u64 = 255;
 
-/// How long that load goes on.
-const SPAN: u32 = 5;
+/// Duration of that load.
+const LOAD_SECONDS: u32 = 5;
 
-/// The longest time that is told apart, in microseconds.
-const LONGEST: u64 = 60_000_000;
+/// Upper bound of the histograms. Longer times are counted as this one.
+const MAX_RECORDED_MICROS: u64 = 60_000_000;
 
-/// Open streams at which memory is read.
-const STREAMS: [usize; 3] = [100, 300, 700];
+/// Numbers of open streams at which the memory is read.
+const OPEN_STREAMS: [usize; 3] = [100, 300, 700];
 
-/// What is measured.
+/// Part of the measurement, as named on the command line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumString, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 enum Part {
-    /// Times with an engine that takes no time.
+    /// Latency with an engine that generates tokens without delay.
     Instant,
-    /// Times with an engine of 5 ms to the first token and 2 ms a token.
+    /// Latency with an engine that takes 5 ms to the first token and 2 ms per token.
     Paced,
-    /// Processor time at a node's share of the later size.
+    /// CPU time at the load of one node at the later size.
     Load,
-    /// Memory of open streams through the bare relay.
+    /// Memory per open stream through the bare relay.
     StreamsBare,
-    /// Memory of open streams through the host.
+    /// Memory per open stream through the host.
     StreamsHost,
 }
 
-/// Which relay.
+/// One of the compared relays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
-enum Way {
-    /// The bare one.
+enum Relay {
+    /// The minimal hyper relay.
     Bare,
-    /// The host.
+    /// The host under test.
     Host,
 }
 
-/// Both relays in front of one engine.
-struct Scene {
+/// Addresses of both relays to one engine, and the client that calls them.
+struct Setup {
     bare: SocketAddr,
     host: SocketAddr,
     caller: Caller,
 }
 
-/// What came of several requests.
-struct Tally {
-    first: Histogram<u64>,
-    whole: Histogram<u64>,
-    faults: Vec<End>,
+/// Latencies of answered requests in microseconds, and the outcomes of the others.
+struct Results {
+    first_token: Histogram<u64>,
+    total: Histogram<u64>,
+    failures: Vec<Outcome>,
 }
 
 fn main() -> ExitCode {
     let parts: Vec<String> = std::env::args().skip(1).collect();
     let measured = match parts.as_slice() {
         [part] => part.parse().map_err(Into::into).and_then(measure),
-        parts => all(parts),
+        parts => measure_all(parts),
     };
     match measured {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("the trial did not run: {error}");
+            eprintln!("the measurement failed: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Measures parts, each in a process of its own.
-fn all(parts: &[String]) -> Result<(), Box<dyn std::error::Error>> {
-    let me = std::env::current_exe()?;
+/// Measures the named parts, or all if none is named, each in its own process.
+fn measure_all(parts: &[String]) -> Result<(), Box<dyn std::error::Error>> {
+    let executable = std::env::current_exe()?;
     for part in Part::iter().map(|part| part.to_string()) {
         if parts.is_empty() || parts.contains(&part) {
-            Command::new(&me).arg(&part).status()?;
+            Command::new(&executable).arg(&part).status()?;
         }
     }
     Ok(())
 }
 
-/// Measures one part.
+/// Measures one part in this process.
 fn measure(part: Part) -> Result<(), Box<dyn std::error::Error>> {
-    let cluster = Cluster::start(&cluster::Plan {
+    let cluster = Cluster::start(&cluster::ClusterSpec {
         regions: vec!["north".to_owned()],
         hosts: 1,
         voters: 1,
         fleet: FLEET.to_owned(),
     })?;
-    let relays = threads(RELAY)?;
+    let relays = relay_runtime(RELAY_THREAD_NAME)?;
     let runtime = Runtime::new()?;
     let stop = CancellationToken::new();
     let measured = runtime.block_on(async {
-        let host = cluster.callers()[0];
-        let engine = engine(part, host, &stop).await?;
-        let bare = serve(&relays, engine.address()).await?;
+        let host = cluster.caller_addresses()[0];
+        let engine = start_engine(part, host, &stop).await?;
+        let bare = start_bare_relay(&relays, engine.address()).await?;
         let caller = Caller::new("warm");
-        let scene = Scene { bare, host, caller };
-        scene.warm().await?;
+        let setup = Setup { bare, host, caller };
+        setup.wait_until_ready().await?;
         match part {
-            Part::Instant | Part::Paced => scene.compare(part).await,
-            Part::Load => scene.load().await,
-            Part::StreamsBare => scene.streams(Way::Bare).await,
-            Part::StreamsHost => scene.streams(Way::Host).await,
+            Part::Instant | Part::Paced => setup.compare(part).await,
+            Part::Load => setup.measure_load().await,
+            Part::StreamsBare => setup.measure_streams(Relay::Bare).await,
+            Part::StreamsHost => setup.measure_streams(Relay::Host).await,
         }
         Ok(())
     });
@@ -180,17 +182,17 @@
     measured
 }
 
-/// A runtime whose threads bear a name.
-fn threads(name: &str) -> std::io::Result<Runtime> {
+/// Creates a runtime with threads of the given name.
+fn relay_runtime(name: &str) -> std::io::Result<Runtime> {
     Builder::new_multi_thread()
-        .worker_threads(THREADS)
+        .worker_threads(RELAY_THREADS)
         .thread_name(name)
         .enable_all()
         .build()
 }
 
-/// The engine of a part.
-async fn engine(
+/// Starts the engine with the delays of a part.
+async fn start_engine(
     part: Part,
     host: SocketAddr,
     stop: &CancellationToken,
@@ -214,121 +216,137 @@
     Ok(engine.start(stop.child_token()).await?)
 }
 
-impl Scene {
-    /// Waits until the model is loaded and both relays answer.
-    async fn warm(&self) -> Result<(), Box<dyn std::error::Error>> {
+impl Setup {
+    /// Waits until the host has loaded the model and both relays answer.
+    async fn wait_until_ready(&self) -> Result<(), Box<dyn std::error::Error>> {
         let started = Instant::now();
-        while started.elapsed() < READY {
-            let host = self.caller.ask(self.host, &ask(0, 1, true)).await;
+        while started.elapsed() < READY_TIMEOUT {
+            let host = self
+                .caller
+                .request_model(self.host, &model_request(0, 1, true))
+                .await;
             if host.is_answered() {
-                let bare = self.caller.ask(self.bare, &ask(0, 1, true)).await;
+                let bare = self
+                    .caller
+                    .request_model(self.bare, &model_request(0, 1, true))
+                    .await;
                 if bare.is_answered() {
                     return Ok(());
                 }
-                return Err(format!("the bare relay: {bare:?}").into());
+                return Err(format!("expected an answer from the bare relay, got {bare:?}").into());
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        Err("the host did not load the model".into())
+        Err("the host did not answer a request for the model before the timeout".into())
     }
 
-    /// Where a relay listens.
-    fn address(&self, way: Way) -> SocketAddr {
-        match way {
-            Way::Bare => self.bare,
-            Way::Host => self.host,
+    fn address(&self, relay: Relay) -> SocketAddr {
+        match relay {
+            Relay::Bare => self.bare,
+            Relay::Host => self.host,
         }
     }
 
-    /// Times of both relays in turn, streamed and not.
+    /// Compares the latency of both relays, alternating between them, streamed and not.
     async fn compare(&self, part: Part) {
         for stream in [true, false] {
-            let mut bare = Tally::new();
-            let mut host = Tally::new();
+            let mut bare = Results::new();
+            let mut host = Results::new();
             for round in 0..ROUNDS {
-                for (way, tally) in [(Way::Bare, &mut bare), (Way::Host, &mut host)] {
-                    tally.take(self.round(way, round, stream).await);
+                for (relay, results) in [(Relay::Bare, &mut bare), (Relay::Host, &mut host)] {
+                    results.record(self.run_round(relay, round, stream).await);
                 }
             }
             let kind = if stream { "streamed" } else { "whole" };
             bare.print(&format!("{part} {kind} bare"));
             host.print(&format!("{part} {kind} host"));
-            let ratio = |of: fn(&Tally) -> &Histogram<u64>| {
-                let [host, bare] = [&host, &bare].map(|tally| of(tally).value_at_quantile(0.5));
+            let ratio = |of: fn(&Results) -> &Histogram<u64>| {
+                let [host, bare] = [&host, &bare].map(|results| of(results).value_at_quantile(0.5));
                 host as f64 / bare.max(1) as f64
             };
             println!(
                 "{part} {kind}: the host's p50 is {:.2} times the bare one's (first), {:.2} (whole)",
-                ratio(|tally| &tally.first),
-                ratio(|tally| &tally.whole),
+                ratio(|results| &results.first_token),
+                ratio(|results| &results.total),
             );
         }
     }
 
-    /// Some callers, each with one request after the other.
-    async fn round(&self, way: Way, round: usize, stream: bool) -> Vec<End> {
+    /// Runs the concurrent callers of one round, each with one request in flight.
+    async fn run_round(&self, relay: Relay, round: usize, stream: bool) -> Vec<Outcome> {
         let callers = (0..CALLERS).map(|caller| async move {
-            let mut ends = Vec::new();
-            for request in 0..REQUESTS {
-                let number = (round * CALLERS + caller) * REQUESTS + request;
-                let ask = ask(number, TOKENS, stream);
-                ends.push(self.caller.ask(self.address(way), &ask).await);
+            let mut outcomes = Vec::new();
+            for request in 0..REQUESTS_PER_CALLER {
+                let number = (round * CALLERS + caller) * REQUESTS_PER_CALLER + request;
+                let request = model_request(number, COMPARE_TOKENS, stream);
+                outcomes.push(
+                    self.caller
+                        .request_model(self.address(relay), &request)
+                        .await,
+                );
             }
-            ends
+            outcomes
         });
         join_all(callers).await.into_iter().flatten().collect()
     }
 
-    /// Processor time of both relays at a node's share of the later size.
-    async fn load(&self) {
-        for way in [Way::Bare, Way::Host, Way::Bare, Way::Host] {
-            let name = match way {
-                Way::Bare => RELAY.to_owned(),
-                Way::Host => cluster::threads(1),
+    /// Measures the CPU time of both relays at the load of one node at the later size.
+    async fn measure_load(&self) {
+        for relay in [Relay::Bare, Relay::Host, Relay::Bare, Relay::Host] {
+            let name = match relay {
+                Relay::Bare => RELAY_THREAD_NAME.to_owned(),
+                Relay::Host => cluster::thread_name(1),
             };
-            let before = meter::processor(&name);
+            let before = process_stats::cpu_time(&name);
             let started = Instant::now();
-            let asks = (0..RATE * SPAN).map(|number| async move {
-                tokio::time::sleep(Duration::from_secs(1) * number / RATE).await;
-                let ask = ask(number as usize, LONG, true);
-                self.caller.ask(self.address(way), &ask).await
+            let requests = (0..LOAD_REQUESTS_PER_SECOND * LOAD_SECONDS).map(|number| async move {
+                tokio::time::sleep(Duration::from_secs(1) * number / LOAD_REQUESTS_PER_SECOND)
+                    .await;
+                let request = model_request(number as usize, LOAD_TOKENS, true);
+                self.caller
+                    .request_model(self.address(relay), &request)
+                    .await
             });
-            let ends = join_all(asks).await;
-            let took = started.elapsed().as_secs_f64();
-            let spent = meter::processor(&name).saturating_sub(before).as_secs_f64();
-            let mut tally = Tally::new();
-            tally.take(ends);
-            let answers = tally.whole.len() as f64;
-            let tokens = answers * LONG as f64;
-            tally.print(&format!("load {way}"));
+            let outcomes = join_all(requests).await;
+            let seconds = started.elapsed().as_secs_f64();
+            let cpu_seconds = process_stats::cpu_time(&name)
+                .saturating_sub(before)
+                .as_secs_f64();
+            let mut results = Results::new();
+            results.record(outcomes);
+            let answered = results.total.len() as f64;
+            let tokens = answered * LOAD_TOKENS as f64;
+            results.print(&format!("load {relay}"));
             println!(
-                "load {way}: {:.0} tokens/s over {took:.1} s, {:.2} us of a core a token, {:.0} us a \
-                 request of {LONG}, {:.2} of a core at 21,200 tokens/s; load average {}",
-                tokens / took,
-                spent / tokens * 1e6,
-                spent / answers * 1e6,
-                spent / tokens * 21_200.0,
-                meter::load(),
+                "load {relay}: {:.0} tokens/s over {seconds:.1} s, {:.2} us of a core a token, {:.0} us a \
+                 request of {LOAD_TOKENS}, {:.2} of a core at 21,200 tokens/s; load average {}",
+                tokens / seconds,
+                cpu_seconds / tokens * 1e6,
+                cpu_seconds / answered * 1e6,
+                cpu_seconds / tokens * 21_200.0,
+                process_stats::load_average(),
             );
         }
     }
 
-    /// Memory of the process at several counts of open streams.
-    async fn streams(&self, way: Way) {
-        let address = self.address(way);
-        let mut last = (0, meter::resident());
+    /// Measures the memory of the process at increasing numbers of open streams.
+    async fn measure_streams(&self, relay: Relay) {
+        let address = self.address(relay);
+        let mut last = (0, process_stats::resident_bytes());
         let mut open = Vec::new();
-        for count in STREAMS {
+        for count in OPEN_STREAMS {
             while open.len() < count {
-                let ask = ask(open.len(), 24, true);
+                let request = model_request(open.len(), 24, true);
                 let caller = self.caller.clone();
-                open.push(tokio::spawn(async move { caller.ask(address, &ask).await }));
+                open.push(tokio::spawn(async move {
+                    caller.request_model(address, &request).await
+                }));
             }
             tokio::time::sleep(Duration::from_millis(2_500)).await;
-            let now = meter::resident();
+            let now = process_stats::resident_bytes();
             let ended = open.iter().filter(|open| open.is_finished()).count();
             println!(
-                "streams through {way}: {count} open ({ended} ended), {:.1} MB, {:.1} kB a further one",
+                "streams through {relay}: {count} open ({ended} ended), {:.1} MB, {:.1} kB a further one",
                 now as f64 / 1e6,
                 (now as f64 - last.1 as f64) / (count - last.0) as f64 / 1e3,
             );
@@ -337,52 +355,54 @@
     }
 }
 
-impl Tally {
-    /// Nothing yet.
+impl Results {
+    /// Creates empty results.
     fn new() -> Self {
-        let empty = || Histogram::new_with_bounds(1, LONGEST, 3).expect("the bounds are allowed");
+        let empty = || {
+            Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, 3).expect("valid histogram bounds")
+        };
         Self {
-            first: empty(),
-            whole: empty(),
-            faults: Vec::new(),
+            first_token: empty(),
+            total: empty(),
+            failures: Vec::new(),
         }
     }
 
-    /// Adds ends.
-    fn take(&mut self, ends: Vec<End>) {
+    /// Adds the outcomes of several requests.
+    fn record(&mut self, outcomes: Vec<Outcome>) {
         let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
-        for end in ends {
-            if let End::Answered { first, whole } = end {
-                self.first.saturating_record(micros(first));
-                self.whole.saturating_record(micros(whole));
+        for outcome in outcomes {
+            if let Outcome::Answered { first_token, total } = outcome {
+                self.first_token.saturating_record(micros(first_token));
+                self.total.saturating_record(micros(total));
             } else {
-                self.faults.push(end);
+                self.failures.push(outcome);
             }
         }
     }
 
-    /// Prints times in microseconds.
+    /// Prints the counts, the latencies in microseconds and one of the failures.
     fn print(&self, name: &str) {
-        let [first, whole] = [&self.first, &self.whole].map(|times| {
+        let [first_token, total] = [&self.first_token, &self.total].map(|times| {
             let at = |part| times.value_at_quantile(part);
             format!("p50 {} p99 {}", at(0.5), at(0.99))
         });
         println!(
-            "{name}: {} answered, {} not; us: first {first}, whole {whole}; load average {}",
-            self.whole.len(),
-            self.faults.len(),
-            meter::load(),
+            "{name}: {} answered, {} not; us: first {first_token}, whole {total}; load average {}",
+            self.total.len(),
+            self.failures.len(),
+            process_stats::load_average(),
         );
-        if let Some(fault) = self.faults.first() {
-            println!("{name}: one that was not answered: {fault:?}");
+        if let Some(failure) = self.failures.first() {
+            println!("{name}: first request that was not answered: {failure:?}");
         }
     }
 }
 
-/// One request.
-fn ask(number: usize, tokens: u64, stream: bool) -> Ask {
-    Ask {
-        model: Reference::base(SUMMARY),
+/// Returns a request with a prompt that is distinct for each number.
+fn model_request(number: usize, tokens: u64, stream: bool) -> ModelRequest {
+    ModelRequest {
+        model: Reference::base(MODEL_NAME),
         prompt: format!("the {number}th item"),
         tokens,
         stream,
@@ -391,11 +411,12 @@
     }
 }
 
-/// Connections of the bare relay to the engine.
-type Connections = Client<HttpConnector, Full<Bytes>>;
+/// HTTP client of the bare relay.
+type EngineClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Starts the bare relay: it accepts, forwards the request and streams the body back.
-async fn serve(runtime: &Runtime, engine: SocketAddr) -> std::io::Result<SocketAddr> {
+/// Starts the bare relay, which forwards each request and streams the response body back. Returns
+/// its address.
+async fn start_bare_relay(runtime: &Runtime, engine: SocketAddr) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
     let address = listener.local_addr()?;
     let listener = listener.into_std()?;
@@ -405,7 +426,7 @@
         };
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        let client: Connections = Client::builder(TokioExecutor::new()).build(connector);
+        let client: EngineClient = Client::builder(TokioExecutor::new()).build(connector);
         while let Ok((socket, _)) = listener.accept().await {
             drop(socket.set_nodelay(true));
             let client = client.clone();
@@ -420,9 +441,9 @@
     Ok(address)
 }
 
-/// Forwards one request with the headers that the engine asks for.
+/// Forwards one request with the headers that the engine requires.
 async fn forward(
-    client: Connections,
+    client: EngineClient,
     engine: SocketAddr,
     request: Request<Incoming>,
 ) -> Result<Response<Incoming>, Box<dyn std::error::Error + Send + Sync>> {
@@ -439,7 +460,7 @@
     let request = Request::post(format!("http://{engine}{path}"))
         .header("content-type", "application/json")
         .header("accept", accept)
-        .header(MODEL, SUMMARY)
+        .header(MODEL, MODEL_NAME)
         .header(REPLICA, "1")
         .header(REQUEST_ID, format!("bare-{number}"))
         .body(Full::new(body))?;
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -1,4 +1,5 @@
-//! A caller that checks that every answer is whole and its own.
+//! HTTP client for model and service requests that verifies the complete answer to a model
+//! request.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,117 +17,120 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, Snafu, whatever};
 
-/// Time after which a caller gives up on a host that says nothing.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// Timeout of one request, including its body. A request that exceeds it counts as
+/// [`Outcome::Lost`].
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What the terminator of a stream says.
-const DONE: &str = "[DONE]";
+/// Data of the event that ends a stream.
+const STREAM_TERMINATOR: &str = "[DONE]";
 
-/// What a request asks for.
+/// Parameters of a chat completion request.
 #[derive(Debug, Clone)]
-pub struct Ask {
-    /// The model.
+pub struct ModelRequest {
+    /// Model to run, optionally with an adapter.
     pub model: Reference,
-    /// A text that makes the request different from others.
+    /// Content of the user message. The expected answer depends on it, so a different prompt for
+    /// each request exposes answers that belong to another request.
     pub prompt: String,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub tokens: u64,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// The class, where one is named.
+    /// Request class; no `x-class` header is sent if `None`.
     pub class: Option<String>,
-    /// How long the caller waits, where it says so.
+    /// Deadline; no `x-deadline-ms` header is sent if `None`.
     pub deadline: Option<Duration>,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
-    /// The whole answer of the own request came.
+pub enum Outcome {
+    /// The complete answer to this request arrived. Only the answers of models are compared with
+    /// the expected text.
     Answered {
-        /// From the request to the first token, or to the whole answer.
-        first: Duration,
-        /// From the request to the end.
-        whole: Duration,
+        /// Time from the request to the first body bytes of a stream, or else to the complete
+        /// answer.
+        first_token: Duration,
+        /// Time from the request to the end of the answer.
+        total: Duration,
     },
-    /// It was refused.
+    /// The response had an unsuccessful status.
     Refused {
-        /// Whether it ran.
+        /// Whether the request was run; `None` if the response does not say.
         run: Option<Run>,
-        /// The HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// What was said.
+        /// The `detail` of the problem document; empty if there is none.
         detail: String,
-        /// From the request to the refusal.
-        after: Duration,
-        /// Whether it says when to come back.
-        comes_back: bool,
+        /// Time from the request to the end of the response.
+        elapsed: Duration,
+        /// Whether the response has a `retry-after` header.
+        has_retry_after: bool,
     },
-    /// The answer had begun and was broken off with an error event.
-    BrokenOff {
-        /// What was said.
+    /// The answer began and then failed, with an error event or a connection error.
+    Interrupted {
+        /// Error event or connection error.
         detail: String,
     },
-    /// The connection failed without a word.
+    /// No complete HTTP response arrived: the connection failed or the request timed out.
     Lost {
-        /// What was seen.
+        /// Connection error or timeout.
         detail: String,
     },
-    /// The answer was not the own one, or not whole, and passed off as such.
+    /// The answer ended normally but was malformed, incomplete or not the expected one.
     Wrong {
-        /// What was seen.
+        /// Difference from the expected answer.
         detail: String,
     },
 }
 
-/// Why an answer is not as it should be.
+/// Reason why an answer could not be read.
 #[derive(Debug, Snafu)]
-enum Fault {
-    /// The answer broke off.
-    #[snafu(display("the answer broke off: {detail}"))]
-    Cut {
-        /// What was seen.
+enum AnswerError {
+    /// The answer failed before its end.
+    #[snafu(display("the answer was interrupted: {detail}"))]
+    Interrupted {
+        /// Error event or connection error.
         detail: String,
     },
-    /// Anything else.
+    /// The answer is malformed or incomplete.
     #[snafu(whatever, display("{message}"))]
     Other {
-        /// What was seen.
+        /// Which part is malformed or missing.
         message: String,
     },
 }
 
-/// The body of a request.
+/// Request body of `POST /v1/chat/completions`.
 #[derive(Debug, Serialize)]
-struct Body<'a> {
+struct ChatRequest<'a> {
     model: String,
-    messages: [Message<'a>; 1],
+    messages: [ChatMessage<'a>; 1],
     max_tokens: u64,
     stream: bool,
 }
 
-/// One message of a chat.
 #[derive(Debug, Serialize)]
-struct Message<'a> {
+struct ChatMessage<'a> {
     role: &'static str,
     content: &'a str,
 }
 
-/// What a refusal says.
+/// Fields of a problem document that are evaluated here.
 #[derive(Debug, Default, Deserialize)]
-struct Problem {
+struct ProblemDocument {
     run: Option<Run>,
     #[serde(default)]
     detail: String,
 }
 
-/// What `GET /v1/entries` answers.
+/// Response body of `GET /v1/entries`.
 #[derive(Debug, Deserialize)]
-struct Entries {
+struct EntriesResponse {
     addresses: Vec<SocketAddr>,
 }
 
-/// A caller.
+/// HTTP client that identifies itself by a caller name. Clones share the connection pool.
 #[derive(Debug, Clone)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -134,7 +138,7 @@
 }
 
 impl Caller {
-    /// A caller of that name.
+    /// Creates a client that sends `name` as `x-caller`.
     #[must_use]
     pub fn new(name: impl Into<String>) -> Self {
         Self {
@@ -143,8 +147,10 @@
         }
     }
 
-    /// Asks a host which addresses to use.
-    pub async fn entries(&self, host: SocketAddr) -> Vec<SocketAddr> {
+    /// Fetches the addresses of the entry hosts that callers should use.
+    ///
+    /// Returns an empty list if the request fails.
+    pub async fn fetch_entries(&self, host: SocketAddr) -> Vec<SocketAddr> {
         let request = Request::get(format!("http://{host}/v1/entries")).body(Full::default());
         let Ok(request) = request else {
             return Vec::new();
@@ -155,71 +161,71 @@
         let Ok(body) = response.into_body().collect().await else {
             return Vec::new();
         };
-        let entries = serde_json::from_slice::<Entries>(&body.to_bytes());
+        let entries = serde_json::from_slice::<EntriesResponse>(&body.to_bytes());
         entries.map(|entries| entries.addresses).unwrap_or_default()
     }
 
-    /// Asks a model at a host and checks the answer.
-    pub async fn ask(&self, host: SocketAddr, ask: &Ask) -> End {
-        patient(self.ask_model(host, ask)).await
+    /// Sends a chat completion request to `host` and verifies the answer.
+    pub async fn request_model(&self, host: SocketAddr, model_request: &ModelRequest) -> Outcome {
+        with_timeout(self.send_model_request(host, model_request)).await
     }
 
-    /// Calls a plain service, with a key where the call may not be repeated.
-    pub async fn call(
+    /// Sends a request to the plain service and path `path` (`SERVICE/...`) through `host`.
+    ///
+    /// `key` is sent as `idempotency-key`, for requests that must not run twice.
+    pub async fn call_service(
         &self,
         host: SocketAddr,
         method: Method,
         path: &str,
         key: Option<&str>,
         body: &str,
-    ) -> End {
-        patient(self.call_service(host, method, path, key, body)).await
+    ) -> Outcome {
+        with_timeout(self.send_service_call(host, method, path, key, body)).await
     }
 
-    /// Asks a model.
-    async fn ask_model(&self, host: SocketAddr, ask: &Ask) -> End {
-        let body = Body {
-            model: ask.model.to_string(),
-            messages: [Message {
+    async fn send_model_request(&self, host: SocketAddr, model_request: &ModelRequest) -> Outcome {
+        let body = ChatRequest {
+            model: model_request.model.to_string(),
+            messages: [ChatMessage {
                 role: "user",
-                content: &ask.prompt,
+                content: &model_request.prompt,
             }],
-            max_tokens: ask.tokens,
-            stream: ask.stream,
+            max_tokens: model_request.tokens,
+            stream: model_request.stream,
         };
         let body = Bytes::from(serde_json::to_vec(&body).unwrap_or_default());
         let mut request = Request::post(format!("http://{host}/v1/chat/completions"))
             .header("content-type", "application/json")
             .header("x-caller", &self.name);
-        if let Some(class) = &ask.class {
+        if let Some(class) = &model_request.class {
             request = request.header("x-class", class);
         }
-        if let Some(deadline) = ask.deadline {
+        if let Some(deadline) = model_request.deadline {
             request = request.header("x-deadline-ms", deadline.as_millis().to_string());
         }
         let started = Instant::now();
         let response = match request.body(Full::new(body.clone())) {
             Ok(request) => self.client.request(request).await,
-            Err(error) => return lost(&error),
+            Err(error) => return connection_lost(&error),
         };
         match response {
             Ok(response) if response.status().is_success() => {
-                judge(response, ask, &body, started).await
+                check_answer(response, model_request, &body, started).await
             }
-            Ok(response) => refused(response, started).await,
-            Err(error) => lost(&error),
+            Ok(response) => read_refusal(response, started).await,
+            Err(error) => connection_lost(&error),
         }
     }
 
-    /// Calls a plain service.
-    async fn call_service(
+    async fn send_service_call(
         &self,
         host: SocketAddr,
         method: Method,
         path: &str,
         key: Option<&str>,
         body: &str,
-    ) -> End {
+    ) -> Outcome {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{host}/services/{path}"))
@@ -230,91 +236,97 @@
         let started = Instant::now();
         let response = match request.body(Full::new(Bytes::from(body.to_owned()))) {
             Ok(request) => self.client.request(request).await,
-            Err(error) => return lost(&error),
+            Err(error) => return connection_lost(&error),
         };
         match response {
             Ok(response) if response.status().is_success() => {
-                let whole = response.into_body().collect().await;
-                match whole {
-                    Ok(_) => End::Answered {
-                        first: started.elapsed(),
-                        whole: started.elapsed(),
+                let body = response.into_body().collect().await;
+                match body {
+                    Ok(_) => Outcome::Answered {
+                        first_token: started.elapsed(),
+                        total: started.elapsed(),
                     },
-                    Err(error) => lost(&error),
+                    Err(error) => connection_lost(&error),
                 }
             }
-            Ok(response) => refused(response, started).await,
-            Err(error) => lost(&error),
+            Ok(response) => read_refusal(response, started).await,
+            Err(error) => connection_lost(&error),
         }
     }
 }
 
-/// The end of a request, or that there was none for a long time.
-async fn patient(asking: impl Future<Output = End>) -> End {
-    match tokio::time::timeout(PATIENCE, asking).await {
-        Ok(end) => end,
-        Err(_) => End::Lost {
-            detail: format!("no end within {PATIENCE:?}"),
+/// Returns the outcome of `sending`, or [`Outcome::Lost`] after [`REQUEST_TIMEOUT`].
+async fn with_timeout(sending: impl Future<Output = Outcome>) -> Outcome {
+    match tokio::time::timeout(REQUEST_TIMEOUT, sending).await {
+        Ok(outcome) => outcome,
+        Err(_) => Outcome::Lost {
+            detail: format!("no complete answer within {REQUEST_TIMEOUT:?}"),
         },
     }
 }
 
-/// The end of a request whose connection failed.
-fn lost(error: &impl std::fmt::Debug) -> End {
-    End::Lost {
+/// Returns the outcome of a request whose connection failed.
+fn connection_lost(error: &impl std::fmt::Debug) -> Outcome {
+    Outcome::Lost {
         detail: format!("{error:?}"),
     }
 }
 
-/// Reads a refusal.
-async fn refused(response: Response<Incoming>, started: Instant) -> End {
+/// Reads a response with an unsuccessful status.
+async fn read_refusal(response: Response<Incoming>, started: Instant) -> Outcome {
     let status = response.status().as_u16();
-    let comes_back = response.headers().contains_key("retry-after");
+    let has_retry_after = response.headers().contains_key("retry-after");
     let body = response.into_body().collect().await;
     let body = body.map(http_body_util::Collected::to_bytes);
-    let problem: Problem = body
+    let problem: ProblemDocument = body
         .ok()
         .and_then(|body| serde_json::from_slice(&body).ok())
         .unwrap_or_default();
-    End::Refused {
+    Outcome::Refused {
         run: problem.run,
         status,
         detail: problem.detail,
-        after: started.elapsed(),
-        comes_back,
+        elapsed: started.elapsed(),
+        has_retry_after,
     }
 }
 
-/// Checks an answer against what the stand-in engine generates for the request.
-async fn judge(response: Response<Incoming>, ask: &Ask, body: &[u8], started: Instant) -> End {
-    let expected = text::answer(&ask.model, body, ask.tokens);
-    let mut first = None;
-    let read = if ask.stream {
-        stream(response, &mut first, started).await
+/// Reads an answer and compares it with the text that the stand-in engine generates for the
+/// request.
+async fn check_answer(
+    response: Response<Incoming>,
+    model_request: &ModelRequest,
+    body: &[u8],
+    started: Instant,
+) -> Outcome {
+    let expected = text::answer(&model_request.model, body, model_request.tokens);
+    let mut first_token = None;
+    let result = if model_request.stream {
+        read_streamed_text(response, &mut first_token, started).await
     } else {
-        whole(response).await
+        read_text(response).await
     };
-    match read {
-        Ok(text) if text == expected => End::Answered {
-            first: first.unwrap_or_else(|| started.elapsed()),
-            whole: started.elapsed(),
+    match result {
+        Ok(text) if text == expected => Outcome::Answered {
+            first_token: first_token.unwrap_or_else(|| started.elapsed()),
+            total: started.elapsed(),
         },
-        Ok(text) => End::Wrong {
-            detail: format!("{text:?} instead of {expected:?}"),
+        Ok(text) => Outcome::Wrong {
+            detail: format!("expected the answer {expected:?}, got {text:?}"),
         },
-        Err(Fault::Cut { detail }) => End::BrokenOff { detail },
-        Err(fault) => End::Wrong {
-            detail: fault.to_string(),
+        Err(AnswerError::Interrupted { detail }) => Outcome::Interrupted { detail },
+        Err(error) => Outcome::Wrong {
+            detail: error.to_string(),
         },
     }
 }
 
-/// The text of an answer that is not streamed.
-async fn whole(response: Response<Incoming>) -> Result<String, Fault> {
+/// Reads the generated text from a response that is not streamed.
+async fn read_text(response: Response<Incoming>) -> Result<String, AnswerError> {
     let body = match response.into_body().collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
-            return CutSnafu {
+            return InterruptedSnafu {
                 detail: error.to_string(),
             }
             .fail();
@@ -322,20 +334,21 @@
     };
     let value: serde_json::Value = match serde_json::from_slice(&body) {
         Ok(value) => value,
-        Err(error) => whatever!("no JSON: {error}"),
+        Err(error) => whatever!("the answer is not valid JSON: {error}"),
     };
     let text = value.pointer("/choices/0/message/content");
     let text = text.and_then(serde_json::Value::as_str);
     text.map(str::to_owned)
-        .whatever_context("no text in the answer")
+        .whatever_context("the answer has no string at /choices/0/message/content")
 }
 
-/// The text of a streamed answer.
-async fn stream(
+/// Reads the generated text from a streamed response, and sets `first_token` when the first body
+/// bytes arrive.
+async fn read_streamed_text(
     response: Response<Incoming>,
-    first: &mut Option<Duration>,
+    first_token: &mut Option<Duration>,
     started: Instant,
-) -> Result<String, Fault> {
+) -> Result<String, AnswerError> {
     let mut body = response.into_body();
     let mut buffer = Vec::new();
     let mut text = String::new();
@@ -344,7 +357,7 @@
         let frame = match frame {
             Ok(frame) => frame,
             Err(error) => {
-                return CutSnafu {
+                return InterruptedSnafu {
                     detail: error.to_string(),
                 }
                 .fail();
@@ -353,24 +366,25 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        first.get_or_insert_with(|| started.elapsed());
+        first_token.get_or_insert_with(|| started.elapsed());
         buffer.extend_from_slice(&data);
         while let Some(end) = buffer.windows(2).position(|pair| pair == b"\n\n") {
             let event: Vec<u8> = buffer.drain(..end + 2).collect();
-            done |= take(&event, &mut text)?;
+            done |= parse_event(&event, &mut text)?;
         }
     }
     if !done {
-        whatever!("a stream that ended without its terminator, after {text:?}");
+        whatever!("the stream ended without the terminator {STREAM_TERMINATOR}, after {text:?}");
     }
     Ok(text)
 }
 
-/// Takes one event; tells whether it is the terminator.
-fn take(event: &[u8], text: &mut String) -> Result<bool, Fault> {
+/// Appends the text of one server-sent event to `text`. Returns whether the event is the
+/// terminator.
+fn parse_event(event: &[u8], text: &mut String) -> Result<bool, AnswerError> {
     let event = String::from_utf8_lossy(event);
     if event.starts_with("event: error") {
-        return CutSnafu {
+        return InterruptedSnafu {
             detail: event.into_owned(),
         }
         .fail();
@@ -380,12 +394,12 @@
             continue;
         };
         let data = data.trim();
-        if data == DONE {
+        if data == STREAM_TERMINATOR {
             return Ok(true);
         }
         let value: serde_json::Value = match serde_json::from_str(data) {
             Ok(value) => value,
-            Err(error) => whatever!("an event that is no JSON: {error}"),
+            Err(error) => whatever!("the data of an event is not valid JSON: {error}"),
         };
         let delta = value.pointer("/choices/0/delta/content");
         text.push_str(
@@ -397,14 +411,14 @@
     Ok(false)
 }
 
-impl End {
-    /// Whether the whole answer came.
+impl Outcome {
+    /// Whether the complete answer arrived.
     #[must_use]
     pub fn is_answered(&self) -> bool {
         matches!(self, Self::Answered { .. })
     }
 
-    /// Whether it is a refusal that says that nothing ran.
+    /// Whether the request was refused with the statement that it was not run.
     #[must_use]
     pub fn is_not_run(&self) -> bool {
         let run = match self {
@@ -414,9 +428,9 @@
         run == Some(Run::NotRun)
     }
 
-    /// Whether the host said that the method or path is wrong.
+    /// Whether the request was refused with the status `expected`.
     #[must_use]
-    pub fn is_status(&self, wanted: StatusCode) -> bool {
-        matches!(self, Self::Refused { status, .. } if *status == wanted.as_u16())
+    pub fn is_status(&self, expected: StatusCode) -> bool {
+        matches!(self, Self::Refused { status, .. } if *status == expected.as_u16())
     }
 }
--- a/crates/trial/src/cluster.rs
+++ b/crates/trial/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Hosts of one cluster, each with a runtime of its own.
+//! Starts, stops, restarts and partitions the hosts of a cluster on loopback.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,117 +13,117 @@
 use tempfile::TempDir;
 use tokio::runtime::{Builder, Runtime};
 
-/// Threads of one host's runtime.
-const THREADS: usize = 2;
+/// Worker threads of each host's runtime.
+const RUNTIME_THREADS: usize = 2;
 
-/// Ports that a host's first one is taken from.
-const PORTS: std::ops::Range<u16> = 10_000..32_000;
+/// Range from which the first port of a host is drawn. It lies below the ephemeral ports.
+const PORT_RANGE: std::ops::Range<u16> = 10_000..32_000;
 
-/// How often the ports of a host that ended are tried, and the pause between.
-const REBIND_TRIES: usize = 100;
-const REBIND_PAUSE: Duration = Duration::from_millis(50);
+/// Limit and interval of the attempts to bind the ports of a stopped host again.
+const REBIND_ATTEMPTS: usize = 100;
+const REBIND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The token of operators.
+/// Bearer token of the operators' interface.
 pub const TOKEN: &str = "a token for operators";
 
-/// The secret of peers.
-const SECRET: &str = "a secret that all peers of the cluster share";
+/// Secret that the peers share.
+const PEER_SECRET: &str = "a secret that all peers of the cluster share";
 
-/// Why a cluster does not start.
+/// Error on starting a cluster or a host.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A file or a runtime cannot be made.
+    /// A file could not be written or removed, or a runtime could not be created.
     #[snafu(display("{source}"), context(false))]
-    System {
-        /// Why.
+    Io {
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A socket cannot be had.
+    /// A socket could not be bound.
     #[snafu(display("{source}"), context(false))]
     Socket {
-        /// Why.
+        /// The underlying error.
         source: socket::Error,
     },
-    /// A host does not start.
-    #[snafu(display("host {host}: {source}"))]
+    /// A node failed to start.
+    #[snafu(display("host {host} failed to start: {source}"))]
     Start {
-        /// The host.
+        /// Number of the host.
         host: HostId,
-        /// Why.
+        /// The underlying error.
         source: node::Error,
     },
 }
 
 /// One host of a cluster.
 pub struct Host {
-    /// Its settings, with the ports that it got.
+    /// Settings of the process, with the ports that were bound.
     pub process: Process,
-    /// Where it listens.
+    /// Addresses on which the host listens.
     pub addresses: Addresses,
-    running: Option<Running>,
+    running: Option<RunningHost>,
 }
 
-/// A host that runs.
-pub struct Running {
+/// A node and the runtime on which it runs.
+pub struct RunningHost {
     runtime: Runtime,
     node: Node,
 }
 
-impl Running {
-    /// Shuts the host down gracefully and waits for its end, at most so long.
+impl RunningHost {
+    /// Shuts the host down gracefully and waits up to `limit` for the node to end.
     ///
-    /// Returns whether it ended by itself.
+    /// Returns whether the node ended within the limit. The runtime is shut down in both cases.
     #[must_use]
     pub fn drain(self, limit: Duration) -> bool {
         self.node.drain();
-        let ending = async { tokio::time::timeout(limit, self.node.ended()).await };
-        let ended = self.runtime.block_on(ending);
+        let ended = async { tokio::time::timeout(limit, self.node.ended()).await };
+        let ended = self.runtime.block_on(ended);
         self.runtime.shutdown_background();
         ended.is_ok()
     }
 }
 
-/// The hosts of a cluster.
+/// Hosts of one cluster. Dropping it kills them and removes their files.
 pub struct Cluster {
-    /// The hosts, by their numbers less one.
+    /// Hosts in the order of their numbers; the host at index 0 has number 1.
     pub hosts: Vec<Host>,
-    folder: TempDir,
+    directory: TempDir,
 }
 
-/// What a cluster is made of.
+/// Size and initial settings of a cluster.
 #[derive(Debug, Clone)]
-pub struct Plan {
-    /// Regions; hosts are dealt out to them in turn.
+pub struct ClusterSpec {
+    /// Regions, assigned to the hosts round-robin.
     pub regions: Vec<String>,
-    /// Hosts in all.
+    /// Number of hosts.
     pub hosts: usize,
-    /// The first so many hosts have a disk and vote.
+    /// Number of voters. The first hosts are the voters and have a data directory.
     pub voters: usize,
-    /// The fleet's settings that the cluster starts from.
+    /// Text of the fleet's settings from which the cluster is bootstrapped.
     pub fleet: String,
 }
 
 impl Cluster {
-    /// Starts all hosts of a plan.
+    /// Binds the sockets of all hosts and starts the hosts.
     ///
     /// # Errors
-    /// A port, a file or a host cannot be had.
-    pub fn start(plan: &Plan) -> Result<Self, Error> {
-        let folder = TempDir::new()?;
-        std::fs::write(folder.path().join("keys"), SECRET)?;
-        std::fs::write(folder.path().join("token"), TOKEN)?;
-        std::fs::write(folder.path().join("fleet.yaml"), &plan.fleet)?;
+    /// Fails if a file cannot be written, a socket cannot be bound or a node does not start.
+    pub fn start(spec: &ClusterSpec) -> Result<Self, Error> {
+        let directory = TempDir::new()?;
+        std::fs::write(directory.path().join("keys"), PEER_SECRET)?;
+        std::fs::write(directory.path().join("token"), TOKEN)?;
+        std::fs::write(directory.path().join("fleet.yaml"), &spec.fleet)?;
         let mut bound = Vec::new();
-        for index in 0..plan.hosts {
-            let runtime = runtime(index as HostId + 1)?;
-            let mut process = process(&folder, plan, index);
-            let sockets = runtime.block_on(bind(&mut process))?;
+        for index in 0..spec.hosts {
+            let runtime = build_runtime(index as HostId + 1)?;
+            let mut process = process_settings(&directory, spec, index);
+            let sockets = runtime.block_on(bind_free_ports(&mut process))?;
             let addresses = sockets.addresses()?;
             bound.push((runtime, process, sockets, addresses));
         }
         let voters: Vec<Peer> = bound
             .iter()
-            .take(plan.voters)
+            .take(spec.voters)
             .map(|(_, process, ..)| Peer {
                 host: process.host,
                 address: process.peers,
@@ -132,32 +132,33 @@
         let mut hosts = Vec::new();
         for (runtime, mut process, sockets, addresses) in bound {
             process.voters.clone_from(&voters);
-            let running = run(runtime, &process, sockets)?;
+            let running = start_node(runtime, &process, sockets)?;
             hosts.push(Host {
                 process,
                 addresses,
                 running: Some(running),
             });
         }
-        Ok(Self { hosts, folder })
+        Ok(Self { hosts, directory })
     }
 
-    /// Starts one more host, which could vote and is no voter of any host's settings.
+    /// Starts another host with the control role, which is not listed as a voter in the settings
+    /// of any host.
     ///
-    /// Returns its place among the hosts.
+    /// Returns its index in [`Cluster::hosts`].
     ///
     /// # Errors
-    /// A port, a file or the host cannot be had.
-    pub fn spare(&mut self) -> Result<usize, Error> {
+    /// Fails if a socket cannot be bound or the node does not start.
+    pub fn add_spare_host(&mut self) -> Result<usize, Error> {
         let index = self.hosts.len();
         let mut process = self.hosts[0].process.clone();
         process.host = index as HostId + 1;
         process.roles = vec![Role::Entry, Role::Control];
-        process.data = Some(self.data(index));
-        let runtime = runtime(process.host)?;
-        let sockets = runtime.block_on(bind(&mut process))?;
+        process.data = Some(self.data_dir(index));
+        let runtime = build_runtime(process.host)?;
+        let sockets = runtime.block_on(bind_free_ports(&mut process))?;
         let addresses = sockets.addresses()?;
-        let running = run(runtime, &process, sockets)?;
+        let running = start_node(runtime, &process, sockets)?;
         self.hosts.push(Host {
             process,
             addresses,
@@ -166,21 +167,21 @@
         Ok(index)
     }
 
-    /// Where callers and targets connect, for the hosts that run.
+    /// Returns the addresses for callers and targets of the running hosts.
     #[must_use]
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let running = self.hosts.iter().filter(|host| host.running.is_some());
         running.map(|host| host.addresses.callers).collect()
     }
 
-    /// The node of a host that runs.
+    /// Returns the node of a host, or `None` if the host is stopped.
     #[must_use]
     pub fn node(&self, index: usize) -> Option<&Node> {
         let running = self.hosts[index].running.as_ref();
         running.map(|running| &running.node)
     }
 
-    /// Ends a host at once, as a kill would.
+    /// Stops a host without draining it, as if its process were killed.
     pub fn kill(&mut self, index: usize) {
         if let Some(running) = self.hosts[index].running.take() {
             running.node.stop();
@@ -188,48 +189,50 @@
         }
     }
 
-    /// Takes a running host out, for a graceful shutdown without the others.
-    pub fn take(&mut self, index: usize) -> Option<Running> {
+    /// Takes a running host out of the cluster, so that it can be drained without borrowing the
+    /// cluster. Returns `None` if the host is stopped.
+    pub fn take_running(&mut self, index: usize) -> Option<RunningHost> {
         self.hosts[index].running.take()
     }
 
-    /// Starts a host that does not run, on its ports and its folder.
+    /// Starts a stopped host again with the same ports and data directory. Does nothing if the
+    /// host is running.
     ///
     /// # Errors
-    /// A port, a file or the host cannot be had.
+    /// Fails if a socket cannot be bound or the node does not start.
     pub fn restart(&mut self, index: usize) -> Result<(), Error> {
         let host = &mut self.hosts[index];
         if host.running.is_some() {
             return Ok(());
         }
-        let runtime = runtime(host.process.host)?;
-        let sockets = runtime.block_on(rebind(&host.process))?;
-        host.running = Some(run(runtime, &host.process, sockets)?);
+        let runtime = build_runtime(host.process.host)?;
+        let sockets = runtime.block_on(rebind_ports(&host.process))?;
+        host.running = Some(start_node(runtime, &host.process, sockets)?);
         Ok(())
     }
 
-    /// Empties the data folder of a host that does not run.
+    /// Removes the data directory of a stopped host.
     ///
     /// # Errors
-    /// The folder cannot be removed.
-    pub fn wipe(&self, index: usize) -> Result<(), Error> {
-        let folder = self.data(index);
-        if folder.exists() {
-            std::fs::remove_dir_all(folder)?;
+    /// Fails if the directory cannot be removed.
+    pub fn remove_data_dir(&self, index: usize) -> Result<(), Error> {
+        let directory = self.data_dir(index);
+        if directory.exists() {
+            std::fs::remove_dir_all(directory)?;
         }
         Ok(())
     }
 
-    /// Cuts a host off from others, both ways, or joins it again with none.
-    pub fn cut(&self, index: usize, from: &[HostId]) {
+    /// Cuts the connections between a host and the hosts in `from`, in both directions. Replaces
+    /// the earlier list; an empty one restores all connections.
+    pub fn partition(&self, index: usize, from: &[HostId]) {
         if let Some(node) = self.node(index) {
             node.cut.send_replace(from.to_vec());
         }
     }
 
-    /// The data folder of a host.
-    fn data(&self, index: usize) -> PathBuf {
-        data(&self.folder, index)
+    fn data_dir(&self, index: usize) -> PathBuf {
+        data_dir(&self.directory, index)
     }
 }
 
@@ -241,33 +244,33 @@
     }
 }
 
-/// The name of a host's threads, for [`crate::meter::processor`].
+/// Returns the name of a host's runtime threads, for [`crate::process_stats::cpu_time`].
 #[must_use]
-pub fn threads(host: HostId) -> String {
+pub fn thread_name(host: HostId) -> String {
     format!("host-{host}")
 }
 
-/// The data folder of a host.
-fn data(folder: &TempDir, index: usize) -> PathBuf {
-    folder.path().join(format!("data-{}", index + 1))
+/// Returns the path of a host's data directory.
+fn data_dir(directory: &TempDir, index: usize) -> PathBuf {
+    directory.path().join(format!("data-{}", index + 1))
 }
 
-/// A host's settings before its ports are known.
-fn process(folder: &TempDir, plan: &Plan, index: usize) -> Process {
-    let region = &plan.regions[index % plan.regions.len()];
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let votes = index < plan.voters;
+/// Returns the settings of a host's process, with port 0 until the sockets are bound.
+fn process_settings(directory: &TempDir, spec: &ClusterSpec, index: usize) -> Process {
+    let region = &spec.regions[index % spec.regions.len()];
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let is_voter = index < spec.voters;
     let mut roles = vec![Role::Entry];
-    roles.extend(votes.then_some(Role::Control));
+    roles.extend(is_voter.then_some(Role::Control));
     Process {
         cluster: "trial".to_owned(),
         host: index as HostId + 1,
         region: region.as_str().into(),
-        zone: format!("{region}-{}", index / plan.regions.len() + 1).into(),
+        zone: format!("{region}-{}", index / spec.regions.len() + 1).into(),
         roles,
-        callers: any,
-        operators: any,
-        peers: any,
+        callers: any_port,
+        operators: any_port,
+        peers: any_port,
         peers_listen: None,
         voters: Vec::new(),
         seeds: Vec::new(),
@@ -282,32 +285,33 @@
         zones: Vec::new(),
         file: None,
         trusted_network: false,
-        data: votes.then(|| data(folder, index)),
-        keys: Some(folder.path().join("keys")),
-        token: Some(folder.path().join("token")),
-        fleet: Some(folder.path().join("fleet.yaml")),
+        data: is_voter.then(|| data_dir(directory, index)),
+        keys: Some(directory.path().join("keys")),
+        token: Some(directory.path().join("token")),
+        fleet: Some(directory.path().join("fleet.yaml")),
         otlp: None,
     }
 }
 
-/// A port that is free now, below those that the system gives to outgoing connections.
+/// Returns a port below the ephemeral range that is free at the moment.
 #[must_use]
 pub fn free_port() -> u16 {
     loop {
-        let port = rand::rng().random_range(PORTS);
+        let port = rand::rng().random_range(PORT_RANGE);
         if std::net::TcpListener::bind(("127.0.0.1", port)).is_ok() {
             return port;
         }
     }
 }
 
-/// Binds free ports below those that the system gives to outgoing connections.
+/// Binds the sockets of a host to random free ports below the ephemeral range and stores the
+/// ports in `process`.
 ///
-/// A port that the system chose could be taken by such a connection while its
-/// host is away.
-async fn bind(process: &mut Process) -> Result<Sockets, Error> {
+/// An ephemeral port could be taken by an outgoing connection while the host is stopped, so that
+/// the host could not bind it again.
+async fn bind_free_ports(process: &mut Process) -> Result<Sockets, Error> {
     loop {
-        let port = rand::rng().random_range(PORTS);
+        let port = rand::rng().random_range(PORT_RANGE);
         process.callers.set_port(port);
         process.operators.set_port(port + 1);
         process.peers.set_port(port + 2);
@@ -319,34 +323,35 @@
     }
 }
 
-/// Binds the ports of a host that ended, once its runtime has let go of them.
-async fn rebind(process: &Process) -> Result<Sockets, Error> {
-    let mut tries = REBIND_TRIES;
+/// Binds the same ports again for a stopped host. Retries because the sockets stay open until the
+/// old runtime has shut down.
+async fn rebind_ports(process: &Process) -> Result<Sockets, Error> {
+    let mut attempts_left = REBIND_ATTEMPTS;
     loop {
         match Sockets::bind(process).await {
-            Err(error) if error.is_taken() && tries > 0 => tries -= 1,
+            Err(error) if error.is_taken() && attempts_left > 0 => attempts_left -= 1,
             bound => return Ok(bound?),
         }
-        tokio::time::sleep(REBIND_PAUSE).await;
+        tokio::time::sleep(REBIND_INTERVAL).await;
     }
 }
 
-/// A runtime for one host, whose threads bear its name.
-fn runtime(host: HostId) -> std::io::Result<Runtime> {
+/// Creates the runtime of a host, with threads named after the host.
+fn build_runtime(host: HostId) -> std::io::Result<Runtime> {
     Builder::new_multi_thread()
-        .worker_threads(THREADS)
-        .thread_name(threads(host))
+        .worker_threads(RUNTIME_THREADS)
+        .thread_name(thread_name(host))
         .enable_all()
         .build()
 }
 
-/// Starts a host on its runtime.
-fn run(runtime: Runtime, process: &Process, sockets: Sockets) -> Result<Running, Error> {
+/// Starts a node on its runtime.
+fn start_node(runtime: Runtime, process: &Process, sockets: Sockets) -> Result<RunningHost, Error> {
     let started = {
         let _entered = runtime.enter();
         Node::start(process.clone(), sockets)
     };
     let host = process.host;
     let node = started.context(StartSnafu { host })?;
-    Ok(Running { runtime, node })
+    Ok(RunningHost { runtime, node })
 }
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -1,11 +1,11 @@
-//! Clusters of real hosts on loopback, and callers that check their answers.
+//! Test support: clusters of complete hosts on loopback, stand-in workers, and clients that verify
+//! the answers.
 //!
-//! A host here is a whole process' set of tasks on a runtime of its own, with
-//! real sockets and real files, so that ending the runtime is what a kill is to
-//! a process. Examples and benches use it; nothing here simulates anything.
+//! Each host runs all tasks of a host process on a runtime of its own, with real sockets and
+//! files. Shutting down the runtime corresponds to killing the process. Nothing is simulated.
 
 pub mod caller;
 pub mod cluster;
-pub mod meter;
 pub mod operator;
+pub mod process_stats;
 pub mod workers;
--- a/crates/trial/src/operator.rs
+++ b/crates/trial/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator of a trial's cluster.
+//! Client for the operators' interface of a host.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,17 +13,20 @@
 
 use crate::cluster::{Cluster, TOKEN};
 
-/// Time after which an operator gives up on a host that says nothing.
-const PATIENCE: Duration = Duration::from_secs(12);
+/// Timeout of one call, including the response body.
+const CALL_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// One call of an operator; `Null` where there was no answer.
+/// Sends a request with the operators' token and returns the JSON response body, whatever the
+/// status. A `Null` body is sent as an empty one.
+///
+/// Returns `Null` if the call fails, times out or does not return JSON.
 pub async fn call(host: SocketAddr, method: &str, path: &str, body: &Value) -> Value {
-    let calling = tokio::time::timeout(PATIENCE, ask(host, method, path, body));
-    calling.await.unwrap_or_default()
+    let answer = tokio::time::timeout(CALL_TIMEOUT, send(host, method, path, body));
+    answer.await.unwrap_or_default()
 }
 
-/// One call of an operator.
-async fn ask(host: SocketAddr, method: &str, path: &str, body: &Value) -> Value {
+/// Sends a request without a timeout.
+async fn send(host: SocketAddr, method: &str, path: &str, body: &Value) -> Value {
     let body = if body.is_null() {
         Bytes::new()
     } else {
@@ -49,8 +52,9 @@
     value.unwrap_or_default()
 }
 
-/// Replicas that were ever decided, by model, as the leader tells.
-pub async fn decided(cluster: &Cluster) -> BTreeMap<String, u64> {
+/// Returns the total number of replicas decided so far for each model, as reported by the leader
+/// through the first host. Empty if the call fails.
+pub async fn replicas_decided(cluster: &Cluster) -> BTreeMap<String, u64> {
     let host = cluster.hosts[0].addresses.operators;
     let status = call(host, "GET", "/status", &Value::Null).await;
     let decided = &status["state"]["replicas"]["decided"];
--- a/crates/trial/src/workers.rs
+++ b/crates/trial/src/workers.rs
@@ -1,4 +1,4 @@
-//! Stand-in workers of a trial.
+//! Starts stand-in model workers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,43 +7,44 @@
 use cornelhitch_standin::store::Store;
 use tokio_util::sync::CancellationToken;
 
-/// What the workers of a trial have in common.
+/// Number and common properties of the workers.
 #[derive(Debug, Clone)]
-pub struct Plan {
-    /// Regions; workers are dealt out to them in turn.
+pub struct WorkerSpec {
+    /// Regions, assigned to the workers round-robin.
     pub regions: Vec<String>,
-    /// Workers in all.
+    /// Number of workers.
     pub workers: usize,
-    /// Accelerator memory of each, in bytes.
+    /// Accelerator memory of each worker, in bytes.
     pub memory: u64,
-    /// Time between two tokens.
+    /// Time between two generated tokens.
     pub token: Duration,
-    /// The weight store.
+    /// Weight store from which the workers load models.
     pub store: Store,
 }
 
-/// Starts workers that announce themselves to entry hosts.
+/// Starts the workers, which announce themselves to the hosts at `entries` until `stop` is
+/// cancelled.
 ///
-/// Every second one checks fencing numbers.
+/// Every other worker, beginning with the first, checks fencing numbers.
 ///
 /// # Errors
-/// No port can be had.
+/// Fails if a worker cannot bind a port.
 pub async fn start(
-    plan: &Plan,
+    spec: &WorkerSpec,
     entries: &[SocketAddr],
     stop: &CancellationToken,
 ) -> Result<Vec<Engine>, engine::Error> {
     let mut engines = Vec::new();
-    for index in 0..plan.workers {
-        let region = &plan.regions[index % plan.regions.len()];
+    for index in 0..spec.workers {
+        let region = &spec.regions[index % spec.regions.len()];
         let engine = Engine::builder()
             .name(format!("worker-{}", index + 1))
             .region(region.as_str())
             .zone(format!("{region}-1"))
-            .memory(plan.memory)
-            .token(plan.token)
+            .memory(spec.memory)
+            .token(spec.token)
             .fencing(index % 2 == 0)
-            .store(plan.store.clone())
+            .store(spec.store.clone())
             .entries(entries.to_vec())
             .seed(index as u64 + 1)
             .start(stop.child_token())
--- a/crates/trial/tests/stream.rs
+++ b/crates/trial/tests/stream.rs
@@ -1,29 +1,29 @@
-//! An answer is whole although its target fails once in the middle.
+//! Callers get complete answers although the target fails once in the middle of each.
 
 use std::time::Duration;
 
 use cornelhitch_standin::fault::Fault;
 use cornelhitch_standin::store::Store;
-use cornelhitch_trial::caller::{Ask, Caller, End};
-use cornelhitch_trial::cluster::{Cluster, Plan};
+use cornelhitch_trial::caller::{Caller, ModelRequest, Outcome};
+use cornelhitch_trial::cluster::{Cluster, ClusterSpec};
 use cornelhitch_trial::workers;
 use cornelhitch_types::model::Reference;
 use tokio_util::sync::CancellationToken;
 
-/// How often a first answer is tried while the host gets ready, and the pause between.
-const TRIES: usize = 600;
-const PAUSE: Duration = Duration::from_millis(50);
+/// Limit and interval of the attempts until the host answers its first request.
+const ATTEMPTS: usize = 600;
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The fleet's settings.
+/// Settings of the fleet.
 const FLEET: &str = "
 loading: { remote-ms-per-gib: 10, disk-ms-per-gib: 10, memory-ms-per-gib: 10 }
 regions: [{ name: perth-a }]
 models: [{ name: report, bytes: 1073741824 }]
 ";
 
-/// A request.
-fn ask(prompt: &str, stream: bool) -> Ask {
-    Ask {
+/// Returns a request for the model.
+fn model_request(prompt: &str, stream: bool) -> ModelRequest {
+    ModelRequest {
         model: Reference::base("report"),
         prompt: prompt.to_owned(),
         tokens: 12,
@@ -34,40 +34,42 @@
 }
 
 #[test]
-fn a_target_that_fails_once_costs_no_answer() {
+fn answers_are_complete_when_a_target_fails_once() {
     let regions = vec!["perth-a".to_owned()];
-    let cluster = Cluster::start(&Plan {
+    let cluster = Cluster::start(&ClusterSpec {
         regions: regions.clone(),
         hosts: 1,
         voters: 1,
         fleet: FLEET.to_owned(),
     })
-    .expect("a cluster");
-    let plan = workers::Plan {
+    .expect("cluster start");
+    let spec = workers::WorkerSpec {
         regions,
         workers: 2,
         memory: 4 << 30,
         token: Duration::from_millis(2),
         store: Store::builder().gib(Duration::from_millis(10)).build(),
     };
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("runtime");
     let stop = CancellationToken::new();
-    let hosts = cluster.callers();
+    let hosts = cluster.caller_addresses();
     runtime.block_on(async {
-        let engines = workers::start(&plan, &hosts, &stop).await.expect("engines");
+        let engines = workers::start(&spec, &hosts, &stop)
+            .await
+            .expect("worker start");
         let caller = Caller::new("dealer");
         let mut answered = false;
-        for _ in 0..TRIES {
+        for _ in 0..ATTEMPTS {
             answered = caller
-                .ask(hosts[0], &ask("first", true))
+                .request_model(hosts[0], &model_request("first", true))
                 .await
                 .is_answered();
             if answered {
                 break;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
-        assert!(answered, "the host did not become ready");
+        assert!(answered, "no request was answered in {ATTEMPTS} attempts");
         let faults = [
             Fault::Stall,
             Fault::Break,
@@ -81,8 +83,13 @@
             for engine in engines.iter().filter(|engine| engine.counters().loaded > 0) {
                 engine.fault(fault);
             }
-            let end = caller.ask(hosts[0], &ask(&fault.to_string(), true)).await;
-            assert!(matches!(end, End::Answered { .. }), "{fault}: {end:?}");
+            let outcome = caller
+                .request_model(hosts[0], &model_request(&fault.to_string(), true))
+                .await;
+            assert!(
+                matches!(outcome, Outcome::Answered { .. }),
+                "{fault}: {outcome:?}"
+            );
         }
     });
     stop.cancel();
