--- a/crates/types/src/demand.rs
+++ b/crates/types/src/demand.rs
@@ -1,41 +1,42 @@
-//! What entry hosts report of the requests that wait.
+//! Queue and in-flight counts that entry hosts report to control.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{HostId, Incarnation, ModelId, Name, RegionId, Time};
 
-/// The requests of one entry host for one model, as a level that overwrites the one before.
+/// Demand of one entry host for one model: a snapshot of levels that replaces the previous one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// The model.
+    /// The base model.
     pub model: ModelId,
-    /// The version asked for, or the one in force.
+    /// The requested version; `None` for the version in force.
     pub version: Option<Name>,
-    /// Requests that wait for a replica.
+    /// Requests queued until a replica can take them.
     pub waiting: u32,
-    /// Requests in progress on replicas.
+    /// Requests in flight on replicas.
     pub running: u32,
-    /// How long until the nearest deadline of a waiting request, from the time of the report.
+    /// Time from the report to the earliest deadline of a queued request.
     pub slack: Time,
-    /// The largest weight among the classes of the waiting requests.
+    /// The largest class weight among the queued requests.
     pub weight: u32,
-    /// Arrivals since the process started; it only grows within an incarnation.
+    /// Requests received since the process started; never decreases within an incarnation.
     pub arrivals: u64,
-    /// Adapters that waiting requests name.
+    /// Adapters that queued requests ask for.
     pub adapters: Vec<Name>,
 }
 
-/// All demand of one entry host.
+/// Demand report of one entry host for all models.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The entry host.
+    /// The reporting entry host.
     pub host: HostId,
-    /// Its life.
+    /// Incarnation of the reporting process.
     pub incarnation: Incarnation,
-    /// Counts the reports of this life; a late one with a smaller count is dropped.
+    /// Sequence number within the incarnation; a report with a smaller number than the last is
+    /// dropped.
     pub sequence: u64,
-    /// Its region.
+    /// The region of the entry host.
     pub region: RegionId,
-    /// One row a model with requests, or that had some since the last report.
+    /// One row for each model that has requests now or had some since the previous report.
     pub rows: Vec<Demand>,
 }
--- a/crates/types/src/entry.rs
+++ b/crates/types/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entry hosts, as callers and peers know them.
+//! Entry hosts as listed in the view.
 
 use std::net::SocketAddr;
 
@@ -9,20 +9,20 @@
 /// One entry host in the view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its number.
+    /// The entry host's id.
     pub host: HostId,
-    /// Its life.
+    /// Incarnation of the entry process.
     pub incarnation: Incarnation,
-    /// Where callers connect.
+    /// The address on which it accepts callers.
     pub address: SocketAddr,
-    /// Its region.
+    /// The region of the entry host.
     pub region: RegionId,
-    /// Its availability zone.
+    /// The availability zone of the entry host.
     pub zone: ZoneId,
-    /// Requests in progress and waiting.
+    /// Requests queued and in flight on the host.
     pub load: u32,
-    /// Whether it takes no new callers.
+    /// Whether it is draining and accepts no new callers.
     pub draining: bool,
-    /// The settings version it acts on.
+    /// Version of the settings that the host uses.
     pub settings: Version,
 }
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -1,47 +1,46 @@
-//! Aliases for ids and for time.
+//! Type aliases for ids, names and time.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A short text that is cloned often: names of models, zones and targets.
+/// A short string that is cheap to clone: names of models, zones, targets and so on.
 pub type Name = Arc<str>;
 
-/// Time since an epoch that the owner of a core chooses.
+/// Time since an epoch that the owner of each core chooses.
 ///
-/// Entry cores count from the start of their process on the monotonic clock;
-/// the replicated state machine counts from the Unix epoch, and its log makes
-/// that count monotonic.
+/// Entry cores count from process start on the monotonic clock; the replicated state machine counts
+/// from the Unix epoch, and its log makes the count monotonic.
 pub type Time = Duration;
 
-/// A host that runs a cornelhitch process, as its settings number it.
+/// A host that runs a cornelhitch process, numbered by its settings.
 pub type HostId = u64;
 
-/// One life of a process or of a disk; a later life has a larger number.
+/// Incarnation of a process or disk; later incarnations have larger numbers.
 pub type Incarnation = u64;
 
-/// A target, by the name under which it announces itself.
+/// The name under which a target announces itself.
 pub type TargetId = Name;
 
-/// A base model, by its name in the catalogue.
+/// Name of a base model in the catalogue.
 pub type ModelId = Name;
 
-/// A caller, as its requests name it.
+/// The name of a caller, as stated in its requests.
 pub type CallerId = Name;
 
-/// A class of requests, as the fleet's settings name it.
+/// The name of a request class in the fleet settings.
 pub type ClassId = Name;
 
-/// An availability zone.
+/// The name of an availability zone.
 pub type ZoneId = Name;
 
-/// A region: zones that share fast links.
+/// The name of a region: a group of availability zones with fast links between them.
 pub type RegionId = Name;
 
-/// A decided copy of a model on a worker; never used twice.
+/// One placement of a model on a worker; ids are never reused.
 pub type ReplicaId = u64;
 
-/// A term of the replicated log, which is also the fencing number of orders.
+/// A term of the replicated log, used also as the fencing number of orders.
 pub type Term = u64;
 
-/// A version of the fleet's settings; it only grows.
+/// A version of the fleet settings; versions only increase.
 pub type Version = u64;
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,8 +1,9 @@
-//! Ids, names and messages that every cornelhitch package shares.
+//! Ids, names and messages shared by all cornelhitch packages.
 //!
-//! The packages around this one are sans-I/O cores: they take an event and the
-//! time and return actions. This package holds the vocabulary of those events,
-//! so that no core depends on another one's inside.
+//! The other packages have sans-I/O cores: functions of an event and the current time that return
+//! actions. This package defines the events' data types, so that no core depends on the internals
+//! of
+//! another.
 //!
 //! ```
 //! use cornelhitch_types::model::Reference;
--- a/crates/types/src/model.rs
+++ b/crates/types/src/model.rs
@@ -1,4 +1,4 @@
-//! The name by which callers ask for a model, a version and an adapter.
+//! Parses references to a model, a version and an adapter, as callers write them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,12 +8,12 @@
 
 use crate::id::{ModelId, Name};
 
-/// The longest reference in bytes.
-pub const LIMIT: usize = 256;
+/// Longest model reference, in bytes.
+pub const MAX_REFERENCE_BYTES: usize = 256;
 
-/// A model as a caller names it: `MODEL[@VERSION][+ADAPTER]`.
+/// A reference to a model: `MODEL[@VERSION][+ADAPTER]`.
 ///
-/// Every part is made of ASCII letters, digits, `-`, `_`, `.` and `/`.
+/// Each part consists of ASCII letters, digits, `-`, `_`, `.` and `/`.
 ///
 /// ```
 /// use cornelhitch_types::model::Reference;
@@ -25,45 +25,45 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Reference {
-    /// The base model.
+    /// The name of the base model.
     pub model: ModelId,
-    /// The version, or the one in force where none is named.
+    /// The version; `None` for the version in force.
     pub version: Option<Name>,
-    /// The adapter on top of the base model.
+    /// The adapter to apply on top of the base model, if any.
     pub adapter: Option<Name>,
 }
 
-/// Why a text is not a reference.
+/// A string that is not a valid model reference.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The text is longer than [`LIMIT`].
-    #[snafu(display("a model name has {length} bytes, at most {LIMIT} are allowed"))]
-    Long {
-        /// Its length in bytes.
+    /// The string is longer than [`MAX_REFERENCE_BYTES`].
+    #[snafu(display("model name has {length} bytes, at most {MAX_REFERENCE_BYTES} are allowed"))]
+    TooLong {
+        /// Length of the string in bytes.
         length: usize,
     },
-    /// A part has no characters.
-    #[snafu(display("the {part} in the model name {text:?} is empty"))]
+    /// A part is empty.
+    #[snafu(display("{part} is empty in model name {text:?}"))]
     Empty {
-        /// Which part.
+        /// The name of the part: model, version or adapter.
         part: &'static str,
-        /// The whole text.
+        /// The whole string.
         text: String,
     },
-    /// A part has a character that is not allowed.
-    #[snafu(display("the {part} in the model name {text:?} has the character {found:?}"))]
-    Character {
-        /// Which part.
+    /// A part contains a character that is not allowed.
+    #[snafu(display("{part} in model name {text:?} contains {found:?}, which is not allowed"))]
+    InvalidCharacter {
+        /// The name of the part: model, version or adapter.
         part: &'static str,
-        /// The whole text.
+        /// The whole string.
         text: String,
-        /// The character.
+        /// The first character that is not allowed.
         found: char,
     },
 }
 
 impl Reference {
-    /// The base model alone.
+    /// Returns a reference to the base model, without version or adapter.
     ///
     /// ```
     /// use cornelhitch_types::model::Reference;
@@ -84,17 +84,20 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        ensure!(text.len() <= LIMIT, LongSnafu { length: text.len() });
+        ensure!(
+            text.len() <= MAX_REFERENCE_BYTES,
+            TooLongSnafu { length: text.len() }
+        );
         let (rest, adapter) = match text.split_once('+') {
-            Some((rest, adapter)) => (rest, Some(part("adapter", adapter, text)?)),
+            Some((rest, adapter)) => (rest, Some(parse_part("adapter", adapter, text)?)),
             None => (text, None),
         };
         let (model, version) = match rest.split_once('@') {
-            Some((model, version)) => (model, Some(part("version", version, text)?)),
+            Some((model, version)) => (model, Some(parse_part("version", version, text)?)),
             None => (rest, None),
         };
         Ok(Self {
-            model: part("model", model, text)?,
+            model: parse_part("model", model, text)?,
             version,
             adapter,
         })
@@ -114,14 +117,14 @@
     }
 }
 
-/// Checks one part of a reference.
-fn part(part: &'static str, value: &str, text: &str) -> Result<Name, Error> {
+/// Validates one part of a reference.
+fn parse_part(part: &'static str, value: &str, text: &str) -> Result<Name, Error> {
     ensure!(!value.is_empty(), EmptySnafu { part, text });
-    let odd = value
+    let invalid = value
         .chars()
         .find(|c| !c.is_ascii_alphanumeric() && !"-_./".contains(*c));
-    if let Some(found) = odd {
-        return CharacterSnafu { part, text, found }.fail();
+    if let Some(found) = invalid {
+        return InvalidCharacterSnafu { part, text, found }.fail();
     }
     Ok(value.into())
 }
--- a/crates/types/src/order.rs
+++ b/crates/types/src/order.rs
@@ -1,4 +1,4 @@
-//! What workers are ordered to do, and what they answer.
+//! Orders that control sends to workers, and the workers' replies.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString};
@@ -6,102 +6,102 @@
 use crate::id::{Incarnation, Name, ReplicaId, TargetId, Term};
 use crate::model::Reference;
 
-/// An order to one worker.
+/// An order from control to one worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// The fencing number: the term in which the order was decided.
+    /// Fencing number: the Raft term in which the order was decided.
     pub fence: Term,
-    /// The worker.
+    /// The worker that must carry out the order.
     pub target: TargetId,
-    /// The life of the worker that the order is for.
+    /// Incarnation of the worker that the order is meant for.
     pub incarnation: Incarnation,
-    /// The replica that the order is about.
+    /// The replica that the order concerns.
     pub replica: ReplicaId,
-    /// Orders that the worker must have accepted before, where it counts them; one that has
-    /// accepted another number refuses this one.
+    /// Number of orders that the worker must have accepted before this one; a worker whose count
+    /// differs refuses the order. `None` for workers that don't count orders.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after: Option<u64>,
-    /// What to do.
+    /// The requested action.
     pub action: Action,
 }
 
-/// What an order asks for.
+/// The action that an order requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "do", deny_unknown_fields)]
 pub enum Action {
-    /// Load a model into accelerator memory.
+    /// Loads a model into accelerator memory.
     Load {
-        /// The model and version.
+        /// The model and its version.
         model: Reference,
-        /// Accelerator memory reserved for it, in bytes.
+        /// Accelerator memory reserved for the model, in bytes.
         bytes: u64,
     },
-    /// Free a model's accelerator memory.
+    /// Unloads a model from accelerator memory.
     Unload {
-        /// The model and version.
+        /// The model and its version.
         model: Reference,
     },
-    /// Load an adapter onto a loaded model.
+    /// Loads an adapter onto a loaded model.
     Adapter {
-        /// The model with its adapter.
+        /// The model with the adapter.
         model: Reference,
     },
-    /// Free an adapter's place.
+    /// Unloads an adapter.
     DropAdapter {
-        /// The model with its adapter.
+        /// The model with the adapter.
         model: Reference,
     },
-    /// Bring a model nearer without taking accelerator memory.
+    /// Copies a model to a nearer cache tier without taking accelerator memory.
     Warm {
-        /// The model and version.
+        /// The model and its version.
         model: Reference,
     },
-    /// Change what the worker does among its peers.
+    /// Changes the worker's role in disaggregated prefill and decode.
     Role {
         /// The new role.
         role: Role,
     },
 }
 
-/// What a worker does for the models it runs.
+/// Which phases of inference a worker runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display, EnumString)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Role {
-    /// Both reads prompts and generates.
+    /// Runs both prefill and decode.
     Mixed,
-    /// Reads prompts and exports their KV cache.
+    /// Runs prefill and exports the KV cache.
     Prefill,
-    /// Generates from imported KV caches.
+    /// Runs decode on imported KV caches.
     Decode,
 }
 
-/// What a worker answers to an order.
+/// A worker's reply to an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "result", deny_unknown_fields)]
 pub enum Reply {
-    /// It is being done, or was done before.
+    /// The order is being carried out, or has been already.
     Accepted,
-    /// A newer fencing number has been seen.
+    /// The worker has seen a larger fencing number.
     Fenced {
-        /// The newest number.
+        /// The largest fencing number that the worker has seen.
         seen: Term,
     },
-    /// It cannot be done.
+    /// The worker cannot carry out the order.
     Refused {
-        /// Why, for operators.
+        /// The reason, for operators.
         reason: Name,
     },
 }
 
-/// What is known of an order after it was sent.
+/// What the sender knows about an order after trying to send it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The order never left: no connection was made.
+    /// The order was not sent: no connection could be made.
     Unsent,
-    /// The worker answered.
+    /// The worker replied.
     Answered(Reply),
-    /// It may have arrived: the answer was lost or late.
+    /// The order may have arrived: the reply was lost or late.
     Unknown,
 }
--- a/crates/types/src/refusal.rs
+++ b/crates/types/src/refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller learns when its request is not answered in full.
+//! The reasons for which a request is refused, as callers see them.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 
 use crate::id::Name;
 
-/// Whether a refused request ran.
+/// Whether a refused request was executed.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Display, EnumString, EnumIter,
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Run {
-    /// No byte of it reached a target.
+    /// No byte of the request reached a target.
     NotRun,
-    /// It may have run.
+    /// The request may have been executed.
     Unknown,
-    /// It ran, and failed.
+    /// The request was executed and failed.
     Failed,
 }
 
@@ -43,45 +43,45 @@
 pub enum Reason {
     /// The request is malformed.
     Malformed,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// No such model or service.
+    /// The requested model or service does not exist.
     Unknown,
-    /// The queue is full and others are nearer to being met.
+    /// The queue is full, and the requests in it rank ahead of this one.
     Overloaded,
-    /// The caller has too many requests.
+    /// The caller has too many requests in flight or queued.
     Limited,
-    /// The expected start lies past the deadline.
+    /// The expected start of execution is past the deadline.
     Late,
-    /// The deadline came while it waited.
+    /// The deadline passed while the request was queued.
     Expired,
-    /// This host may not take requests now: it lost touch with control.
+    /// The host lost contact with control and may not accept requests.
     Isolated,
-    /// This host is shutting down.
+    /// The host is shutting down.
     Draining,
-    /// No target can run it.
+    /// No target can run the request.
     Unavailable,
-    /// The key was used with another body.
+    /// The idempotency key was used before with a different body.
     Mismatch,
-    /// The same request is in progress.
+    /// A request with the same idempotency key is in progress.
     InProgress,
-    /// The target failed after it was sent.
+    /// The target failed after the request was sent to it.
     TargetFailed,
-    /// Targets failed while running it; it is kept from others.
+    /// Targets failed while running this request, so it is quarantined.
     Quarantined,
-    /// The outcome was recorded once but is no longer kept.
+    /// The outcome of the idempotency key was recorded, but is no longer kept.
     Forgotten,
 }
 
-/// A refusal.
+/// A refusal as the caller receives it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason for the refusal.
     pub reason: Reason,
-    /// Whether the request ran.
+    /// Whether the request was executed.
     pub run: Run,
-    /// When to come back, where coming back can help.
+    /// Time after which a retry may succeed; `None` if a retry cannot help.
     pub retry_after: Option<Duration>,
-    /// A sentence for people.
+    /// Human-readable explanation.
     pub detail: Name,
 }
--- a/crates/types/src/route.rs
+++ b/crates/types/src/route.rs
@@ -1,6 +1,6 @@
-//! The routes that operators declare, and the services behind them.
+//! Route tables: the routes that operators declare, and the services that they lead to.
 //!
-//! A [`Table`] is replaced as a whole; of two tables the one with the higher version is in force.
+//! A [`Table`] is replaced as a whole; of two tables, the one with the higher version is in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,126 +11,126 @@
 
 use crate::id::{ModelId, Name, Version};
 
-/// What stands between a service and one of its models in a [`ModelId`].
+/// Separates the service from the model name in a [`ModelId`].
 const SEPARATOR: char = '/';
 
 /// All routes and services of one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// Its version; the highest is in force.
+    /// Version of the table; the highest version is in force.
     pub version: Version,
-    /// The routes.
+    /// The routes; each has its own pair of host and prefix.
     pub routes: Vec<Route>,
-    /// The services that routes lead to.
+    /// The services that routes lead to; names are unique.
     pub services: Vec<Service>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
 }
 
-/// Requests of one host and path, and the service that answers them.
+/// Maps requests for one host and path prefix to services.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: Name,
-    /// The host that callers name.
+    /// The host that callers name in their requests.
     pub host: Name,
-    /// What the path begins with; it begins and ends with a slash.
+    /// Path prefix of the requests; begins and ends with a slash.
     pub prefix: Name,
-    /// What may be repeated.
+    /// Which retries are allowed.
     pub repeat: Repeat,
-    /// Whether the answer is a stream of events.
+    /// Whether responses are event streams.
     pub streams: bool,
-    /// How long a request may be kept waiting for the end of its answer.
+    /// Longest time from a request to the end of its response.
     pub timeout: Duration,
-    /// The objective: time to the answer, or to the first event of a stream.
+    /// Latency objective: time to the response, or to the first event of a stream.
     pub objective: Duration,
-    /// The rank among the requests of a service; 0 goes first.
+    /// Priority among the requests of a service; 0 is the highest.
     pub rank: u8,
-    /// Targets that one request may be sent to at most.
+    /// Largest number of targets to which one request may be sent.
     pub attempts: u32,
-    /// Where requests go, by weight.
+    /// The services that share the route's requests, by weight.
     pub splits: Vec<Split>,
 }
 
-/// What may be repeated of a request.
+/// Which retries of a request are allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Display, EnumString)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Repeat {
-    /// It runs at most once.
+    /// No retries: the request runs at most once.
     Never,
-    /// It may run more than once.
+    /// The whole request may run more than once.
     Whole,
-    /// Its stream may go on at another target after the last event.
+    /// An interrupted stream may continue on another target after the last event received.
     Resumed,
 }
 
-/// A part of a route's requests.
+/// The share of a route's requests that goes to one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Split {
-    /// The service.
+    /// The name of the service.
     pub service: Name,
-    /// Its share against the other splits of the route.
+    /// Relative weight among the splits of the route.
     pub weight: u32,
 }
 
 /// A service that targets run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service, unique in the table.
     pub name: Name,
-    /// Connections that one target accepts from all hosts together.
+    /// Connections that one target accepts from all entry hosts together.
     pub connections: u32,
-    /// The engine, where its targets run models.
+    /// Capacity of the workers; `None` if the service's targets don't run models.
     pub engine: Option<Engine>,
 }
 
-/// What the workers of one service can hold.
+/// Capacity of each worker of a service, and the models that it may hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that a worker runs at once.
+    /// Concurrent requests that a worker runs.
     pub slots: u32,
-    /// Tokens that fit into a worker's KV cache.
+    /// Capacity of a worker's KV cache, in tokens.
     pub tokens: u64,
     /// Accelerator memory for weights and adapters, in bytes.
     pub memory: u64,
-    /// Copies of weights that a worker keeps in host memory, in bytes.
+    /// Host memory in which a worker caches weights, in bytes.
     pub host: u64,
-    /// Copies of weights that a worker keeps on its disk, in bytes.
+    /// Disk space in which a worker caches weights, in bytes.
     pub disk: u64,
-    /// Adapters that a worker holds at most.
+    /// Largest number of adapters that a worker holds.
     pub adapters: u32,
-    /// Time between two loads that the weight store allows to start, over all workers.
+    /// Shortest time between the starts of two loads from the weight store, over all workers.
     pub start_interval: Duration,
-    /// The models.
+    /// The models that workers of the service may hold.
     pub models: Vec<Model>,
 }
 
 /// A model that workers of a service may hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Model {
-    /// Its name within the service.
+    /// The name of the model, unique within the service.
     pub name: Name,
-    /// Accelerator memory that it takes, in bytes.
+    /// Accelerator memory that the model takes, in bytes.
     pub bytes: u64,
-    /// Time of a load from the weight store at full speed.
+    /// Duration of a load from the weight store at full speed.
     pub from_store: Duration,
-    /// Time of a load from the worker's disk.
+    /// Duration of a load from the worker's disk.
     pub from_disk: Duration,
-    /// Time of a load from the worker's host memory.
+    /// Duration of a load from the worker's host memory.
     pub from_memory: Duration,
-    /// Its adapters.
+    /// The names of the model's adapters.
     pub adapters: Vec<Name>,
     /// Accelerator memory that one adapter takes, in bytes.
     pub adapter_bytes: u64,
 }
 
-/// What callers may send.
+/// Limits on what callers may send.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// The largest body in bytes.
+    /// Largest request body, in bytes.
     pub body: usize,
-    /// How long a connection may stay idle.
+    /// Time for which a connection may stay idle.
     pub idle: Duration,
 }
 
@@ -143,12 +143,12 @@
     }
 }
 
-/// Why a table cannot be brought in force.
+/// A reason for which a table is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The route or service that is wrong.
+    /// The name of the route or service at fault.
     pub place: Name,
-    /// What is wrong with it.
+    /// What is wrong with the route or service.
     pub reason: &'static str,
 }
 
@@ -159,7 +159,7 @@
 }
 
 impl Table {
-    /// The faults between its parts.
+    /// Returns all inconsistencies within the table; empty if it is valid.
     ///
     /// ```
     /// use cornelhitch_types::route::Table;
@@ -169,39 +169,45 @@
     #[must_use]
     pub fn faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
-        let mut places = BTreeSet::new();
+        let mut prefixes = BTreeSet::new();
         let mut services = BTreeSet::new();
         for service in &self.services {
             if !services.insert(&service.name) {
-                faults.push(fault(&service.name, "two services have this name"));
+                faults.push(new_fault(
+                    &service.name,
+                    "another service has the same name",
+                ));
             }
         }
         for route in &self.routes {
-            if !places.insert((&route.host, &route.prefix)) {
-                faults.push(fault(&route.name, "another route has this host and prefix"));
+            if !prefixes.insert((&route.host, &route.prefix)) {
+                faults.push(new_fault(
+                    &route.name,
+                    "another route has the same host and prefix",
+                ));
             }
             if route
                 .splits
                 .iter()
                 .any(|split| !services.contains(&split.service))
             {
-                faults.push(fault(
+                faults.push(new_fault(
                     &route.name,
-                    "it leads to a service that is not listed",
+                    "a split names a service that is not in the table",
                 ));
             }
-            faults.extend(route.fault());
+            faults.extend(route.first_fault());
         }
         faults
     }
 
-    /// The service of a name.
+    /// Returns the service with the given name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| &*service.name == name)
     }
 
-    /// Each engine with its service.
+    /// Returns each service that has an engine, with its engine.
     pub fn engines(&self) -> impl Iterator<Item = (&Service, &Engine)> {
         let services = self.services.iter();
         services.filter_map(|service| Some((service, service.engine.as_ref()?)))
@@ -209,20 +215,27 @@
 }
 
 impl Route {
-    /// A fault within the route.
-    fn fault(&self) -> Option<Fault> {
+    /// Returns the first fault within the route itself.
+    fn first_fault(&self) -> Option<Fault> {
         let weights = self.splits.iter().map(|split| u64::from(split.weight));
-        let slashes = self.prefix.starts_with('/') && self.prefix.ends_with('/');
+        let has_slashes = self.prefix.starts_with('/') && self.prefix.ends_with('/');
         if weights.sum::<u64>() == 0 {
-            return Some(fault(&self.name, "its weights add up to 0"));
+            return Some(new_fault(
+                &self.name,
+                "the weights of the splits add up to 0",
+            ));
         }
         if self.timeout.is_zero() {
-            return Some(fault(&self.name, "its timeout is 0"));
+            return Some(new_fault(
+                &self.name,
+                "timeout is 0, expected a positive duration",
+            ));
         }
-        (!slashes).then(|| fault(&self.name, "its prefix does not begin and end with a slash"))
+        (!has_slashes).then(|| new_fault(&self.name, "prefix does not begin and end with a slash"))
     }
 
-    /// The service for a draw between 0 and 1.
+    /// Selects a service by weight for a random `draw` in `[0, 1)`; `None` if no service has a
+    /// positive weight.
     #[must_use]
     pub fn pick(&self, draw: f64) -> Option<&Name> {
         let total: f64 = self
@@ -230,10 +243,10 @@
             .iter()
             .map(|split| f64::from(split.weight))
             .sum();
-        let mut left = draw * total;
+        let mut remaining = draw * total;
         for split in &self.splits {
-            left -= f64::from(split.weight);
-            if left < 0.0 {
+            remaining -= f64::from(split.weight);
+            if remaining < 0.0 {
                 return Some(&split.service);
             }
         }
@@ -245,14 +258,14 @@
 }
 
 impl Model {
-    /// The model under a name that no other service's models have.
+    /// Returns an id for the model that is unique across services.
     #[must_use]
     pub fn id(&self, service: &str) -> ModelId {
         model_id(service, &self.name)
     }
 }
 
-/// A service's model under a name that no other service's models have.
+/// Returns an id for a service's model that is unique across services.
 ///
 /// ```
 /// use cornelhitch_types::route;
@@ -265,13 +278,13 @@
     format!("{service}{SEPARATOR}{model}").into()
 }
 
-/// The name of a model within its service.
+/// Returns the name of a model within its service.
 #[must_use]
 pub fn model_name(id: &str) -> &str {
     id.split_once(SEPARATOR).map_or(id, |(_, name)| name)
 }
 
-/// The service of a model that was named by [`model_id`]; none for a model of no service.
+/// Returns the service from an id made by [`model_id`]; `None` if the id names no service.
 ///
 /// ```
 /// use cornelhitch_types::route;
@@ -285,23 +298,22 @@
     id.split_once(SEPARATOR).map(|(service, _)| service)
 }
 
-/// A fault at a place.
-fn fault(place: &Name, reason: &'static str) -> Fault {
+fn new_fault(place: &Name, reason: &'static str) -> Fault {
     Fault {
         place: place.clone(),
         reason,
     }
 }
 
-/// Routes by host and prefix, for lookups.
+/// Index of routes by host and path prefix.
 #[derive(Debug, Clone, Default)]
 pub struct Index {
-    /// The routes of each host by prefix.
+    /// Positions in [`Table::routes`], by host and then by prefix.
     hosts: BTreeMap<Name, BTreeMap<Name, usize>>,
 }
 
 impl Index {
-    /// An index of a table's routes.
+    /// Builds the index for a table.
     #[must_use]
     pub fn of(table: &Table) -> Self {
         let mut hosts: BTreeMap<Name, BTreeMap<Name, usize>> = BTreeMap::new();
@@ -312,9 +324,9 @@
         Self { hosts }
     }
 
-    /// The position of the route with the longest prefix that begins the path.
+    /// Returns the position in [`Table::routes`] of the route with the longest prefix of `path`.
     ///
-    /// Prefixes end with a slash, so only the parts of the path up to a slash can match.
+    /// Prefixes end with a slash, so only the substrings of `path` up to each slash are looked up.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         let prefixes = self.hosts.get(host)?;
--- a/crates/types/src/target.rs
+++ b/crates/types/src/target.rs
@@ -1,4 +1,4 @@
-//! What targets tell about themselves.
+//! Messages in which targets announce themselves and report their state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,42 +20,42 @@
     Service,
 }
 
-/// What a target says once when it starts, and again when it is asked to.
+/// The message with which a target registers when it starts, and again on request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// Its name.
+    /// The name of the target.
     pub target: TargetId,
-    /// Its life, larger after each restart.
+    /// Incarnation of the target, larger after each restart.
     pub incarnation: Incarnation,
-    /// What it runs.
+    /// Whether it is a worker or a plain service.
     pub kind: Kind,
-    /// Where it takes orders and requests.
+    /// The address on which it accepts orders and requests.
     pub address: SocketAddr,
-    /// Its region.
+    /// The region of the target.
     pub region: RegionId,
-    /// Its availability zone.
+    /// The availability zone of the target.
     pub zone: ZoneId,
-    /// Accelerator memory that models may fill, in bytes.
+    /// Accelerator memory available to models, in bytes.
     pub memory: u64,
-    /// How many accelerators that memory is spread over.
+    /// Number of accelerators over which the memory is spread.
     pub accelerators: u32,
     /// Whether it refuses orders with an old fencing number.
     pub fencing: bool,
-    /// The services it runs: of a worker, the one whose models it holds, if it belongs to one.
+    /// The services that it runs; for a worker, the service whose models it holds, if any.
     #[serde(default)]
     pub services: Vec<Name>,
-    /// Requests that it answers at once, where it tells.
+    /// Concurrent requests that it can run; `None` if it does not say.
     #[serde(default)]
     pub slots: Option<u32>,
-    /// Whether `incarnation` is the Unix time of its start, so that lives at one address can be
-    /// told apart whatever their targets' names.
+    /// Whether `incarnation` is the Unix time of the start, so that incarnations at one address can
+    /// be told apart whatever the targets' names.
     #[serde(default)]
     pub dated: bool,
 }
 
 impl Announcement {
-    /// Whether it is a worker that takes numbered orders for the models of its service.
+    /// Returns whether this is a worker that takes numbered orders for the models of a service.
     ///
     /// Such a worker carries out one order at a time and counts them, so that an order needs no
     /// reservation in the log.
@@ -65,7 +65,7 @@
     }
 }
 
-/// How near a copy of a model is to an accelerator.
+/// Storage tier of a copy of a model, from the farthest to the nearest to the accelerator.
 #[derive(
     Debug,
     Clone,
@@ -90,9 +90,9 @@
     Disk,
     /// In the worker's host memory.
     Memory,
-    /// In accelerator memory, being loaded.
+    /// In accelerator memory, still loading.
     Loading,
-    /// In accelerator memory and answering.
+    /// In accelerator memory, ready for requests.
     Ready,
 }
 
@@ -102,32 +102,32 @@
 pub struct Holding {
     /// The model and its version.
     pub model: Reference,
-    /// The replica that the load order named, where the worker keeps it.
+    /// The replica that the load order named; `None` if the worker does not keep it.
     #[serde(default)]
     pub replica: Option<ReplicaId>,
-    /// Where the copy is.
+    /// The tier that holds the copy.
     pub stage: Stage,
-    /// Accelerator memory it takes, in bytes; 0 below [`Stage::Loading`].
+    /// Accelerator memory that the copy takes, in bytes; 0 below [`Stage::Loading`].
     pub bytes: u64,
-    /// Adapters that are ready on it.
+    /// Adapters that are ready on the copy.
     #[serde(default)]
     pub adapters: Vec<Name>,
 }
 
-/// The load of a target when it was measured, some time ago.
+/// Load of a target, measured some time before it was sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests being answered.
+    /// Requests in flight.
     pub running: u32,
-    /// Requests waiting inside the target.
+    /// Requests queued inside the target.
     pub queued: u32,
-    /// How old the figures were when they left the target, in milliseconds.
+    /// Age of the measurement when it left the target, in milliseconds.
     pub age_ms: u32,
 }
 
 impl Load {
-    /// The age of the figures.
+    /// Returns the age of the measurement when it left the target.
     ///
     /// ```
     /// use cornelhitch_types::target::Load;
@@ -141,58 +141,58 @@
     }
 }
 
-/// A change of a prefix cache; these come late and with gaps.
+/// A change to a prefix cache; events arrive late, and some are lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CacheEvent {
-    /// Counts the target's events; a gap shows lost ones.
+    /// Sequence number among the target's events; a gap shows that events were lost.
     pub sequence: u64,
-    /// The model whose prefix it is.
+    /// The model of the prefix.
     pub model: ModelId,
     /// Digest of the prefix's blocks.
     pub prefix: u64,
-    /// Whether the prefix is held now.
+    /// Whether the prefix is now cached (`true`) or evicted (`false`).
     pub held: bool,
 }
 
-/// What a target says every second.
+/// The status message that a target sends every second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Heartbeat {
-    /// Its name.
+    /// The name of the target.
     pub target: TargetId,
-    /// Its life.
+    /// Incarnation of the target.
     pub incarnation: Incarnation,
-    /// Counts the heartbeats of this life.
+    /// Sequence number of the heartbeat within the incarnation.
     pub sequence: u64,
-    /// The newest fencing number it has taken an order under.
+    /// The largest fencing number of the orders that it has accepted.
     #[serde(default)]
     pub fence: Term,
-    /// Every copy it holds.
+    /// All copies of models that it holds.
     pub inventory: Vec<Holding>,
-    /// Its load.
+    /// The current load.
     pub load: Load,
-    /// Changes of its prefix caches since the last heartbeat.
+    /// Changes to its prefix caches since the previous heartbeat.
     #[serde(default)]
     pub cache: Vec<CacheEvent>,
-    /// Whether it leaves and wants no new work.
+    /// Whether it is draining and wants no new work.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What a target tells that announces itself with each heartbeat.
+/// Announcement and heartbeat in one message, for targets that send both every time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Presence {
-    /// What it is.
+    /// What the target is and where it runs.
     pub announcement: Announcement,
-    /// How it is.
+    /// The current state of the target.
     pub heartbeat: Heartbeat,
 }
 
-/// What a worker tells of its orders when it is asked.
+/// A worker's count of orders and its copies, as it reports them when asked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inspection {
-    /// Orders that it has accepted in this life.
+    /// Number of orders that it has accepted in this incarnation.
     pub orders: u64,
     /// Whether an order is in progress.
     pub busy: bool,
--- a/crates/types/src/view.rs
+++ b/crates/types/src/view.rs
@@ -1,7 +1,7 @@
-//! What control publishes to entry hosts: the state that routing needs.
+//! The routing state that control publishes to entry hosts.
 //!
-//! A view is soft state. It is sent whole once and then as changes with a
-//! sequence; a gap is answered with the whole again.
+//! A view is soft state. It is sent as a full snapshot once and then as numbered changes; after a
+//! gap in the sequence the receiver gets a full snapshot again.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,100 +14,100 @@
 use crate::route::Table;
 use crate::target::{CacheEvent, Kind, Load};
 
-/// What is known of a replica.
+/// State of a replica as routing sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Display)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum State {
-    /// Decided; the worker has not shown it ready.
+    /// Placement is decided; the worker has not reported the replica ready.
     Loading,
-    /// The worker shows it ready.
+    /// The worker reports the replica ready.
     Ready,
-    /// No new request may be sent to it; an unload follows.
+    /// Takes no new requests; an unload follows.
     Retiring,
 }
 
-/// One replica that entry hosts may send requests to.
+/// One replica to which entry hosts may send requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Its id.
+    /// The replica's id.
     pub replica: ReplicaId,
     /// The base model.
     pub model: ModelId,
-    /// The version.
+    /// The version of the model.
     pub version: Option<Name>,
-    /// The worker.
+    /// The worker that runs the replica.
     pub target: TargetId,
-    /// Its state.
+    /// Whether the replica is loading, ready or retiring.
     pub state: State,
-    /// When it is expected to be ready, in milliseconds from the time of the message.
+    /// Expected time until the replica is ready, in milliseconds from the time of the message.
     pub ready_in_ms: u32,
-    /// Adapters that are ready on it.
+    /// Adapters that are ready on the replica.
     pub adapters: Vec<Name>,
 }
 
-/// One target.
+/// One target (worker or service) as routing sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Its name.
+    /// The name under which the target announced itself.
     pub target: TargetId,
-    /// Its life.
+    /// Incarnation of the target.
     pub incarnation: Incarnation,
-    /// What it runs.
+    /// Whether it is a worker or a plain service.
     pub kind: Kind,
-    /// Where it takes requests.
+    /// The address on which it accepts requests.
     pub address: SocketAddr,
-    /// Its region.
+    /// The region of the target.
     pub region: RegionId,
-    /// Its availability zone.
+    /// The availability zone of the target.
     pub zone: ZoneId,
-    /// The plain services it runs.
+    /// The plain services that the target runs.
     pub services: Vec<Name>,
-    /// Whether it may get new work: neither leaving nor suspected.
+    /// Whether it may get new requests: it is neither draining nor suspected to have failed.
     pub open: bool,
-    /// Its last reported load.
+    /// The load that it last reported.
     pub load: Load,
-    /// Requests that it answers at once, where it tells.
+    /// Concurrent requests that the target can run; `None` if it did not announce a number.
     pub slots: Option<u32>,
 }
 
-/// One change of the view.
+/// One change to the view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// A replica is new or changed.
+    /// A replica was added or changed.
     Replica(Replica),
-    /// A replica is gone.
+    /// A replica was removed.
     ReplicaGone(ReplicaId),
-    /// A target is new or changed.
+    /// A target was added or changed.
     Target(Target),
-    /// A target is gone.
+    /// A target was removed.
     TargetGone(TargetId),
-    /// An entry host is new or changed.
+    /// An entry host was added or changed.
     Entry(entry::Host),
-    /// An entry host is gone.
+    /// An entry host was removed.
     EntryGone(crate::id::HostId),
-    /// A target's prefix caches changed.
+    /// The prefix caches of a target changed.
     Cache(TargetId, Vec<CacheEvent>),
-    /// A request fingerprint was struck, or released with 0 strikes.
+    /// The strike count of a request fingerprint changed; 0 ends its quarantine.
     Strike(u64, u32),
-    /// The settings that are in force, as YAML text that was checked.
+    /// The settings in force, as validated YAML text.
     Settings(Version, Name),
-    /// The table of routes that is in force.
+    /// The route table in force.
     Table(Arc<Table>),
-    /// A model that no target has near takes at least this long from the start of its load, in
-    /// milliseconds; 0 where a target has it near, or loads it.
+    /// Lower bound of the load time of a model that no target has cached, in milliseconds from the
+    /// start of its load; 0 if a target has it cached or is loading it.
     Outlook(ModelId, u32),
 }
 
-/// Changes that take a view from one sequence number to the next.
+/// Changes that take a view from one sequence number to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// The term of the leader that published it.
+    /// Raft term of the leader that published the changes.
     pub term: Term,
-    /// The sequence number before these changes; 0 means that `changes` is the whole.
+    /// Sequence number before the changes; 0 means that `changes` is a full snapshot.
     pub from: u64,
-    /// The sequence number after them.
+    /// Sequence number after the changes.
     pub to: u64,
-    /// The changes.
+    /// The changes, in the order in which they apply.
     pub changes: Vec<Change>,
 }
--- a/crates/types/tests/route.rs
+++ b/crates/types/tests/route.rs
@@ -1,11 +1,11 @@
-//! Tables of routes: lookups, faults between their parts, and draws between services.
+//! Route tables: lookups, validation, and weighted selection of services.
 
 use std::time::Duration;
 
 use cornelhitch_types::route::{Index, Limits, Repeat, Route, Service, Split, Table};
 use proptest::prelude::*;
 
-/// A route that leads to the service `s`.
+/// Returns a route to the service `s`.
 fn route(name: &str, host: &str, prefix: &str) -> Route {
     Route {
         name: name.into(),
@@ -44,7 +44,7 @@
 
 #[test]
 #[rustfmt::skip]
-fn the_longest_prefix_up_to_a_slash_wins() {
+fn lookup_returns_route_with_longest_prefix_ending_at_a_slash() {
     let table = table(vec![
         route("all", "h", "/"),
         route("lots", "h", "/lots/"),
@@ -71,8 +71,8 @@
     }
 }
 
-/// What a fault says of a table of one changed route.
-fn fault(change: impl FnOnce(&mut Route)) -> Option<String> {
+/// Returns the first fault of a table whose only route is changed by `change`.
+fn first_fault(change: impl FnOnce(&mut Route)) -> Option<String> {
     let mut route = route("r", "h", "/p/");
     change(&mut route);
     table(vec![route]).faults().first().map(ToString::to_string)
@@ -80,38 +80,38 @@
 
 #[test]
 #[rustfmt::skip]
-fn a_route_that_cannot_work_is_named() {
-    assert_eq!(fault(|_| ()), None);
-    let weights = Some("r: its weights add up to 0".to_owned());
-    assert_eq!(fault(|it| it.splits.clear()), weights);
-    assert_eq!(fault(|it| it.splits = vec![split("s", 0)]), weights);
-    assert_eq!(fault(|it| it.splits = vec![split("u", 1)]).as_deref(), Some("r: it leads to a service that is not listed"));
-    assert_eq!(fault(|it| it.timeout = Duration::ZERO).as_deref(), Some("r: its timeout is 0"));
+fn invalid_route_is_reported_by_name() {
+    assert_eq!(first_fault(|_| ()), None);
+    let weights = Some("r: the weights of the splits add up to 0".to_owned());
+    assert_eq!(first_fault(|it| it.splits.clear()), weights);
+    assert_eq!(first_fault(|it| it.splits = vec![split("s", 0)]), weights);
+    assert_eq!(first_fault(|it| it.splits = vec![split("u", 1)]).as_deref(), Some("r: a split names a service that is not in the table"));
+    assert_eq!(first_fault(|it| it.timeout = Duration::ZERO).as_deref(), Some("r: timeout is 0, expected a positive duration"));
     for prefix in ["p/", "/p", ""] {
-        let found = fault(|it| it.prefix = prefix.into());
-        assert_eq!(found.as_deref(), Some("r: its prefix does not begin and end with a slash"), "{prefix}");
+        let found = first_fault(|it| it.prefix = prefix.into());
+        assert_eq!(found.as_deref(), Some("r: prefix does not begin and end with a slash"), "{prefix}");
     }
 }
 
 #[test]
-fn two_of_one_place_or_name_are_a_fault() {
+fn duplicate_prefix_or_service_name_is_reported() {
     let twice = table(vec![route("a", "h", "/p/"), route("b", "h", "/p/")]);
     assert_eq!(
         twice.faults()[0].to_string(),
-        "b: another route has this host and prefix"
+        "b: another route has the same host and prefix"
     );
     let mut same = table(vec![route("a", "h", "/p/")]);
     same.services.push(same.services[0].clone());
     assert_eq!(
         same.faults()[0].to_string(),
-        "s: two services have this name"
+        "s: another service has the same name"
     );
 }
 
 proptest! {
-    /// A draw hits each service in proportion to its weight, and one without weight never.
+    /// Each service is picked in proportion to its weight; a service with weight 0 never is.
     #[test]
-    fn draws_follow_the_weights(weights in prop::collection::vec(0_u32..5, 1..5), draw in 0.0_f64..1.0) {
+    fn services_are_picked_by_weight(weights in prop::collection::vec(0_u32..5, 1..5), draw in 0.0_f64..1.0) {
         let mut route = route("r", "h", "/");
         let name = |at: usize| format!("s{at}");
         route.splits = weights.iter().enumerate().map(|(at, weight)| split(&name(at), *weight)).collect();
