--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,147 +1,162 @@
-//! Holds a document against the table of its keys, and notes every fault.
+//! Validates a document against its schema and collects all faults.
 
 use std::net::SocketAddr;
 
 use marked_yaml::Node;
 use marked_yaml::types::{MarkedMappingNode, MarkedScalarNode, MarkedSequenceNode};
 
-use crate::document::{Place, items, place, scalar, start};
+use crate::document::{Position, items, mapping_start, position, scalar};
 use crate::error::Fault;
-use crate::schema::{Form, Key, Kind, Shape};
+use crate::schema::{Key, Schema, TextFormat, ValueType};
 
-/// How many letters may differ between a key and the one that was meant.
-const NEAR: usize = 2;
+/// Largest edit distance between an unknown key or name and the one suggested for it.
+const MAX_SUGGESTION_DISTANCE: usize = 2;
 
-/// The longest name in bytes.
-const NAME: usize = 128;
+/// Longest name, in bytes.
+const MAX_NAME_BYTES: usize = 128;
 
-/// All faults of a document against a shape.
-pub fn check(root: &Node, shape: &Shape) -> Vec<Fault> {
+/// Returns all violations of a schema by a document.
+pub fn check(root: &Node, schema: &Schema) -> Vec<Fault> {
     let mut checker = Checker {
         root,
         faults: Vec::new(),
     };
     if let Some(map) = root.as_mapping() {
-        checker.map(map, shape);
+        checker.map(map, schema);
     }
     checker.faults
 }
 
-/// Walks through a document.
+/// Validates the nodes of a document and collects faults.
 struct Checker<'a> {
-    /// The document, in which names are looked up.
+    /// Root of the document, for looking up referenced names.
     root: &'a Node,
-    /// The faults so far.
+    /// The faults found so far.
     faults: Vec<Fault>,
 }
 
 impl Checker<'_> {
-    /// Notes a fault.
-    fn fault(&mut self, place: Place, message: String) {
-        self.faults.push(place.fault(message));
+    fn report(&mut self, position: Position, message: String) {
+        self.faults.push(position.fault(message));
     }
 
     /// Checks the keys of a map.
-    fn map(&mut self, map: &MarkedMappingNode, shape: &Shape) {
+    fn map(&mut self, map: &MarkedMappingNode, schema: &Schema) {
         for (name, value) in map.iter() {
-            if let Some(key) = shape.key(name.as_str()) {
-                self.value(key.name, &key.kind, value, name.span().into());
+            if let Some(key) = schema.key(name.as_str()) {
+                self.value(key.name, &key.value_type, value, name.span().into());
             } else {
-                let message = unknown(name.as_str(), shape);
-                self.fault(name.span().into(), message);
+                let message = unknown_key(name.as_str(), schema);
+                self.report(name.span().into(), message);
             }
         }
         let missing = |key: &&Key| key.required && map.get_node(key.name).is_none();
-        for key in shape.keys.iter().filter(missing) {
-            let message = format!("{} has no `{}`", shape.noun, key.name);
-            self.fault(start(map), message);
+        for key in schema.keys.iter().filter(missing) {
+            let message = format!("{} has no `{}`", schema.noun, key.name);
+            self.report(mapping_start(map), message);
         }
     }
 
-    /// Checks one value; `before` is the place of its key, where an empty one is told.
-    fn value(&mut self, name: &str, kind: &Kind, node: &Node, before: Place) {
-        match (kind, node) {
-            (Kind::Map(shape), Node::Mapping(map)) => self.map(map, shape),
-            (Kind::List(kind), Node::Sequence(list)) => self.list(name, kind, list),
-            (Kind::Map(_) | Kind::List(_), Node::Scalar(scalar)) if empty(scalar) => (),
-            (_, Node::Scalar(scalar)) if empty(scalar) => {
-                self.fault(before, format!("`{name}` has no value"));
+    /// Checks one value; an empty one is reported at `key_position`, the position of its key.
+    fn value(&mut self, name: &str, value_type: &ValueType, node: &Node, key_position: Position) {
+        match (value_type, node) {
+            (ValueType::Map(schema), Node::Mapping(map)) => self.map(map, schema),
+            (ValueType::List(value_type), Node::Sequence(list)) => {
+                self.list(name, value_type, list);
+            }
+            (ValueType::Map(_) | ValueType::List(_), Node::Scalar(scalar)) if is_null(scalar) => (),
+            (_, Node::Scalar(scalar)) if is_null(scalar) => {
+                self.report(key_position, format!("`{name}` has no value"));
+            }
+            (ValueType::Map(_), _) => {
+                self.report(position(node), format!("`{name}` must be a map of keys"));
+            }
+            (ValueType::List(_), _) => {
+                self.report(position(node), format!("`{name}` must be a list"));
             }
-            (Kind::Map(_), _) => self.fault(place(node), format!("`{name}` is no map of keys")),
-            (Kind::List(_), _) => self.fault(place(node), format!("`{name}` is no list")),
             (_, Node::Scalar(scalar)) => {
-                if let Some(message) = self.scalar(name, kind, scalar) {
-                    self.fault(place(node), message);
+                if let Some(message) = self.scalar(name, value_type, scalar) {
+                    self.report(position(node), message);
                 }
             }
-            (_, Node::Mapping(_)) => self.fault(place(node), format!("`{name}` is a map")),
-            (_, Node::Sequence(_)) => self.fault(place(node), format!("`{name}` is a list")),
+            (_, Node::Mapping(_)) => self.report(
+                position(node),
+                format!("`{name}` is a map, expected a single value"),
+            ),
+            (_, Node::Sequence(_)) => self.report(
+                position(node),
+                format!("`{name}` is a list, expected a single value"),
+            ),
         }
     }
 
-    /// Checks the items of a list, and that they differ.
-    fn list(&mut self, name: &str, kind: &Kind, list: &MarkedSequenceNode) {
+    /// Checks the items of a list, which must be distinct.
+    fn list(&mut self, name: &str, value_type: &ValueType, list: &MarkedSequenceNode) {
         let mut seen: Vec<&MarkedScalarNode> = Vec::new();
         for item in list.iter() {
-            self.value(name, kind, item, place(item));
+            self.value(name, value_type, item, position(item));
             let named = item.as_scalar().or_else(|| scalar(item, "name"));
             let Some(named) = named else { continue };
             let before = seen.iter().find(|before| before.as_str() == named.as_str());
             if let Some(before) = before {
-                let line = Place::from(before.span()).line;
+                let line = Position::from(before.span()).line;
                 let message = format!(
-                    "`{}` stands in `{name}` twice, first on line {line}",
+                    "`{}` is listed in `{name}` twice, first on line {line}",
                     &**named
                 );
-                self.fault(named.span().into(), message);
+                self.report(named.span().into(), message);
             }
             seen.push(named);
         }
     }
 
-    /// What is wrong with a scalar.
-    fn scalar(&self, name: &str, kind: &Kind, scalar: &MarkedScalarNode) -> Option<String> {
+    /// Returns the error message for an invalid scalar.
+    fn scalar(
+        &self,
+        name: &str,
+        value_type: &ValueType,
+        scalar: &MarkedScalarNode,
+    ) -> Option<String> {
         let text = scalar.as_str();
-        match kind {
-            Kind::Whole(least, most) => {
-                let fits = scalar
-                    .as_u64()
-                    .is_some_and(|n| (*least..=*most).contains(&n));
-                let wanted = || format!("a whole number from {least} to {most}");
-                (!fits).then(|| format!("`{name}` is {text:?}, not {}", wanted()))
+        match value_type {
+            ValueType::Integer(min, max) => {
+                let is_valid = scalar.as_u64().is_some_and(|n| (*min..=*max).contains(&n));
+                let expected = || format!("a whole number from {min} to {max}");
+                (!is_valid).then(|| format!("`{name}` is {text:?}, not {}", expected()))
             }
-            Kind::Number(least, most) => {
-                let fits = scalar
-                    .as_f64()
-                    .is_some_and(|n| (*least..=*most).contains(&n));
-                let wanted = || format!("a number from {least} to {most}");
-                (!fits).then(|| format!("`{name}` is {text:?}, not {}", wanted()))
+            ValueType::Number(min, max) => {
+                let is_valid = scalar.as_f64().is_some_and(|n| (*min..=*max).contains(&n));
+                let expected = || format!("a number from {min} to {max}");
+                (!is_valid).then(|| format!("`{name}` is {text:?}, not {}", expected()))
             }
-            Kind::Switch => {
-                let fits = scalar.as_bool().is_some();
-                (!fits).then(|| format!("`{name}` is {text:?}, not true or false"))
+            ValueType::Bool => {
+                let is_valid = scalar.as_bool().is_some();
+                (!is_valid).then(|| format!("`{name}` is {text:?}, not true or false"))
             }
-            Kind::Choice(words) => {
-                let fits = words.contains(&text);
-                (!fits).then(|| format!("`{name}` is {text:?}, not one of {}", words.join(", ")))
+            ValueType::Choice(choices) => {
+                let is_valid = choices.contains(&text);
+                (!is_valid)
+                    .then(|| format!("`{name}` is {text:?}, not one of {}", choices.join(", ")))
             }
-            Kind::Reference(list) => self.reference(name, list, text),
-            Kind::Text(form) => {
-                form_fault(*form, text).map(|why| format!("`{name}` is {text:?}{why}"))
+            ValueType::Reference(list) => self.reference(name, list, text),
+            ValueType::Text(format) => {
+                format_fault(*format, text).map(|why| format!("`{name}` is {text:?}{why}"))
             }
-            Kind::Map(_) | Kind::List(_) => None,
+            ValueType::Map(_) | ValueType::List(_) => None,
         }
     }
 
-    /// What is wrong with a name that stands for an item of a list.
+    /// Returns the error message for a reference to an item that does not exist.
     fn reference(&self, name: &str, list: &str, text: &str) -> Option<String> {
         let mut names = items(self.root, list).filter_map(|item| scalar(item, "name"));
         let known = names.clone().any(|known| known.as_str() == text);
         if known {
             return None;
         }
-        let meant = names.find(|known| distance(known.as_str(), text) <= NEAR);
-        let hint = meant.map(|meant| format!("; did you mean {:?}?", meant.as_str()));
+        let suggestion =
+            names.find(|known| edit_distance(known.as_str(), text) <= MAX_SUGGESTION_DISTANCE);
+        let hint =
+            suggestion.map(|suggestion| format!("; did you mean {:?}?", suggestion.as_str()));
         let hint = hint.unwrap_or_default();
         Some(format!(
             "`{name}` is {text:?}, which is not in `{list}`{hint}"
@@ -149,64 +164,68 @@
     }
 }
 
-/// Whether a scalar is left empty.
-fn empty(scalar: &MarkedScalarNode) -> bool {
+/// Returns whether a scalar is empty or a plain null.
+fn is_null(scalar: &MarkedScalarNode) -> bool {
     scalar.may_coerce() && matches!(scalar.as_str(), "" | "~" | "null" | "Null" | "NULL")
 }
 
-/// What is wrong with a text of a form.
-fn form_fault(form: Form, text: &str) -> Option<String> {
-    let (fits, wanted) = match form {
-        Form::Sentence => (!text.trim().is_empty(), ", which says nothing"),
-        Form::Name => (name_like(text, true), NAMES),
-        Form::Segment => (
-            name_like(text, false) && !matches!(text, "." | ".."),
-            SEGMENTS,
+/// Returns the error message for a text of the wrong format.
+fn format_fault(format: TextFormat, text: &str) -> Option<String> {
+    let (is_valid, expected) = match format {
+        TextFormat::Sentence => (!text.trim().is_empty(), ", which is blank"),
+        TextFormat::Name => (is_name(text, true), NOT_A_NAME),
+        TextFormat::Segment => (
+            is_name(text, false) && !matches!(text, "." | ".."),
+            NOT_A_SEGMENT,
         ),
-        Form::Method => (
+        TextFormat::Method => (
             !text.is_empty() && text.chars().all(|c| c.is_ascii_uppercase()),
             ", not an HTTP method in capitals",
         ),
-        Form::Address => (address(text).is_some(), ", not an IP address with a port"),
-        Form::Reachable => (
-            address(text).is_some_and(|address| reachable(&address)),
+        TextFormat::Address => (
+            parse_address(text).is_some(),
+            ", not an IP address with a port",
+        ),
+        TextFormat::ReachableAddress => (
+            parse_address(text).is_some_and(|address| is_reachable(&address)),
             ", not an IP address with a port that others can connect to",
         ),
-        Form::Path => (
+        TextFormat::Path => (
             !text.trim().is_empty() && !text.contains('\0'),
             ", not a path",
         ),
-        Form::Url => (
-            url(text),
+        TextFormat::Url => (
+            is_http_url(text),
             ", not a URL of the form http://HOST[:PORT][/PATH]",
         ),
     };
-    (!fits).then(|| wanted.to_owned())
+    (!is_valid).then(|| expected.to_owned())
 }
 
-/// What a name is made of.
-const NAMES: &str = ", not a name of up to 128 ASCII letters, digits, `-`, `_`, `.` and `/`";
-/// What a part of a path is made of.
-const SEGMENTS: &str = ", not a name of up to 128 ASCII letters, digits, `-`, `_` and `.`";
+/// Error message for a text that is not a name.
+const NOT_A_NAME: &str = ", not a name of up to 128 ASCII letters, digits, `-`, `_`, `.` and `/`";
+/// Error message for a text that is not a path segment.
+const NOT_A_SEGMENT: &str = ", not a name of up to 128 ASCII letters, digits, `-`, `_` and `.`";
 
-/// Whether a text is a name.
-fn name_like(text: &str, slashes: bool) -> bool {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c) || slashes && c == '/';
-    !text.is_empty() && text.len() <= NAME && text.chars().all(plain)
+/// Returns whether a text is a name, in which `/` is allowed if `slashes` is set.
+fn is_name(text: &str, slashes: bool) -> bool {
+    let is_allowed =
+        |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c) || slashes && c == '/';
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(is_allowed)
 }
 
-/// An address with a port.
-fn address(text: &str) -> Option<SocketAddr> {
+/// Parses an IP address with a port.
+fn parse_address(text: &str) -> Option<SocketAddr> {
     text.parse().ok()
 }
 
-/// Whether others can connect to an address.
-fn reachable(address: &SocketAddr) -> bool {
+/// Returns whether other hosts can connect to an address: it has a specific IP and a port.
+fn is_reachable(address: &SocketAddr) -> bool {
     address.port() != 0 && !address.ip().is_unspecified()
 }
 
-/// Whether a text is an `http` URL with a host.
-fn url(text: &str) -> bool {
+/// Returns whether a text is an `http` or `https` URL with a host.
+fn is_http_url(text: &str) -> bool {
     let rest = text
         .strip_prefix("http://")
         .or(text.strip_prefix("https://"));
@@ -214,32 +233,33 @@
     host.is_some_and(|host| !host.is_empty()) && !text.chars().any(char::is_whitespace)
 }
 
-/// What is said of a key that is not in the table.
-fn unknown(name: &str, shape: &Shape) -> String {
-    let meant = shape
+/// Returns the error message for a key that is not in the schema.
+fn unknown_key(name: &str, schema: &Schema) -> String {
+    let suggestion = schema
         .keys
         .iter()
-        .find(|key| distance(key.name, name) <= NEAR);
-    let hint = if let Some(key) = meant {
+        .find(|key| edit_distance(key.name, name) <= MAX_SUGGESTION_DISTANCE);
+    let hint = if let Some(key) = suggestion {
         format!("did you mean `{}`?", key.name)
     } else {
-        let keys: Vec<_> = shape.keys.iter().map(|key| key.name).collect();
-        format!("it has {}", keys.join(", "))
+        let keys: Vec<_> = schema.keys.iter().map(|key| key.name).collect();
+        format!("expected one of {}", keys.join(", "))
     };
-    format!("{} has no key {name:?}; {hint}", shape.noun)
+    format!("unknown key {name:?} in {}; {hint}", schema.noun)
 }
 
-/// How many letters must be put in, taken out or changed (Levenshtein's distance).
-fn distance(a: &str, b: &str) -> usize {
-    let b: Vec<char> = b.chars().take(NAME).collect();
+/// Returns the Levenshtein distance between two texts, the second truncated to [`MAX_NAME_BYTES`]
+/// characters.
+fn edit_distance(a: &str, b: &str) -> usize {
+    let b: Vec<char> = b.chars().take(MAX_NAME_BYTES).collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
-    for (i, of_a) in a.chars().enumerate() {
+    for (i, char_a) in a.chars().enumerate() {
         let mut diagonal = row[0];
         row[0] = i + 1;
-        for (j, of_b) in b.iter().enumerate() {
-            let change = diagonal + usize::from(of_a != *of_b);
+        for (j, char_b) in b.iter().enumerate() {
+            let substitution = diagonal + usize::from(char_a != *char_b);
             diagonal = row[j + 1];
-            row[j + 1] = change.min(row[j] + 1).min(diagonal + 1);
+            row[j + 1] = substitution.min(row[j] + 1).min(diagonal + 1);
         }
     }
     row[b.len()]
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! Reads YAML into nodes with places, within limits that keep any text harmless.
+//! Parses YAML into nodes with positions, with limits on size and nesting for untrusted input.
 
 use marked_yaml::types::{MarkedMappingNode, MarkedScalarNode};
 use marked_yaml::{LoadError, LoaderOptions, Marker, Node, Span};
@@ -6,26 +6,26 @@
 
 use crate::error::{Error, Fault};
 
-/// The longest file in bytes.
-const LIMIT: usize = 4 << 20;
+/// Longest accepted file, in bytes.
+const MAX_FILE_BYTES: usize = 4 << 20;
 
-/// How deep lists and maps may lie in one another.
-const DEPTH: usize = 16;
+/// Deepest accepted nesting of lists and maps.
+const MAX_DEPTH: usize = 16;
 
-/// A place in a file.
+/// A position in a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Position {
     /// The line, from 1.
     pub line: usize,
     /// The column, from 1.
     pub column: usize,
 }
 
-impl Place {
+impl Position {
     /// The start of the file.
     pub const START: Self = Self { line: 1, column: 1 };
 
-    /// A fault at this place.
+    /// Returns a fault at this position.
     pub fn fault(self, message: impl Into<String>) -> Fault {
         Fault {
             line: self.line,
@@ -35,7 +35,7 @@
     }
 }
 
-impl From<&Marker> for Place {
+impl From<&Marker> for Position {
     fn from(marker: &Marker) -> Self {
         Self {
             line: marker.line(),
@@ -44,96 +44,99 @@
     }
 }
 
-impl From<&Span> for Place {
+impl From<&Span> for Position {
     fn from(span: &Span) -> Self {
         span.start().map_or(Self::START, Self::from)
     }
 }
 
-/// The place of a node.
-pub fn place(node: &Node) -> Place {
+/// Returns the position of a node.
+pub fn position(node: &Node) -> Position {
     match node {
-        Node::Mapping(map) => start(map),
+        Node::Mapping(map) => mapping_start(map),
         other => other.span().into(),
     }
 }
 
-/// The start of a map; the library's mark of one in block style lies behind its first key.
-pub fn start(map: &MarkedMappingNode) -> Place {
-    let own = Place::from(map.span());
+/// Returns the position where a map starts; `marked_yaml` marks a map in block style after its
+/// first key.
+pub fn mapping_start(map: &MarkedMappingNode) -> Position {
+    let own = Position::from(map.span());
     let first = map.keys().next();
     first.map_or(own, |key| own.min(key.span().into()))
 }
 
-/// The scalar below a key of a map.
+/// Returns the scalar under a key of a map.
 pub fn scalar<'a>(node: &'a Node, key: &str) -> Option<&'a MarkedScalarNode> {
     node.as_mapping()?.get_scalar(key)
 }
 
-/// The whole number below a key of a map.
-pub fn whole(node: &Node, key: &str) -> Option<u64> {
+/// Returns the non-negative integer under a key of a map; `None` if it is absent or of another
+/// type.
+pub fn integer(node: &Node, key: &str) -> Option<u64> {
     scalar(node, key)?.as_u64()
 }
 
-/// The items of the list below a key of a map.
+/// Iterates over the list under a key of a map; empty if there is no such list.
 pub fn items<'a>(node: &'a Node, key: &str) -> impl Iterator<Item = &'a Node> + Clone {
     let list = node.as_mapping().and_then(|map| map.get_sequence(key));
     list.into_iter().flat_map(|list| list.iter())
 }
 
-/// Parses a file.
+/// Parses the text of a file.
 pub fn parse(text: &str) -> Result<Node, Error> {
-    bound(text)?;
+    check_bounds(text)?;
     let options = LoaderOptions::default()
         .error_on_duplicate_keys(true)
         .prevent_coercion(true);
-    marked_yaml::parse_yaml_with_options(0, text, options).map_err(|error| one(fault(&error)))
+    marked_yaml::parse_yaml_with_options(0, text, options)
+        .map_err(|error| single_fault(load_fault(&error)))
 }
 
-/// Refuses what is too long, too deep or more than one document.
-fn bound(text: &str) -> Result<(), Error> {
-    if text.len() > LIMIT {
-        let message = format!("the file is longer than {LIMIT} bytes");
-        return Err(one(Place::START.fault(message)));
+/// Rejects input that is too long, nested too deeply, or more than one document.
+fn check_bounds(text: &str) -> Result<(), Error> {
+    if text.len() > MAX_FILE_BYTES {
+        let message = format!("the file is longer than {MAX_FILE_BYTES} bytes");
+        return Err(single_fault(Position::START.fault(message)));
     }
-    let mut bounds = Bounds::default();
+    let mut bounds = DocumentBounds::default();
     for token in Scanner::new(text.chars()) {
-        if let Some(message) = bounds.next(&token.1) {
-            let place = Place {
+        if let Some(message) = bounds.check_token(&token.1) {
+            let position = Position {
                 line: token.0.line(),
                 column: token.0.col() + 1,
             };
-            return Err(one(place.fault(message)));
+            return Err(single_fault(position.fault(message)));
         }
     }
     Ok(())
 }
 
-/// What has been seen of a file, token by token.
+/// Tracks nesting depth and document boundaries, token by token.
 #[derive(Debug, Default)]
-struct Bounds {
-    /// How many lists and maps are open.
+struct DocumentBounds {
+    /// Number of open lists and maps.
     depth: usize,
-    /// Whether anything was said.
-    content: bool,
+    /// Whether the document has any content yet.
+    has_content: bool,
     /// Whether the first document has ended.
-    ended: bool,
+    first_document_ended: bool,
 }
 
-impl Bounds {
-    /// Takes the next token; says what is wrong with it.
-    fn next(&mut self, token: &TokenType) -> Option<String> {
+impl DocumentBounds {
+    /// Processes the next token; returns an error message if it is not acceptable.
+    fn check_token(&mut self, token: &TokenType) -> Option<String> {
         match token {
             TokenType::StreamStart(_)
             | TokenType::StreamEnd
             | TokenType::VersionDirective(..)
             | TokenType::TagDirective(..) => return None,
-            TokenType::DocumentStart if !self.content => return None,
+            TokenType::DocumentStart if !self.has_content => return None,
             TokenType::DocumentEnd => {
-                self.ended = self.content;
+                self.first_document_ended = self.has_content;
                 return None;
             }
-            TokenType::DocumentStart => self.ended = true,
+            TokenType::DocumentStart => self.first_document_ended = true,
             TokenType::BlockSequenceStart
             | TokenType::BlockMappingStart
             | TokenType::FlowSequenceStart
@@ -143,40 +146,43 @@
             }
             _ => (),
         }
-        self.content = true;
-        if self.ended {
-            return Some("a second document starts here, and one is read".to_owned());
+        self.has_content = true;
+        if self.first_document_ended {
+            return Some("a second YAML document starts here, expected only one".to_owned());
         }
-        (self.depth > DEPTH).then(|| format!("lists and maps lie more than {DEPTH} deep"))
+        (self.depth > MAX_DEPTH)
+            .then(|| format!("lists and maps are nested more than {MAX_DEPTH} deep"))
     }
 }
 
-/// An error of one fault.
-fn one(fault: Fault) -> Error {
+/// Returns an error with a single fault.
+fn single_fault(fault: Fault) -> Error {
     let faults = vec![fault];
     Error { faults }
 }
 
-/// The fault that the library found.
-fn fault(error: &LoadError) -> Fault {
+/// Converts an error of the YAML library to a fault.
+fn load_fault(error: &LoadError) -> Fault {
     match error {
         LoadError::TopLevelMustBeMapping(at) | LoadError::TopLevelMustBeSequence(at) => {
-            Place::from(at).fault("the file is no map of keys and values")
+            Position::from(at).fault("the file must be a map of keys and values")
+        }
+        LoadError::UnexpectedAnchor(at) => Position::from(at).fault("anchors are not allowed"),
+        LoadError::UnexpectedTag(at) => Position::from(at).fault("tags are not allowed"),
+        LoadError::MappingKeyMustBeScalar(at) => {
+            Position::from(at).fault("keys must be plain scalars")
         }
-        LoadError::UnexpectedAnchor(at) => Place::from(at).fault("anchors are not allowed"),
-        LoadError::UnexpectedTag(at) => Place::from(at).fault("tags are not allowed"),
-        LoadError::MappingKeyMustBeScalar(at) => Place::from(at).fault("a key is no plain word"),
         LoadError::ScanError(at, error) => {
-            Place::from(at).fault(format!("no YAML: {}", error.info()))
+            Position::from(at).fault(format!("invalid YAML: {}", error.info()))
         }
         LoadError::DuplicateKey(keys) => {
-            let first = Place::from(keys.prev_key.span());
+            let first = Position::from(keys.prev_key.span());
             let message = format!(
-                "the key `{}` stands here again, after line {}",
+                "duplicate key `{}`, first on line {}",
                 keys.key.as_str(),
                 first.line
             );
-            Place::from(keys.key.span()).fault(message)
+            Position::from(keys.key.span()).fault(message)
         }
     }
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,17 +1,17 @@
-//! What is wrong with a settings file.
+//! Errors in settings files, with their positions.
 
 use std::fmt;
 
 use snafu::Snafu;
 
-/// One fault and its place.
+/// One error in a settings file, with its position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     /// The line, from 1.
     pub line: usize,
     /// The column, from 1.
     pub column: usize,
-    /// What is wrong, in one sentence.
+    /// Description of the error, in one sentence.
     pub message: String,
 }
 
@@ -21,15 +21,15 @@
     }
 }
 
-/// All faults of one file, in the order of their places.
+/// All errors found in one file, in the order of their positions.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{}", lines(faults)))]
 pub struct Error {
-    /// The faults, at least one.
+    /// The errors; at least one.
     pub faults: Vec<Fault>,
 }
 
-/// One line a fault.
+/// Formats each error on a line of its own.
 fn lines(faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
     lines.join("\n")
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What operators declare for the whole fleet.
+//! Settings that operators declare for the whole fleet.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -7,51 +7,51 @@
 use serde::{Deserialize, Serialize};
 
 use crate::error::Error;
+use crate::fleet_constraints;
 use crate::read::read;
-use crate::relations;
 use crate::table::FLEET;
 
-/// The fleet's settings: defaults, what there is, and exceptions.
+/// The fleet settings: defaults, catalogues of what exists, and exceptions from the defaults.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
-    /// How the weight store and the workers are loaded from.
+    /// Limits and durations of loads from the weight store and from workers' caches.
     pub loading: Loading,
-    /// How long idle replicas are kept.
+    /// How long idle replicas are kept loaded.
     pub keeping: Keeping,
-    /// Where and how many replicas are placed.
+    /// Where replicas are placed, and how many.
     pub placing: Placing,
-    /// When requests are refused.
+    /// Limits beyond which requests are refused.
     pub refusing: Refusing,
-    /// Regions, and what a byte between them costs.
+    /// Regions, with the latency and price of traffic between them.
     pub regions: Vec<Region>,
-    /// Classes of requests.
+    /// Request classes.
     pub classes: Vec<Class>,
-    /// Groups of models that are moved over together.
+    /// Groups of models that are migrated together.
     pub groups: Vec<Group>,
-    /// The catalogue of models.
+    /// The model catalogue.
     pub models: Vec<Model>,
-    /// Plain services.
+    /// Plain services, which run no models.
     pub services: Vec<Service>,
-    /// Departures from the defaults, each with its reason.
+    /// Exceptions from the defaults, each with a reason.
     pub exceptions: Vec<Exception>,
 }
 
-/// Limits of loading.
+/// Limits and durations of loads.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Loading {
-    /// Loads that the weight store allows to start, a second.
+    /// Loads that may start from the weight store, per second.
     pub starts_per_second: f64,
-    /// Loads that run at full speed at once.
+    /// Concurrent loads that run at full speed.
     pub concurrency: u32,
-    /// Adapter loads in flight across all workers.
+    /// Largest number of adapter loads in flight across all workers.
     pub adapters_in_flight: u32,
-    /// Time of a load from the weight store at full speed, a gibibyte, in milliseconds.
+    /// Duration of a load from the weight store at full speed, in milliseconds per GiB.
     pub remote_ms_per_gib: u64,
-    /// Time of a load from a worker's disk, a gibibyte, in milliseconds.
+    /// Duration of a load from a worker's disk, in milliseconds per GiB.
     pub disk_ms_per_gib: u64,
-    /// Time of a load from host memory, a gibibyte, in milliseconds.
+    /// Duration of a load from host memory, in milliseconds per GiB.
     pub memory_ms_per_gib: u64,
 }
 
@@ -68,17 +68,17 @@
     }
 }
 
-/// How long idle replicas are kept.
+/// How long idle replicas are kept loaded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Keeping {
-    /// Weight of the tail cold-start time against idle accelerator hours.
+    /// Cost weight of tail cold-start latency against idle accelerator hours.
     pub cold_start_weight: f64,
-    /// Weight of idle accelerator hours.
+    /// Cost weight of idle accelerator hours.
     pub idle_weight: f64,
-    /// No idle replica is unloaded sooner, but for a waiting request.
+    /// Shortest time an idle replica is kept, in seconds; a waiting request may evict it sooner.
     pub minimum_s: u64,
-    /// Every idle replica is unloaded by then.
+    /// Longest time an idle replica is kept, in seconds.
     pub maximum_s: u64,
 }
 
@@ -93,15 +93,15 @@
     }
 }
 
-/// Where and how many replicas are placed.
+/// Where replicas are placed, and how many.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Placing {
-    /// Replicas of one model at most.
+    /// Largest number of replicas of one model.
     pub replicas: u32,
-    /// Requests that one replica answers at once.
+    /// Concurrent requests that one replica runs.
     pub concurrency: u32,
-    /// Whether replicas of one model go to different zones where they can.
+    /// Whether replicas of one model go to different availability zones where possible.
     pub spread: bool,
 }
 
@@ -115,21 +115,21 @@
     }
 }
 
-/// When requests are refused.
+/// Limits beyond which requests are refused.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Refusing {
-    /// Requests that wait on one entry host at most.
+    /// Largest number of requests queued on one entry host.
     pub queue: u32,
-    /// Requests of one caller on one entry host at most.
+    /// Largest number of requests of one caller on one entry host.
     pub caller: u32,
-    /// Deadline of a request that names none and whose class has none, in milliseconds.
+    /// Deadline of requests that neither name one nor have a class with one, in milliseconds.
     pub deadline_ms: u64,
-    /// Largest body in bytes.
+    /// Largest request body, in bytes.
     pub body: usize,
-    /// How long outcomes of requests with a key are kept, in seconds.
+    /// Retention of the outcomes of requests with an idempotency key, in seconds.
     pub claims_s: u64,
-    /// How long a request that took targets down is refused, in seconds.
+    /// Time for which a request that caused targets to fail is refused, in seconds.
     pub quarantine_s: u64,
 }
 
@@ -146,16 +146,16 @@
     }
 }
 
-/// A region.
+/// A region and the cost of traffic to others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Region {
-    /// Its name.
+    /// The name of the region.
     pub name: RegionId,
-    /// Time of a byte's way to another region and back, in milliseconds.
+    /// Round-trip time to another region, in milliseconds.
     #[serde(default)]
     pub distance_ms: u64,
-    /// Price of a gibibyte to another region, in any one currency.
+    /// Price of a GiB sent to another region, in any one currency.
     #[serde(default)]
     pub price: f64,
 }
@@ -164,50 +164,50 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: ClassId,
-    /// Its weight against other classes; a larger one goes first.
+    /// Weight against other classes; requests of a class with a larger weight go first.
     pub weight: u32,
-    /// Deadline of its requests that name none, in milliseconds.
+    /// Deadline of requests that name none, in milliseconds.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// Whether it may be moved or queued for the sake of others.
+    /// Whether its requests may be moved or queued for the sake of other classes.
     #[serde(default)]
     pub patient: bool,
 }
 
-/// Models that are moved over together.
+/// A group of models that are migrated together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Group {
-    /// Its name.
+    /// The name of the group.
     pub name: Name,
-    /// Whether cornelhitch loads and unloads its models, or only routes to them.
-    #[serde(default = "yes")]
+    /// Whether cornelhitch loads and unloads the group's models (`true`) or only routes to them.
+    #[serde(default = "default_managed")]
     pub managed: bool,
 }
 
-/// A model of the catalogue.
+/// A model in the catalogue.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Model {
-    /// Its name.
+    /// The name of the model.
     pub name: ModelId,
     /// Accelerator memory that a replica takes, in bytes.
     pub bytes: u64,
-    /// Accelerators that a replica takes.
-    #[serde(default = "one")]
+    /// Number of accelerators that a replica takes.
+    #[serde(default = "default_accelerators")]
     pub accelerators: u32,
-    /// Its group.
+    /// The group of the model, if any.
     #[serde(default)]
     pub group: Option<Name>,
     /// The version in force.
     #[serde(default)]
     pub version: Option<Name>,
-    /// Class of its requests that name none.
+    /// Class of requests that name none.
     #[serde(default)]
     pub class: Option<ClassId>,
-    /// Its adapters.
+    /// The names of the model's adapters.
     #[serde(default)]
     pub adapters: Vec<Name>,
 }
@@ -216,40 +216,40 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Service {
-    /// Its name, which is also the first part of its path below `/services/`.
+    /// The name of the service; also the first segment of its path below `/services/`.
     pub name: Name,
-    /// Methods whose calls may be repeated.
-    #[serde(default = "safe")]
+    /// HTTP methods whose requests may be retried.
+    #[serde(default = "safe_methods")]
     pub repeatable: Vec<Name>,
-    /// Class of its requests that name none.
+    /// Class of requests that name none.
     #[serde(default)]
     pub class: Option<ClassId>,
 }
 
-/// A departure from the defaults for some models.
+/// An exception from the defaults for some models.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Exception {
-    /// Why; it may not be empty.
+    /// Why the exception exists; must not be blank.
     pub reason: Name,
-    /// The model it is for, or none for a group.
+    /// The model that it applies to; `None` if it names a group.
     pub model: Option<ModelId>,
-    /// The group it is for, or none for a model.
+    /// The group that it applies to; `None` if it names a model.
     pub group: Option<Name>,
-    /// In place of [`Keeping::minimum_s`].
+    /// Overrides [`Keeping::minimum_s`].
     pub minimum_s: Option<u64>,
-    /// In place of [`Keeping::maximum_s`].
+    /// Overrides [`Keeping::maximum_s`].
     pub maximum_s: Option<u64>,
-    /// In place of [`Placing::replicas`].
+    /// Overrides [`Placing::replicas`].
     pub replicas: Option<u32>,
-    /// In place of [`Placing::concurrency`].
+    /// Overrides [`Placing::concurrency`].
     pub concurrency: Option<u32>,
-    /// In place of [`Refusing::deadline_ms`].
+    /// Overrides [`Refusing::deadline_ms`].
     pub deadline_ms: Option<u64>,
 }
 
 impl Fleet {
-    /// The model of that name.
+    /// Returns the model with the given name.
     ///
     /// ```
     /// use cornelhitch_settings::fleet::Fleet;
@@ -264,19 +264,19 @@
         self.models.iter().find(|model| &*model.name == name)
     }
 
-    /// The class of that name.
+    /// Returns the class with the given name.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<&Class> {
         self.classes.iter().find(|class| &*class.name == name)
     }
 
-    /// The service of that name.
+    /// Returns the service with the given name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| &*service.name == name)
     }
 
-    /// Whether cornelhitch loads and unloads this model.
+    /// Returns whether cornelhitch loads and unloads the model.
     #[must_use]
     pub fn managed(&self, model: &Model) -> bool {
         let group = model.group.as_ref();
@@ -284,7 +284,8 @@
         group.is_none_or(|group| group.managed)
     }
 
-    /// The rules for one model: the defaults, then its group's exceptions, then its own.
+    /// Returns the rules for a model: the defaults, overridden by exceptions for its group and then
+    /// by exceptions for the model itself.
     ///
     /// ```
     /// use cornelhitch_settings::fleet::Fleet;
@@ -301,16 +302,16 @@
     pub fn rules(&self, name: &str) -> Rules {
         let mut rules = Rules::from(self);
         let group = self.model(name).and_then(|model| model.group.clone());
-        let of_group = self
+        let for_group = self
             .exceptions
             .iter()
             .filter(|exception| exception.group.is_some() && exception.group == group);
-        let own = self
+        let for_model = self
             .exceptions
             .iter()
             .filter(|exception| exception.model.as_deref() == Some(name));
-        for exception in of_group.chain(own) {
-            rules.set(exception);
+        for exception in for_group.chain(for_model) {
+            rules.apply(exception);
         }
         rules
     }
@@ -319,24 +320,24 @@
 impl FromStr for Fleet {
     type Err = Error;
 
-    /// Reads and checks the settings; the error has every fault and its place.
+    /// Parses and validates the settings; the error lists all faults with their positions.
     fn from_str(text: &str) -> Result<Self, Error> {
-        read(text, &FLEET, relations::check)
+        read(text, &FLEET, fleet_constraints::check)
     }
 }
 
-/// What holds for one model once exceptions are counted in.
+/// The rules for one model, with exceptions applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rules {
-    /// No idle replica is unloaded sooner, but for a waiting request.
+    /// Shortest time an idle replica is kept; a waiting request may evict it sooner.
     pub minimum: Duration,
-    /// Every idle replica is unloaded by then.
+    /// Longest time an idle replica is kept.
     pub maximum: Duration,
-    /// Replicas at most.
+    /// Largest number of replicas.
     pub replicas: u32,
-    /// Requests that one replica answers at once.
+    /// Concurrent requests that one replica runs.
     pub concurrency: u32,
-    /// Deadline of a request that names none and whose class has none.
+    /// Deadline of requests that neither name one nor have a class with one.
     pub deadline: Duration,
 }
 
@@ -353,8 +354,8 @@
 }
 
 impl Rules {
-    /// Takes over what an exception sets.
-    fn set(&mut self, exception: &Exception) {
+    /// Overrides the rules that the exception sets.
+    fn apply(&mut self, exception: &Exception) {
         self.minimum = exception
             .minimum_s
             .map_or(self.minimum, Duration::from_secs);
@@ -369,17 +370,17 @@
     }
 }
 
-/// The value of a switch that is on unless it is said otherwise.
-fn yes() -> bool {
+/// Returns the default of [`Group::managed`].
+fn default_managed() -> bool {
     true
 }
 
-/// The number of accelerators of a small model.
-fn one() -> u32 {
+/// Returns the default of [`Model::accelerators`].
+fn default_accelerators() -> u32 {
     1
 }
 
-/// The methods that RFC 9110 calls safe.
-fn safe() -> Vec<Name> {
+/// Returns the default of [`Service::repeatable`]: methods that are safe according to RFC 9110.
+fn safe_methods() -> Vec<Name> {
     ["GET", "HEAD", "OPTIONS"].map(Name::from).to_vec()
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,7 @@
-//! The fleet's defaults and exceptions, and the settings of one process.
+//! Settings: the fleet's defaults and exceptions, and the settings of one process.
 //!
-//! The two are apart: [`fleet::Fleet`] is what operators change while the
-//! system runs and what every process agrees on, [`process::Process`] is what
-//! one process reads from its own file when it starts.
+//! The two are separate: [`fleet::Fleet`] is what operators change at run time and all processes
+//! agree on; [`process::Process`] is what one process reads from its own file at startup.
 //!
 //! ```
 //! use cornelhitch_settings::fleet::Fleet;
@@ -16,12 +15,12 @@
 mod document;
 pub mod error;
 pub mod fleet;
-mod hosts;
+mod fleet_constraints;
 pub mod manual;
 pub mod prelude;
 mod print;
 pub mod process;
+mod process_constraints;
 mod read;
-mod relations;
 mod schema;
 mod table;
--- a/crates/settings/src/manual.rs
+++ b/crates/settings/src/manual.rs
@@ -1,34 +1,34 @@
-//! The page that tells operators every key, printed from the tables.
+//! Generates the reference page of all settings keys from their schemas.
 
 use serde_json::Value;
 
 use crate::fleet::Fleet;
-use crate::schema::{Form, Key, Kind, Shape};
+use crate::schema::{Key, Schema, TextFormat, ValueType};
 use crate::table::{FLEET, PROCESS};
 
-/// The text of `docs/SETTINGS.md`.
+/// Returns the text of `docs/SETTINGS.md`.
 ///
 /// ```
 /// assert!(cornelhitch_settings::manual::page().contains("`starts-per-second`"));
 /// ```
 #[must_use]
 pub fn page() -> String {
-    let sample: Fleet = SAMPLE.parse().unwrap_or_default();
-    let defaults = serde_json::to_value(sample).unwrap_or_default();
+    let fleet: Fleet = MINIMAL_FLEET.parse().unwrap_or_default();
+    let defaults = serde_json::to_value(fleet).unwrap_or_default();
     [
-        HEAD,
+        PAGE_INTRO,
         "\n## The fleet's settings\n\n",
-        FLEET_HEAD,
+        FLEET_INTRO,
         &sections(&FLEET, &defaults),
         "\n## The settings of one process\n\n",
-        PROCESS_HEAD,
+        PROCESS_INTRO,
         &sections(&PROCESS, &Value::Null),
     ]
     .concat()
 }
 
-/// Settings with nothing but what may not be left out, for the defaults of the rest.
-const SAMPLE: &str = "
+/// Fleet settings with only required keys, from which the defaults of the other keys are read.
+const MINIMAL_FLEET: &str = "
 regions: [{ name: a }]
 classes: [{ name: a, weight: 1 }]
 groups: [{ name: a }]
@@ -36,8 +36,8 @@
 services: [{ name: a }]
 ";
 
-/// What stands before all.
-const HEAD: &str = "\
+/// Introduction of the page.
+const PAGE_INTRO: &str = "\
 # Settings
 
 This page is printed from the tables by which the files are checked
@@ -49,8 +49,8 @@
 line and column. A key that is not listed here is a fault, and so is a key that stands twice.
 ";
 
-/// What stands before the fleet's keys.
-const FLEET_HEAD: &str = "\
+/// Introduction to the fleet's keys.
+const FLEET_INTRO: &str = "\
 What operators declare for all hosts: defaults, what there is, and exceptions. Besides the limits below,
 `minimum-s` may not be over `maximum-s`, not both weights may be 0, names in one list differ, and an
 exception is for one `model` or one `group` that has models, gives a reason, and changes something:
@@ -58,39 +58,39 @@
 effect because the models are not loaded by cornelhitch, is a fault.
 ";
 
-/// What stands before the process's keys.
-const PROCESS_HEAD: &str = "\
+/// Introduction to the process's keys.
+const PROCESS_INTRO: &str = "\
 What one process reads when it starts. A host that is among the voters has the role control and votes at
 its `peers` address; `data` goes with the role control; no address and no file stands for two things.
 ";
 
-/// A section for a shape and one for each shape below it.
-fn sections(shape: &Shape, defaults: &Value) -> String {
-    let below = shape.keys.iter().map(|key| match key.kind {
-        Kind::Map(below) => {
-            let table = table(below, &defaults[key.name]);
+/// Returns a table for a schema, followed by a section for each schema directly below it.
+fn sections(schema: &Schema, defaults: &Value) -> String {
+    let nested = schema.keys.iter().map(|key| match key.value_type {
+        ValueType::Map(nested) => {
+            let table = table(nested, &defaults[key.name]);
             format!("\n### `{}`\n{table}", key.name)
         }
-        Kind::List(Kind::Map(below)) => {
-            let table = table(below, &defaults[key.name][0]);
-            format!("\n### `{}`: {} each\n{table}", key.name, below.noun)
+        ValueType::List(ValueType::Map(nested)) => {
+            let table = table(nested, &defaults[key.name][0]);
+            format!("\n### `{}`: {} each\n{table}", key.name, nested.noun)
         }
         _ => String::new(),
     });
-    table(shape, defaults) + &below.collect::<String>()
+    table(schema, defaults) + &nested.collect::<String>()
 }
 
-/// The table of a shape's keys.
-fn table(shape: &Shape, defaults: &Value) -> String {
-    let rows = shape.keys.iter().map(|key| row(key, &defaults[key.name]));
+/// Returns the table of a schema's keys.
+fn table(schema: &Schema, defaults: &Value) -> String {
+    let rows = schema.keys.iter().map(|key| row(key, &defaults[key.name]));
     let head = "\n| key | value | where it is left out | meaning |\n| --- | --- | --- | --- |\n";
     let rows: String = rows.collect();
     format!("{head}{rows}")
 }
 
-/// The row of a key.
+/// Returns the table row of a key.
 fn row(key: &Key, default: &Value) -> String {
-    let absent = match default {
+    let default_text = match default {
         _ if key.required => "a fault".to_owned(),
         Value::Number(number) => number.to_string(),
         Value::Bool(switch) => switch.to_string(),
@@ -100,39 +100,39 @@
         }
         _ => String::new(),
     };
-    let value = value(&key.kind);
+    let value = value(&key.value_type);
     format!(
-        "| `{}` | {value} | {absent} | {} |\n",
-        key.name, key.meaning
+        "| `{}` | {value} | {default_text} | {} |\n",
+        key.name, key.help
     )
 }
 
-/// What a value must be.
-fn value(kind: &Kind) -> String {
-    match kind {
-        Kind::Whole(least, u64::MAX) => format!("a whole number from {least}"),
-        Kind::Whole(least, most) => format!("a whole number from {least} to {most}"),
-        Kind::Number(least, most) => format!("a number from {least} to {most}"),
-        Kind::Switch => "`true` or `false`".to_owned(),
-        Kind::Text(form) => form_text(*form).to_owned(),
-        Kind::Choice(words) => format!("`{}`", words.join("` or `")),
-        Kind::Reference(list) => format!("a name from `{list}`"),
-        Kind::Map(_) => "keys, see below".to_owned(),
-        Kind::List(Kind::Map(_)) => "a list, see below".to_owned(),
-        Kind::List(item) => format!("a list: {}", value(item)),
+/// Describes what a value must be.
+fn value(value_type: &ValueType) -> String {
+    match value_type {
+        ValueType::Integer(min, u64::MAX) => format!("a whole number from {min}"),
+        ValueType::Integer(min, max) => format!("a whole number from {min} to {max}"),
+        ValueType::Number(min, max) => format!("a number from {min} to {max}"),
+        ValueType::Bool => "`true` or `false`".to_owned(),
+        ValueType::Text(format) => format_text(*format).to_owned(),
+        ValueType::Choice(choices) => format!("`{}`", choices.join("` or `")),
+        ValueType::Reference(list) => format!("a name from `{list}`"),
+        ValueType::Map(_) => "keys, see below".to_owned(),
+        ValueType::List(ValueType::Map(_)) => "a list, see below".to_owned(),
+        ValueType::List(item) => format!("a list: {}", value(item)),
     }
 }
 
-/// What a text must be.
-fn form_text(form: Form) -> &'static str {
-    match form {
-        Form::Sentence => "a sentence",
-        Form::Name => "a name of ASCII letters, digits, `-`, `_`, `.` and `/`",
-        Form::Segment => "a name of ASCII letters, digits, `-`, `_` and `.`",
-        Form::Method => "an HTTP method in capitals",
-        Form::Address => "an IP address with a port",
-        Form::Reachable => "an IP address with a port that others can connect to",
-        Form::Path => "a path",
-        Form::Url => "a URL of the form `http://HOST[:PORT][/PATH]`",
+/// Describes what a text must be.
+fn format_text(format: TextFormat) -> &'static str {
+    match format {
+        TextFormat::Sentence => "a sentence",
+        TextFormat::Name => "a name of ASCII letters, digits, `-`, `_`, `.` and `/`",
+        TextFormat::Segment => "a name of ASCII letters, digits, `-`, `_` and `.`",
+        TextFormat::Method => "an HTTP method in capitals",
+        TextFormat::Address => "an IP address with a port",
+        TextFormat::ReachableAddress => "an IP address with a port that others can connect to",
+        TextFormat::Path => "a path",
+        TextFormat::Url => "a URL of the form `http://HOST[:PORT][/PATH]`",
     }
 }
--- a/crates/settings/src/prelude.rs
+++ b/crates/settings/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for a glob import.
+//! Commonly used types, for glob imports.
 
 pub use crate::error::Error;
 pub use crate::fleet::Fleet;
--- a/crates/settings/src/print.rs
+++ b/crates/settings/src/print.rs
@@ -1,86 +1,87 @@
-//! Prints settings as YAML that reads back equal.
+//! Serializes fleet settings to YAML that parses back to equal settings.
 
 use std::fmt;
 
 use serde_json::Value;
 
 use crate::fleet::Fleet;
-use crate::schema::{Kind, Shape};
+use crate::schema::{Schema, ValueType};
 use crate::table::FLEET;
 
 impl fmt::Display for Fleet {
-    /// The whole settings in block style, with the keys in the order of their table.
+    /// Writes all settings in block style, with the keys in the order of the schema.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let value = serde_json::to_value(self).map_err(|_| fmt::Error)?;
-        map(f, &value, &FLEET, 0, "")
+        write_map(f, &value, &FLEET, 0, "")
     }
 }
 
-/// Prints the keys of a map; the first may stand behind a dash.
-fn map(
+/// Writes the keys of a map; `dash` is put before the first.
+fn write_map(
     f: &mut fmt::Formatter<'_>,
     value: &Value,
-    shape: &Shape,
+    schema: &Schema,
     indent: usize,
     dash: &str,
 ) -> fmt::Result {
     let mut dash = dash;
-    for key in shape.keys {
+    for key in schema.keys {
         let Some(value) = value.get(key.name).filter(|value| !value.is_null()) else {
             continue;
         };
         let margin = indent - dash.len();
         write!(f, "{:margin$}{dash}{}:", "", key.name)?;
         dash = "";
-        match (&key.kind, value) {
-            (Kind::Map(shape), value) => {
+        match (&key.value_type, value) {
+            (ValueType::Map(schema), value) => {
                 writeln!(f)?;
-                map(f, value, shape, indent + 2, "")?;
+                write_map(f, value, schema, indent + 2, "")?;
             }
-            (Kind::List(Kind::Map(shape)), Value::Array(list)) if !list.is_empty() => {
+            (ValueType::List(ValueType::Map(schema)), Value::Array(list)) if !list.is_empty() => {
                 writeln!(f)?;
                 for item in list {
-                    map(f, item, shape, indent + 4, "- ")?;
+                    write_map(f, item, schema, indent + 4, "- ")?;
                 }
             }
-            (_, value) => writeln!(f, " {}", flow(value))?,
+            (_, value) => writeln!(f, " {}", flow_value(value))?,
         }
     }
     Ok(())
 }
 
-/// A scalar, or a list of scalars, on one line.
-fn flow(value: &Value) -> String {
+/// Formats a scalar, or a list of scalars, on one line.
+fn flow_value(value: &Value) -> String {
     match value {
-        Value::String(text) if plain(text) => text.clone(),
+        Value::String(text) if is_plain(text) => text.clone(),
         Value::String(text) => quoted(text),
         Value::Array(list) => {
-            let items: Vec<_> = list.iter().map(flow).collect();
+            let items: Vec<_> = list.iter().map(flow_value).collect();
             format!("[{}]", items.join(", "))
         }
         other => other.to_string(),
     }
 }
 
-/// Whether a text needs no quotes.
-fn plain(text: &str) -> bool {
-    let word = text.starts_with(|c: char| c.is_ascii_alphabetic())
+/// Returns whether a text needs no quotes.
+fn is_plain(text: &str) -> bool {
+    let is_word = text.starts_with(|c: char| c.is_ascii_alphabetic())
         && text
             .chars()
             .all(|c| c.is_ascii_alphanumeric() || "-_./".contains(c));
-    word && !matches!(
-        text.to_ascii_lowercase().as_str(),
-        "null" | "true" | "false"
-    )
+    is_word
+        && !matches!(
+            text.to_ascii_lowercase().as_str(),
+            "null" | "true" | "false"
+        )
 }
 
-/// A text in double quotes, with all but plain letters escaped.
+/// Puts a text in double quotes and escapes all but printable ASCII and alphanumeric characters.
 fn quoted(text: &str) -> String {
     let inner: String = text.chars().map(escaped).collect();
     format!("\"{inner}\"")
 }
 
-/// A character as it stands in double quotes.
+/// Escapes a character for double quotes.
 fn escaped(c: char) -> String {
     match c {
         '"' | '\\' => format!("\\{c}"),
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -1,4 +1,4 @@
-//! What one process reads from its own file when it starts.
+//! Settings that one process reads from its own file at startup.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -9,18 +9,18 @@
 use strum::{Display, EnumString};
 
 use crate::error::Error;
-use crate::hosts;
+use crate::process_constraints;
 use crate::read::read;
 use crate::table::PROCESS;
 
-/// What a process does.
+/// A role of a process in the cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display, EnumString)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Role {
-    /// It takes requests from callers.
+    /// Accepts requests from callers.
     Entry,
-    /// It keeps the replicated state; it needs a data folder.
+    /// Replicates the control state; requires a data folder.
     Control,
 }
 
@@ -28,127 +28,131 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Process {
-    /// The cluster's name; frames of another one are dropped.
+    /// Name of the cluster; frames of other clusters are dropped.
     pub cluster: String,
-    /// This host's number; with `seeds` it follows from `peers`, see [`number`].
+    /// Id of this host; with `seeds` it is derived from `peers` by [`host_id_from_address`].
     #[serde(default)]
     pub host: HostId,
-    /// Its region.
+    /// The region of the host.
     pub region: RegionId,
-    /// Its availability zone.
+    /// The availability zone of the host.
     pub zone: ZoneId,
-    /// The region of each availability zone, for targets that tell only their zone.
+    /// The region of each availability zone, for targets that report only their zone.
     #[serde(default)]
     pub zones: Vec<Zone>,
-    /// What is spoken with targets, callers and operators.
+    /// The protocol for targets, callers and operators.
     #[serde(default)]
     pub protocol: Protocol,
     /// The file that the settings were read from.
     #[serde(skip)]
     pub file: Option<PathBuf>,
-    /// What it does.
+    /// The roles of the process.
     pub roles: Vec<Role>,
-    /// Where callers and targets connect.
+    /// Listen address for callers and targets.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Listen address for operators.
     pub operators: SocketAddr,
-    /// Where other cornelhitch processes reach it, over UDP and TCP.
+    /// Address at which other cornelhitch processes reach this one, over UDP and TCP.
     pub peers: SocketAddr,
-    /// Where it listens for them, if address translation stands between.
+    /// Listen address for peers, if it differs from `peers` because of address translation.
     #[serde(default)]
     pub peers_listen: Option<SocketAddr>,
-    /// The voters, this one too if it is one; with `seeds` these are the first voters.
+    /// The voters, including this host if it is one; with `seeds`, the initial voters.
     #[serde(default)]
     pub voters: Vec<Peer>,
-    /// Control hosts that are asked who votes; only their IP addresses count, since the peers of
-    /// one cluster have one port.
+    /// Control hosts that are asked for the current voters; only their IP addresses are used, since
+    /// all peers of a cluster use the same port.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether the seeds found the group where their folders are empty.
+    /// Whether the seeds found a new group when their data folders are empty.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Voters that may be lost together; with `seeds` the group grows to twice as many and one.
-    #[serde(default = "one")]
+    /// Voters that may fail at the same time; with `seeds` the group grows to `2 * losses + 1`
+    /// voters.
+    #[serde(default = "default_losses")]
     pub losses: u32,
-    /// Where targets announce themselves and tables of routes are handed in; for the role control.
+    /// Listen address where targets announce themselves and route tables are submitted; for the
+    /// role `control`.
     #[serde(default)]
     pub registry: Option<SocketAddr>,
-    /// Where callers ask which hosts to use, besides `callers`.
+    /// Additional listen address for callers' requests for the list of entry hosts.
     #[serde(default)]
     pub directory: Option<SocketAddr>,
-    /// Where others ask whether this host takes requests, besides `callers`.
+    /// Additional listen address for readiness checks.
     #[serde(default)]
     pub ready: Option<SocketAddr>,
-    /// Where counters are read as text.
+    /// Listen address for counters in text form.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// How an entry host serves.
+    /// Settings of an entry host.
     #[serde(default)]
     pub serving: Serving,
-    /// Whether only hosts of this cluster reach `peers` and `operators`, so that `keys` and
+    /// Whether only hosts of this cluster can reach `peers` and `operators`, so that `keys` and
     /// `token` may be left out.
     #[serde(default)]
     pub trusted_network: bool,
-    /// The folder for durable state; only a control host has one.
+    /// Folder for durable state; for the role `control` only.
     #[serde(default)]
     pub data: Option<PathBuf>,
-    /// The file with the keys that peers share, one a line, the first is used to send.
+    /// File with the keys that peers share, one per line; the first is used for sending.
     #[serde(default)]
     pub keys: Option<PathBuf>,
-    /// The file with the token that operators show; without one they are refused.
+    /// File with the operators' token; without one, requests of operators are refused.
     #[serde(default)]
     pub token: Option<PathBuf>,
-    /// A fleet settings file that a new cluster starts from.
+    /// Fleet settings file that a new cluster starts with.
     #[serde(default)]
     pub fleet: Option<PathBuf>,
-    /// Where metrics go over OTLP/HTTP; to the log where it is not set.
+    /// OTLP/HTTP endpoint for metrics; `None` writes them to the log.
     #[serde(default)]
     pub otlp: Option<String>,
 }
 
-/// What is spoken with targets, callers and operators.
+/// The protocol for targets, callers and operators.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, Display, EnumString,
 )]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Protocol {
-    /// The project's own interface.
+    /// Cornelhitch's own protocol.
     #[default]
     Own,
-    /// The platform's, where requests come by routes.
+    /// The platform's protocol, in which requests are routed by a route table.
     Platform,
 }
 
-/// An availability zone.
+/// An availability zone and its region.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Zone {
-    /// Its name.
+    /// The name of the zone.
     pub name: ZoneId,
-    /// Its region.
+    /// The region of the zone.
     pub region: RegionId,
 }
 
-/// How an entry host serves.
+/// Settings of an entry host.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Serving {
-    /// What a host does that has lost its lease on the settings.
+    /// What the host does after it has lost its lease on the settings.
     pub isolated: Isolated,
-    /// How long callers keep the answer which hosts to use, at most, in milliseconds.
+    /// Longest time for which callers may cache the list of entry hosts, in milliseconds.
     pub max_age_ms: u64,
-    /// How long a host that ends goes on taking requests, in milliseconds.
+    /// Time for which a host that shuts down still accepts requests, in milliseconds.
     pub leave_ms: u64,
-    /// Targets that a request may take down before it is refused.
+    /// Number of targets that a request may cause to fail before it is refused.
     pub strikes: u32,
-    /// Whether a request that took a target down runs again only where no other request does.
+    /// Whether a request that caused a target to fail is retried only on a target without other
+    /// requests.
     pub quarantine: bool,
-    /// Retries that each first send earns for the entry hosts together.
+    /// Retry budget: retries earned by each first attempt, over all entry hosts.
     pub retry_ratio: f64,
-    /// Retries that all entry hosts together may make besides, in [`Serving::retry_window_ms`].
+    /// Retry budget: additional retries per [`Serving::retry_window_ms`], over all entry hosts.
     pub retry_slack: u32,
-    /// The time over which retries are counted, in milliseconds; 0 counts them on each host alone.
+    /// Window over which retries are counted, in milliseconds; 0 counts them on each host
+    /// separately.
     pub retry_window_ms: f64,
 }
 
@@ -167,42 +171,43 @@
     }
 }
 
-/// What an entry host does that has lost its lease on the settings.
+/// What an entry host does after it has lost its lease on the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display, EnumString)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Isolated {
-    /// It refuses new requests, so that a change is in force once all leases on older settings
-    /// have run out.
+    /// Refuses new requests, so that a change is in force once all leases on older settings have
+    /// expired.
     Refuse,
-    /// It goes on with what it knows, so that callers are served while control is away.
+    /// Continues with its last known state, so that callers are served while control is
+    /// unavailable.
     Serve,
 }
 
-/// Another process, and where to reach it.
+/// A peer process and its address.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Peer {
-    /// Its number.
+    /// The id of the peer.
     pub host: HostId,
-    /// Its address, over UDP and TCP.
+    /// The address of the peer, over UDP and TCP.
     pub address: SocketAddr,
 }
 
 impl Process {
-    /// The seeds as peers.
+    /// Returns the seeds as peers, at the port of this process's `peers` address.
     #[must_use]
     pub fn seed_peers(&self) -> Vec<Peer> {
         let port = self.peers.port();
         let peers = self.seeds.iter().map(|seed| {
             let address = SocketAddr::new(seed.ip(), port);
-            let host = number(address);
+            let host = host_id_from_address(address);
             Peer { host, address }
         });
         peers.collect()
     }
 
-    /// Whether the process has a role.
+    /// Returns whether the process has a role.
     #[must_use]
     pub fn has(&self, role: Role) -> bool {
         self.roles.contains(&role)
@@ -212,32 +217,33 @@
 impl FromStr for Process {
     type Err = Error;
 
-    /// Reads and checks the settings; the error has every fault and its place.
+    /// Parses and validates the settings; the error lists all faults with their positions.
     fn from_str(text: &str) -> Result<Self, Error> {
-        let mut process: Self = read(text, &PROCESS, hosts::check)?;
+        let mut process: Self = read(text, &PROCESS, process_constraints::check)?;
         if !process.seeds.is_empty() {
-            process.host = number(process.peers);
+            process.host = host_id_from_address(process.peers);
             process.voters = process.seed_peers();
         }
         Ok(process)
     }
 }
 
-/// The losses that a group survives unless it is said otherwise.
-fn one() -> u32 {
+/// Returns the default of [`Process::losses`].
+fn default_losses() -> u32 {
     1
 }
 
-/// The number of a host that is known by its address alone.
+/// Derives a host id from an IP address: all bits of an IPv4 address, or the low 64 bits of an IPv6
+/// address.
 ///
 /// ```
-/// use cornelhitch_settings::process::number;
+/// use cornelhitch_settings::process::host_id_from_address;
 ///
-/// assert_eq!(number("10.1.0.41:7380".parse()?), 0x0a01_0029);
+/// assert_eq!(host_id_from_address("10.1.0.41:7380".parse()?), 0x0a01_0029);
 /// # Ok::<(), std::net::AddrParseError>(())
 /// ```
 #[must_use]
-pub fn number(address: SocketAddr) -> HostId {
+pub fn host_id_from_address(address: SocketAddr) -> HostId {
     match address.ip() {
         IpAddr::V4(ip) => u64::from(ip.to_bits()),
         IpAddr::V6(ip) => {
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,28 +1,28 @@
-//! From text to settings, or to every fault in it.
+//! Parses and validates settings, collecting all faults.
 
 use marked_yaml::Node;
 use serde::de::DeserializeOwned;
 
 use crate::check;
-use crate::document::{Place, parse};
+use crate::document::{Position, parse};
 use crate::error::{Error, Fault};
-use crate::schema::Shape;
+use crate::schema::Schema;
 
-/// Reads a file of a shape, whose keys are in a relation to each other.
+/// Parses a file and validates it against a schema and constraints between keys.
 pub fn read<T: DeserializeOwned>(
     text: &str,
-    shape: &Shape,
-    relations: impl Fn(&Node) -> Vec<Fault>,
+    schema: &Schema,
+    constraints: impl Fn(&Node) -> Vec<Fault>,
 ) -> Result<T, Error> {
     let root = parse(text)?;
-    let mut faults = check::check(&root, shape);
-    faults.extend(relations(&root));
+    let mut faults = check::check(&root, schema);
+    faults.extend(constraints(&root));
     if faults.is_empty() {
         return marked_yaml::from_node(&root).map_err(|error| {
-            let place = error
+            let position = error
                 .start_mark()
-                .map_or(Place::START, |mark| (&mark).into());
-            let faults = vec![place.fault(error.to_string())];
+                .map_or(Position::START, |mark| (&mark).into());
+            let faults = vec![position.fault(error.to_string())];
             Error { faults }
         });
     }
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,74 +1,74 @@
-//! What a row of the tables of keys says.
+//! Schema of the settings files.
 //!
-//! A new key is a row in [`crate::table`] and a field in [`crate::fleet`] or
-//! [`crate::process`]; `docs/SETTINGS.md` is printed from the tables.
+//! A new key is a row in [`crate::table`] and a field in [`crate::fleet`] or [`crate::process`];
+//! `docs/SETTINGS.md` is generated from the tables.
 
-/// What a key's value must be.
+/// Type and limits of a key's value.
 #[derive(Debug, Clone, Copy)]
-pub enum Kind {
-    /// A whole number within limits.
-    Whole(u64, u64),
-    /// A number within limits.
+pub enum ValueType {
+    /// A non-negative integer from the first to the second value, both included.
+    Integer(u64, u64),
+    /// A number from the first to the second value, both included.
     Number(f64, f64),
     /// `true` or `false`.
-    Switch,
-    /// Text of a form.
-    Text(Form),
-    /// One of some words.
+    Bool,
+    /// Text in a given format.
+    Text(TextFormat),
+    /// One of the listed words.
     Choice(&'static [&'static str]),
-    /// The name of an item in a list of the same file.
+    /// The name of an item in the named list of the same file.
     Reference(&'static str),
-    /// Keys of their own.
-    Map(&'static Shape),
-    /// Several of a kind; items with names, and items that are words, differ from each other.
-    List(&'static Kind),
+    /// A map with its own schema.
+    Map(&'static Schema),
+    /// A list of values of one type; named items and words must be distinct.
+    List(&'static ValueType),
 }
 
-/// The form of a text.
+/// Format of a text value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
-    /// A sentence for people, not empty.
+pub enum TextFormat {
+    /// Human-readable text, not blank.
     Sentence,
     /// A name: ASCII letters, digits, `-`, `_`, `.` and `/`.
     Name,
-    /// A name that is one part of a path: the same without `/`.
+    /// A name that is one segment of a path: the same without `/`.
     Segment,
-    /// An HTTP method in capitals.
+    /// An HTTP method in upper case.
     Method,
     /// An IP address with a port.
     Address,
-    /// An IP address with a port that others connect to.
-    Reachable,
-    /// A path in the file system.
+    /// An IP address with a port that other hosts can connect to.
+    ReachableAddress,
+    /// A file system path.
     Path,
-    /// An `http` URL.
+    /// An `http` or `https` URL.
     Url,
 }
 
-/// One key.
+/// A key of a map.
 #[derive(Debug, Clone, Copy)]
 pub struct Key {
-    /// Its name.
+    /// The name as it stands in the file.
     pub name: &'static str,
-    /// What its value must be.
-    pub kind: Kind,
-    /// What it means, for operators.
-    pub meaning: &'static str,
-    /// Whether it may not be left out.
+    /// The type and limits of its value.
+    pub value_type: ValueType,
+    /// Help text for operators.
+    pub help: &'static str,
+    /// Whether the key must be present.
     pub required: bool,
 }
 
-/// The keys of one map.
+/// The keys of a map.
 #[derive(Debug, Clone, Copy)]
-pub struct Shape {
-    /// What errors call it.
+pub struct Schema {
+    /// The name of the map in error messages and on the reference page.
     pub noun: &'static str,
-    /// Its keys, in the order in which they are printed.
+    /// The keys, in the order in which they are written.
     pub keys: &'static [Key],
 }
 
-impl Shape {
-    /// The key of a name.
+impl Schema {
+    /// Returns the key of the given name.
     pub fn key(&self, name: &str) -> Option<&'static Key> {
         self.keys.iter().find(|key| key.name == name)
     }
--- a/crates/settings/src/table.rs
+++ b/crates/settings/src/table.rs
@@ -1,262 +1,262 @@
-//! The keys of both settings files, a row each.
+//! The keys of both settings files, with their types, limits and help texts.
 
-use crate::schema::{Form, Key, Kind, Shape};
+use crate::schema::{Key, Schema, TextFormat, ValueType};
 
-/// A key that may be left out.
-const fn may(name: &'static str, kind: Kind, meaning: &'static str) -> Key {
+/// Defines a key that may be left out.
+const fn optional(name: &'static str, value_type: ValueType, help: &'static str) -> Key {
     Key {
         name,
-        kind,
-        meaning,
+        value_type,
+        help,
         required: false,
     }
 }
 
-/// A key that may not be left out.
-const fn must(name: &'static str, kind: Kind, meaning: &'static str) -> Key {
+/// Defines a key that must be present.
+const fn required(name: &'static str, value_type: ValueType, help: &'static str) -> Key {
     Key {
         name,
-        kind,
-        meaning,
+        value_type,
+        help,
         required: true,
     }
 }
 
-/// A day in seconds.
+/// Seconds in a day.
 const DAY_S: u64 = 86_400;
-/// A day in milliseconds.
+/// Milliseconds in a day.
 const DAY_MS: u64 = DAY_S * 1_000;
-/// The most accelerator memory of one model, in bytes.
-pub const MODEL_BYTES: u64 = 16 << 40;
-/// The most of anything that is counted in ones.
-const COUNT: u64 = 100_000;
-/// The most milliseconds that a gibibyte takes.
-const GIB_MS: u64 = 600_000;
+/// Largest accelerator memory of one model, in bytes.
+pub const MAX_MODEL_BYTES: u64 = 16 << 40;
+/// Largest count of replicas, requests, loads and the like.
+const MAX_COUNT: u64 = 100_000;
+/// Largest duration of a load, in milliseconds for each GiB.
+const MAX_MS_PER_GIB: u64 = 600_000;
 
-/// A name.
-const NAME: Kind = Kind::Text(Form::Name);
-/// How long an idle replica is kept, in seconds.
-const KEEP_S: Kind = Kind::Whole(0, 30 * DAY_S);
-/// Replicas of one model.
-const REPLICAS: Kind = Kind::Whole(1, COUNT);
-/// Requests of one replica at once.
-const CONCURRENCY: Kind = Kind::Whole(1, COUNT);
-/// A deadline in milliseconds.
-const DEADLINE_MS: Kind = Kind::Whole(1, DAY_MS);
-/// A weight between costs.
-const WEIGHT: Kind = Kind::Number(0.0, 1e6);
+/// Type of names.
+const NAME: ValueType = ValueType::Text(TextFormat::Name);
+/// Type of the times that an idle replica is kept, in seconds.
+const KEEP_S: ValueType = ValueType::Integer(0, 30 * DAY_S);
+/// Type of the limit on replicas of one model.
+const REPLICAS: ValueType = ValueType::Integer(1, MAX_COUNT);
+/// Type of the limit on concurrent requests of one replica.
+const CONCURRENCY: ValueType = ValueType::Integer(1, MAX_COUNT);
+/// Type of deadlines, in milliseconds.
+const DEADLINE_MS: ValueType = ValueType::Integer(1, DAY_MS);
+/// Type of weights of costs.
+const WEIGHT: ValueType = ValueType::Number(0.0, 1e6);
 
-/// The fleet's settings.
+/// Schema of the fleet settings.
 #[rustfmt::skip]
-pub const FLEET: Shape = Shape {
+pub const FLEET: Schema = Schema {
     noun: "the fleet's file",
     keys: &[
-        may("loading", Kind::Map(&LOADING), "How the weight store and the workers are loaded from."),
-        may("keeping", Kind::Map(&KEEPING), "How long idle replicas are kept."),
-        may("placing", Kind::Map(&PLACING), "Where and how many replicas are placed."),
-        may("refusing", Kind::Map(&REFUSING), "When requests are refused."),
-        may("regions", Kind::List(&Kind::Map(&REGION)), "Regions, and what a byte between them costs."),
-        may("classes", Kind::List(&Kind::Map(&CLASS)), "Classes of requests."),
-        may("groups", Kind::List(&Kind::Map(&GROUP)), "Groups of models that are moved over together."),
-        may("models", Kind::List(&Kind::Map(&MODEL)), "The catalogue of models."),
-        may("services", Kind::List(&Kind::Map(&SERVICE)), "Plain services."),
-        may("exceptions", Kind::List(&Kind::Map(&EXCEPTION)), "Departures from the defaults, each with its reason."),
+        optional("loading", ValueType::Map(&LOADING), "How the weight store and the workers are loaded from."),
+        optional("keeping", ValueType::Map(&KEEPING), "How long idle replicas are kept."),
+        optional("placing", ValueType::Map(&PLACING), "Where and how many replicas are placed."),
+        optional("refusing", ValueType::Map(&REFUSING), "When requests are refused."),
+        optional("regions", ValueType::List(&ValueType::Map(&REGION)), "Regions, and what a byte between them costs."),
+        optional("classes", ValueType::List(&ValueType::Map(&CLASS)), "Classes of requests."),
+        optional("groups", ValueType::List(&ValueType::Map(&GROUP)), "Groups of models that are moved over together."),
+        optional("models", ValueType::List(&ValueType::Map(&MODEL)), "The catalogue of models."),
+        optional("services", ValueType::List(&ValueType::Map(&SERVICE)), "Plain services."),
+        optional("exceptions", ValueType::List(&ValueType::Map(&EXCEPTION)), "Departures from the defaults, each with its reason."),
     ],
 };
 
-/// Limits of loading.
+/// Schema of `loading`: limits on loads.
 #[rustfmt::skip]
-const LOADING: Shape = Shape {
+const LOADING: Schema = Schema {
     noun: "`loading`",
     keys: &[
-        may("starts-per-second", Kind::Number(0.001, 1e5), "Loads that the weight store allows to start, a second."),
-        may("concurrency", Kind::Whole(1, COUNT), "Loads that run at full speed at once."),
-        may("adapters-in-flight", Kind::Whole(1, COUNT), "Adapter loads in flight across all workers."),
-        may("remote-ms-per-gib", Kind::Whole(0, GIB_MS), "Time of a load from the weight store at full speed, a gibibyte, in milliseconds."),
-        may("disk-ms-per-gib", Kind::Whole(0, GIB_MS), "Time of a load from a worker's disk, a gibibyte, in milliseconds."),
-        may("memory-ms-per-gib", Kind::Whole(0, GIB_MS), "Time of a load from host memory, a gibibyte, in milliseconds."),
+        optional("starts-per-second", ValueType::Number(0.001, 1e5), "Loads that the weight store allows to start, a second."),
+        optional("concurrency", ValueType::Integer(1, MAX_COUNT), "Loads that run at full speed at once."),
+        optional("adapters-in-flight", ValueType::Integer(1, MAX_COUNT), "Adapter loads in flight across all workers."),
+        optional("remote-ms-per-gib", ValueType::Integer(0, MAX_MS_PER_GIB), "Time of a load from the weight store at full speed, a gibibyte, in milliseconds."),
+        optional("disk-ms-per-gib", ValueType::Integer(0, MAX_MS_PER_GIB), "Time of a load from a worker's disk, a gibibyte, in milliseconds."),
+        optional("memory-ms-per-gib", ValueType::Integer(0, MAX_MS_PER_GIB), "Time of a load from host memory, a gibibyte, in milliseconds."),
     ],
 };
 
-/// How long idle replicas are kept.
+/// Schema of `keeping`: how long idle replicas are kept.
 #[rustfmt::skip]
-const KEEPING: Shape = Shape {
+const KEEPING: Schema = Schema {
     noun: "`keeping`",
     keys: &[
-        may("cold-start-weight", WEIGHT, "Weight of the tail cold-start time against idle accelerator hours."),
-        may("idle-weight", WEIGHT, "Weight of idle accelerator hours."),
-        may("minimum-s", KEEP_S, "No idle replica is unloaded sooner, but for a waiting request; in seconds."),
-        may("maximum-s", KEEP_S, "Every idle replica is unloaded by then; in seconds."),
+        optional("cold-start-weight", WEIGHT, "Weight of the tail cold-start time against idle accelerator hours."),
+        optional("idle-weight", WEIGHT, "Weight of idle accelerator hours."),
+        optional("minimum-s", KEEP_S, "No idle replica is unloaded sooner, but for a waiting request; in seconds."),
+        optional("maximum-s", KEEP_S, "Every idle replica is unloaded by then; in seconds."),
     ],
 };
 
-/// Where replicas are placed.
+/// Schema of `placing`: where replicas are placed.
 #[rustfmt::skip]
-const PLACING: Shape = Shape {
+const PLACING: Schema = Schema {
     noun: "`placing`",
     keys: &[
-        may("replicas", REPLICAS, "Replicas of one model at most."),
-        may("concurrency", CONCURRENCY, "Requests that one replica answers at once."),
-        may("spread", Kind::Switch, "Whether replicas of one model go to different zones where they can."),
+        optional("replicas", REPLICAS, "Replicas of one model at most."),
+        optional("concurrency", CONCURRENCY, "Requests that one replica answers at once."),
+        optional("spread", ValueType::Bool, "Whether replicas of one model go to different zones where they can."),
     ],
 };
 
-/// When requests are refused.
+/// Schema of `refusing`: when requests are refused.
 #[rustfmt::skip]
-const REFUSING: Shape = Shape {
+const REFUSING: Schema = Schema {
     noun: "`refusing`",
     keys: &[
-        may("queue", Kind::Whole(1, 10_000_000), "Requests that wait on one entry host at most."),
-        may("caller", Kind::Whole(1, 10_000_000), "Requests of one caller on one entry host at most."),
-        may("deadline-ms", DEADLINE_MS, "Deadline of a request that names none and whose class has none, in milliseconds."),
-        may("body", Kind::Whole(1, 1 << 30), "Largest body in bytes."),
-        may("claims-s", Kind::Whole(1, 365 * DAY_S), "How long outcomes of requests with a key are kept, in seconds."),
-        may("quarantine-s", Kind::Whole(1, 30 * DAY_S), "How long a request that took targets down is refused, in seconds."),
+        optional("queue", ValueType::Integer(1, 10_000_000), "Requests that wait on one entry host at most."),
+        optional("caller", ValueType::Integer(1, 10_000_000), "Requests of one caller on one entry host at most."),
+        optional("deadline-ms", DEADLINE_MS, "Deadline of a request that names none and whose class has none, in milliseconds."),
+        optional("body", ValueType::Integer(1, 1 << 30), "Largest body in bytes."),
+        optional("claims-s", ValueType::Integer(1, 365 * DAY_S), "How long outcomes of requests with a key are kept, in seconds."),
+        optional("quarantine-s", ValueType::Integer(1, 30 * DAY_S), "How long a request that took targets down is refused, in seconds."),
     ],
 };
 
-/// A region.
+/// Schema of an item of `regions`.
 #[rustfmt::skip]
-const REGION: Shape = Shape {
+const REGION: Schema = Schema {
     noun: "a region",
     keys: &[
-        must("name", NAME, "Its name."),
-        may("distance-ms", Kind::Whole(0, 60_000), "Time of a byte's way to another region and back, in milliseconds."),
-        may("price", Kind::Number(0.0, 1e9), "Price of a gibibyte to another region, in any one currency."),
+        required("name", NAME, "Its name."),
+        optional("distance-ms", ValueType::Integer(0, 60_000), "Time of a byte's way to another region and back, in milliseconds."),
+        optional("price", ValueType::Number(0.0, 1e9), "Price of a gibibyte to another region, in any one currency."),
     ],
 };
 
-/// A class of requests.
+/// Schema of an item of `classes`.
 #[rustfmt::skip]
-const CLASS: Shape = Shape {
+const CLASS: Schema = Schema {
     noun: "a class",
     keys: &[
-        must("name", NAME, "Its name."),
-        must("weight", Kind::Whole(1, 1_000_000), "Its weight against other classes; a larger one goes first."),
-        may("deadline-ms", DEADLINE_MS, "Deadline of its requests that name none, in milliseconds."),
-        may("patient", Kind::Switch, "Whether it may be moved or queued for the sake of others."),
+        required("name", NAME, "Its name."),
+        required("weight", ValueType::Integer(1, 1_000_000), "Its weight against other classes; a larger one goes first."),
+        optional("deadline-ms", DEADLINE_MS, "Deadline of its requests that name none, in milliseconds."),
+        optional("patient", ValueType::Bool, "Whether it may be moved or queued for the sake of others."),
     ],
 };
 
-/// Models that are moved over together.
+/// Schema of an item of `groups`.
 #[rustfmt::skip]
-const GROUP: Shape = Shape {
+const GROUP: Schema = Schema {
     noun: "a group",
     keys: &[
-        must("name", NAME, "Its name."),
-        may("managed", Kind::Switch, "Whether cornelhitch loads and unloads its models, or only routes to them."),
+        required("name", NAME, "Its name."),
+        optional("managed", ValueType::Bool, "Whether cornelhitch loads and unloads its models, or only routes to them."),
     ],
 };
 
-/// A model.
+/// Schema of an item of `models`.
 #[rustfmt::skip]
-const MODEL: Shape = Shape {
+const MODEL: Schema = Schema {
     noun: "a model",
     keys: &[
-        must("name", NAME, "Its name."),
-        must("bytes", Kind::Whole(1, MODEL_BYTES), "Accelerator memory that a replica takes, in bytes; at most 1 TiB an accelerator."),
-        may("accelerators", Kind::Whole(1, 1_024), "Accelerators that a replica takes."),
-        may("group", Kind::Reference("groups"), "Its group."),
-        may("version", NAME, "The version in force."),
-        may("class", Kind::Reference("classes"), "Class of its requests that name none."),
-        may("adapters", Kind::List(&NAME), "Its adapters."),
+        required("name", NAME, "Its name."),
+        required("bytes", ValueType::Integer(1, MAX_MODEL_BYTES), "Accelerator memory that a replica takes, in bytes; at most 1 TiB an accelerator."),
+        optional("accelerators", ValueType::Integer(1, 1_024), "Accelerators that a replica takes."),
+        optional("group", ValueType::Reference("groups"), "Its group."),
+        optional("version", NAME, "The version in force."),
+        optional("class", ValueType::Reference("classes"), "Class of its requests that name none."),
+        optional("adapters", ValueType::List(&NAME), "Its adapters."),
     ],
 };
 
-/// A plain service.
+/// Schema of an item of `services`.
 #[rustfmt::skip]
-const SERVICE: Shape = Shape {
+const SERVICE: Schema = Schema {
     noun: "a service",
     keys: &[
-        must("name", Kind::Text(Form::Segment), "Its name, which is also the first part of its path below `/services/`."),
-        may("repeatable", Kind::List(&Kind::Text(Form::Method)), "Methods whose calls may be repeated."),
-        may("class", Kind::Reference("classes"), "Class of its requests that name none."),
+        required("name", ValueType::Text(TextFormat::Segment), "Its name, which is also the first part of its path below `/services/`."),
+        optional("repeatable", ValueType::List(&ValueType::Text(TextFormat::Method)), "Methods whose calls may be repeated."),
+        optional("class", ValueType::Reference("classes"), "Class of its requests that name none."),
     ],
 };
 
-/// A departure from the defaults.
+/// Schema of an item of `exceptions`.
 #[rustfmt::skip]
-const EXCEPTION: Shape = Shape {
+const EXCEPTION: Schema = Schema {
     noun: "an exception",
     keys: &[
-        must("reason", Kind::Text(Form::Sentence), "Why, for people."),
-        may("model", Kind::Reference("models"), "The model it is for, or none for a group."),
-        may("group", Kind::Reference("groups"), "The group it is for, or none for a model."),
-        may("minimum-s", KEEP_S, "In place of that in `keeping`."),
-        may("maximum-s", KEEP_S, "In place of that in `keeping`."),
-        may("replicas", REPLICAS, "In place of that in `placing`."),
-        may("concurrency", CONCURRENCY, "In place of that in `placing`."),
-        may("deadline-ms", DEADLINE_MS, "In place of that in `refusing`."),
+        required("reason", ValueType::Text(TextFormat::Sentence), "Why, for people."),
+        optional("model", ValueType::Reference("models"), "The model it is for, or none for a group."),
+        optional("group", ValueType::Reference("groups"), "The group it is for, or none for a model."),
+        optional("minimum-s", KEEP_S, "In place of that in `keeping`."),
+        optional("maximum-s", KEEP_S, "In place of that in `keeping`."),
+        optional("replicas", REPLICAS, "In place of that in `placing`."),
+        optional("concurrency", CONCURRENCY, "In place of that in `placing`."),
+        optional("deadline-ms", DEADLINE_MS, "In place of that in `refusing`."),
     ],
 };
 
-/// The settings of one process.
+/// Schema of the process settings.
 #[rustfmt::skip]
-pub const PROCESS: Shape = Shape {
+pub const PROCESS: Schema = Schema {
     noun: "the process's file",
     keys: &[
-        must("cluster", NAME, "The cluster's name; frames of another one are dropped."),
-        may("host", Kind::Whole(0, u64::MAX), "This host's number; with `seeds` it follows from `peers`, else it is required."),
-        must("region", NAME, "Its region."),
-        must("zone", NAME, "Its availability zone."),
-        may("zones", Kind::List(&Kind::Map(&ZONE)), "The region of each availability zone, for targets that tell only their zone."),
-        may("protocol", Kind::Choice(&["own", "platform"]), "What is spoken with targets, callers and operators: the project's own interface, or the platform's; own."),
-        must("roles", Kind::List(&Kind::Choice(&["entry", "control"])), "What it does: it takes requests from callers, or it keeps the replicated state."),
-        must("callers", Kind::Text(Form::Address), "Where callers and targets connect."),
-        must("operators", Kind::Text(Form::Address), "Where operators connect."),
-        must("peers", Kind::Text(Form::Reachable), "Where other cornelhitch processes reach it, over UDP and TCP."),
-        may("peers-listen", Kind::Text(Form::Reachable), "Where it listens for them and connects from, if address translation stands between; `peers`."),
-        may("voters", Kind::List(&Kind::Map(&PEER)), "The voters, this one too if it is one; 1 to 9; required without `seeds`."),
-        may("seeds", Kind::List(&Kind::Text(Form::Reachable)), "Control hosts that are asked who votes; only their IP addresses count, since the peers of one cluster have one port."),
-        may("bootstrap", Kind::Switch, "Whether the seeds found the group where their folders are empty."),
-        may("losses", Kind::Whole(1, 4), "Voters that may be lost together; with `seeds` the group grows to twice as many and one; 1."),
-        may("registry", Kind::Text(Form::Address), "Where targets announce themselves and tables of routes are handed in; for the role control."),
-        may("directory", Kind::Text(Form::Address), "Where callers ask which hosts to use, besides `callers`; for the role entry."),
-        may("ready", Kind::Text(Form::Address), "Where others ask whether this host takes requests, besides `callers`; for the role entry."),
-        may("metrics", Kind::Text(Form::Address), "Where counters are read as text."),
-        may("serving", Kind::Map(&SERVING), "How an entry host serves."),
-        may("trusted-network", Kind::Switch, "Whether only hosts of this cluster reach `peers` and `operators`, so that `keys` and `token` may be left out."),
-        may("data", Kind::Text(Form::Path), "The folder for durable state; for the role control, and only for it."),
-        may("keys", Kind::Text(Form::Path), "The file with the keys that peers share, one a line; the first is used to send; required without `trusted-network`."),
-        may("token", Kind::Text(Form::Path), "The file with the token that operators show; required without `trusted-network`. Without one they are refused."),
-        may("fleet", Kind::Text(Form::Path), "A fleet settings file that a new cluster starts from."),
-        may("otlp", Kind::Text(Form::Url), "Where metrics go over OTLP/HTTP; to the log where it is not set."),
+        required("cluster", NAME, "The cluster's name; frames of another one are dropped."),
+        optional("host", ValueType::Integer(0, u64::MAX), "This host's number; with `seeds` it follows from `peers`, else it is required."),
+        required("region", NAME, "Its region."),
+        required("zone", NAME, "Its availability zone."),
+        optional("zones", ValueType::List(&ValueType::Map(&ZONE)), "The region of each availability zone, for targets that tell only their zone."),
+        optional("protocol", ValueType::Choice(&["own", "platform"]), "What is spoken with targets, callers and operators: the project's own interface, or the platform's; own."),
+        required("roles", ValueType::List(&ValueType::Choice(&["entry", "control"])), "What it does: it takes requests from callers, or it keeps the replicated state."),
+        required("callers", ValueType::Text(TextFormat::Address), "Where callers and targets connect."),
+        required("operators", ValueType::Text(TextFormat::Address), "Where operators connect."),
+        required("peers", ValueType::Text(TextFormat::ReachableAddress), "Where other cornelhitch processes reach it, over UDP and TCP."),
+        optional("peers-listen", ValueType::Text(TextFormat::ReachableAddress), "Where it listens for them and connects from, if address translation stands between; `peers`."),
+        optional("voters", ValueType::List(&ValueType::Map(&PEER)), "The voters, this one too if it is one; 1 to 9; required without `seeds`."),
+        optional("seeds", ValueType::List(&ValueType::Text(TextFormat::ReachableAddress)), "Control hosts that are asked who votes; only their IP addresses count, since the peers of one cluster have one port."),
+        optional("bootstrap", ValueType::Bool, "Whether the seeds found the group where their folders are empty."),
+        optional("losses", ValueType::Integer(1, 4), "Voters that may be lost together; with `seeds` the group grows to twice as many and one; 1."),
+        optional("registry", ValueType::Text(TextFormat::Address), "Where targets announce themselves and tables of routes are handed in; for the role control."),
+        optional("directory", ValueType::Text(TextFormat::Address), "Where callers ask which hosts to use, besides `callers`; for the role entry."),
+        optional("ready", ValueType::Text(TextFormat::Address), "Where others ask whether this host takes requests, besides `callers`; for the role entry."),
+        optional("metrics", ValueType::Text(TextFormat::Address), "Where counters are read as text."),
+        optional("serving", ValueType::Map(&SERVING), "How an entry host serves."),
+        optional("trusted-network", ValueType::Bool, "Whether only hosts of this cluster reach `peers` and `operators`, so that `keys` and `token` may be left out."),
+        optional("data", ValueType::Text(TextFormat::Path), "The folder for durable state; for the role control, and only for it."),
+        optional("keys", ValueType::Text(TextFormat::Path), "The file with the keys that peers share, one a line; the first is used to send; required without `trusted-network`."),
+        optional("token", ValueType::Text(TextFormat::Path), "The file with the token that operators show; required without `trusted-network`. Without one they are refused."),
+        optional("fleet", ValueType::Text(TextFormat::Path), "A fleet settings file that a new cluster starts from."),
+        optional("otlp", ValueType::Text(TextFormat::Url), "Where metrics go over OTLP/HTTP; to the log where it is not set."),
     ],
 };
 
-/// An availability zone.
+/// Schema of an item of `zones`.
 #[rustfmt::skip]
-const ZONE: Shape = Shape {
+const ZONE: Schema = Schema {
     noun: "an availability zone",
     keys: &[
-        must("name", NAME, "Its name."),
-        must("region", NAME, "Its region."),
+        required("name", NAME, "Its name."),
+        required("region", NAME, "Its region."),
     ],
 };
 
-/// How an entry host serves.
+/// Schema of `serving`: how an entry host serves.
 #[rustfmt::skip]
-const SERVING: Shape = Shape {
+const SERVING: Schema = Schema {
     noun: "`serving`",
     keys: &[
-        may("isolated", Kind::Choice(&["refuse", "serve"]), "What a host does that has lost its lease on the settings: it refuses new requests, or goes on with what it knows; refuse."),
-        may("max-age-ms", Kind::Whole(100, DAY_MS), "How long callers keep the answer which hosts to use, at most, in milliseconds; 10000."),
-        may("leave-ms", Kind::Whole(0, DAY_MS), "How long a host that ends goes on taking requests, in milliseconds; 10000."),
-        may("strikes", Kind::Whole(1, COUNT), "Targets that a request may take down before it is refused; 2."),
-        may("quarantine", Kind::Switch, "Whether a request that took a target down runs again only where no other request does; true."),
-        may("retry-ratio", Kind::Number(0.0, 10.0), "Retries that each first send earns for the entry hosts together; 0.2."),
-        may("retry-slack", Kind::Whole(0, COUNT), "Retries that all entry hosts together may make besides, in `retry-window-ms`; 64."),
-        may("retry-window-ms", Kind::Number(0.0, 86_400_000.0), "The time over which retries are counted, in milliseconds; 0, the default, counts them on each host alone."),
+        optional("isolated", ValueType::Choice(&["refuse", "serve"]), "What a host does that has lost its lease on the settings: it refuses new requests, or goes on with what it knows; refuse."),
+        optional("max-age-ms", ValueType::Integer(100, DAY_MS), "How long callers keep the answer which hosts to use, at most, in milliseconds; 10000."),
+        optional("leave-ms", ValueType::Integer(0, DAY_MS), "How long a host that ends goes on taking requests, in milliseconds; 10000."),
+        optional("strikes", ValueType::Integer(1, MAX_COUNT), "Targets that a request may take down before it is refused; 2."),
+        optional("quarantine", ValueType::Bool, "Whether a request that took a target down runs again only where no other request does; true."),
+        optional("retry-ratio", ValueType::Number(0.0, 10.0), "Retries that each first send earns for the entry hosts together; 0.2."),
+        optional("retry-slack", ValueType::Integer(0, MAX_COUNT), "Retries that all entry hosts together may make besides, in `retry-window-ms`; 64."),
+        optional("retry-window-ms", ValueType::Number(0.0, 86_400_000.0), "The time over which retries are counted, in milliseconds; 0, the default, counts them on each host alone."),
     ],
 };
 
-/// Another process.
+/// Schema of an item of `voters`.
 #[rustfmt::skip]
-const PEER: Shape = Shape {
+const PEER: Schema = Schema {
     noun: "a voter",
     keys: &[
-        must("host", Kind::Whole(0, u64::MAX), "Its number."),
-        must("address", Kind::Text(Form::Reachable), "Its address, over UDP and TCP."),
+        required("host", ValueType::Integer(0, u64::MAX), "Its number."),
+        required("address", ValueType::Text(TextFormat::ReachableAddress), "Its address, over UDP and TCP."),
     ],
 };
 
--- a/crates/settings/tests/examples.rs
+++ b/crates/settings/tests/examples.rs
@@ -1,20 +1,20 @@
-//! The two deployments' example settings load and hold the sizes that the users state.
+//! The example settings of both deployments parse and contain the sizes that the users stated.
 
 use cornelhitch_settings::fleet::Fleet;
 
-/// What the example settings of one deployment must hold.
+/// The expected contents of one deployment's example settings.
 struct Case {
-    /// The text of the file.
+    /// Text of the settings file.
     text: &'static str,
-    /// Models in the catalogue.
+    /// Number of models in the catalogue.
     models: usize,
-    /// Adapters over all models.
+    /// Number of adapters over all models.
     adapters: usize,
-    /// Loads that the weight store allows to start, a second.
+    /// Loads that may start from the weight store, per second.
     starts: f64,
-    /// The regions.
+    /// Names of the regions.
     regions: [&'static str; 3],
-    /// Weights of cold starts and of idle accelerator hours.
+    /// Cost weights of cold starts and of idle accelerator hours.
     weights: (f64, f64),
 }
 
@@ -38,7 +38,7 @@
 ];
 
 #[test]
-fn examples_hold_the_stated_sizes() {
+fn example_settings_have_the_stated_sizes() {
     for case in CASES {
         let fleet: Fleet = case.text.parse().expect("an example loads");
         assert_eq!(fleet.models.len(), case.models);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn every_model_has_a_known_group_and_class() {
+fn example_models_have_a_known_group_and_class() {
     for case in CASES {
         let fleet: Fleet = case.text.parse().expect("an example loads");
         for model in &fleet.models {
--- a/crates/settings/tests/manual.rs
+++ b/crates/settings/tests/manual.rs
@@ -1,9 +1,9 @@
-//! The page on settings is the one that the tables print.
+//! The settings page in the documentation matches the schemas.
 
 use cornelhitch_settings::manual;
 use expect_test::expect_file;
 
 #[test]
-fn the_page_is_printed_from_the_tables() {
+fn settings_page_matches_the_schemas() {
     expect_file!["../../../docs/SETTINGS.md"].assert_eq(&manual::page());
 }
--- a/crates/settings/tests/round.rs
+++ b/crates/settings/tests/round.rs
@@ -1,4 +1,4 @@
-//! Any text is read or refused, and what is printed reads back equal.
+//! Parsing never panics on any text, and printed settings parse back to equal settings.
 
 use cornelhitch_settings::fleet::{Class, Exception, Fleet, Group, Model, Region, Service};
 use cornelhitch_settings::process::Process;
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The same cases in each run.
+/// Configuration with a fixed seed, so that each run tests the same cases.
 fn fixed() -> ProptestConfig {
     ProptestConfig {
         cases: 512,
@@ -17,7 +17,7 @@
     }
 }
 
-/// Names that differ from each other, numbered after a word that YAML may take for another kind.
+/// Generates distinct names, including words that YAML could read as another type.
 fn names(most: usize) -> impl Strategy<Value = Vec<String>> {
     let word = prop_oneof![
         Just("report"),
@@ -37,7 +37,7 @@
 }
 
 prop_compose! {
-    /// Settings with all kinds of items that refer to each other.
+    /// Generates settings with items of all kinds that refer to each other.
     fn fleet()(
         names in names(5),
         weight in 1_u32..1_000_000,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Texts that are nearly settings.
+/// Generates texts that resemble settings files.
 fn nearly() -> impl Strategy<Value = String> {
     let piece = prop_oneof![
         Just("models:\n"),
@@ -127,14 +127,14 @@
     #![proptest_config(fixed())]
 
     #[test]
-    fn what_is_printed_reads_back_equal(fleet in fleet()) {
+    fn printed_settings_parse_back_equal(fleet in fleet()) {
         let text = fleet.to_string();
         let read: Result<Fleet, _> = text.parse();
         prop_assert_eq!(read.map_err(|error| format!("{error}\n{text}")), Ok(fleet));
     }
 
     #[test]
-    fn no_text_is_too_odd(text in prop_oneof![nearly(), any::<String>()]) {
+    fn any_text_is_parsed_or_rejected_with_valid_positions(text in prop_oneof![nearly(), any::<String>()]) {
         for faults in [
             text.parse::<Fleet>().err().map(|error| error.faults),
             text.parse::<Process>().err().map(|error| error.faults),
