--- a/crates/cornelhitch/src/bin/cornelhitch.rs
+++ b/crates/cornelhitch/src/bin/cornelhitch.rs
@@ -1,4 +1,4 @@
-//! The operator's command.
+//! The command-line tool for operators.
 
 use std::process::ExitCode;
 
--- a/crates/cornelhitch/src/bin/cornelhitchd.rs
+++ b/crates/cornelhitch/src/bin/cornelhitchd.rs
@@ -1,4 +1,4 @@
-//! The daemon that runs on each host of cornelhitch.
+//! The daemon that runs on each cornelhitch host.
 
 use std::process::ExitCode;
 
@@ -6,7 +6,7 @@
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    match serve(&arguments) {
+    match run_command(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("cornelhitchd: {error}");
@@ -15,9 +15,9 @@
     }
 }
 
-/// Does what the arguments ask for.
-fn serve(arguments: &[String]) -> Result<(), Error> {
-    match daemon::command(arguments)? {
+/// Carries out the command that the arguments request.
+fn run_command(arguments: &[String]) -> Result<(), Error> {
+    match daemon::parse_arguments(arguments)? {
         Command::Print(text) => {
             print!("{text}");
             Ok(())
--- a/crates/cornelhitch/src/daemon.rs
+++ b/crates/cornelhitch/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads its settings, starts the node, and ends it gracefully.
+//! The daemon: reads its settings, runs a node, and shuts it down gracefully.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,8 +14,8 @@
 use crate::log::{self, Format};
 use crate::telemetry;
 
-/// What stands at the top of `--help`.
-const BRIEF: &str = "Usage: cornelhitchd --settings FILE [options]
+/// Usage text at the top of `--help`.
+const USAGE: &str = "Usage: cornelhitchd --settings FILE [options]
 
 Runs one host of cornelhitch. SIGTERM and SIGINT shut it down gracefully: it leaves
 the answers to callers, ends what is in progress, and exits.
@@ -23,99 +23,99 @@
 Exit status: 0 after a graceful shutdown, 2 when the arguments or the settings are
 faulty, 3 when an address or the data folder cannot be had, 1 for anything else.";
 
-/// Time between two looks at the settings file.
-const LOOK: std::time::Duration = std::time::Duration::from_secs(2);
+/// Interval at which the settings file is checked for changes.
+const RELOAD_INTERVAL: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// Why the daemon ends.
+/// Errors that end the daemon.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The arguments are faulty.
+    /// The arguments are invalid.
     #[snafu(display("{source}; see --help"))]
     Arguments {
-        /// What is wrong.
+        /// The error of the argument parser.
         source: getopts::Fail,
     },
-    /// An argument has a value that cannot be.
-    #[snafu(display("--{name}: {value:?} cannot be read: {detail}; see --help"))]
-    Value {
-        /// The argument.
+    /// The value of an argument is invalid.
+    #[snafu(display("--{name}: {value:?} is invalid: {detail}; see --help"))]
+    InvalidValue {
+        /// Name of the argument, without dashes.
         name: &'static str,
-        /// Its value.
+        /// The value as given.
         value: String,
-        /// What is wrong.
+        /// Why the value is invalid.
         detail: String,
     },
-    /// No settings were named.
+    /// The argument `--settings` is missing.
     #[snafu(display("--settings FILE is missing; see --help"))]
-    Settings,
-    /// The settings cannot be read.
-    #[snafu(display("{}: {source}", path.display()))]
-    Read {
-        /// The file.
+    MissingSettings,
+    /// The settings file cannot be read.
+    #[snafu(display("cannot read settings file {}: {source}", path.display()))]
+    ReadSettings {
+        /// Path of the settings file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The settings are faulty.
-    #[snafu(display("{}:\n{source}", path.display()))]
-    Faulty {
-        /// The file.
+    /// The settings file is invalid.
+    #[snafu(display("invalid settings in {}:\n{source}", path.display()))]
+    InvalidSettings {
+        /// Path of the settings file.
         path: PathBuf,
-        /// What is wrong, a line a fault.
+        /// All faults, each on a line of its own.
         source: cornelhitch_settings::error::Error,
     },
-    /// An address cannot be had.
+    /// A socket cannot be bound.
     #[snafu(display("{source}"), context(false))]
     Socket {
-        /// Why.
+        /// The address and the I/O error.
         source: socket::Error,
     },
-    /// The node does not start.
+    /// The node fails to start.
     #[snafu(display("{source}"), context(false))]
     Node {
-        /// Why.
+        /// The error of the node.
         source: node::Error,
     },
-    /// Metrics cannot be exported.
-    #[snafu(display("otlp: {source}"), context(false))]
+    /// The metrics exporter cannot be created.
+    #[snafu(display("cannot export metrics over OTLP: {source}"), context(false))]
     Telemetry {
-        /// Why.
+        /// The error of the exporter.
         source: opentelemetry_otlp::ExporterBuildError,
     },
-    /// The system refused something.
+    /// The operating system reports an error.
     #[snafu(display("{source}"), context(false))]
     System {
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
 }
 
 impl Error {
-    /// The exit status that the error stands for.
+    /// Returns the exit status for the error: 2 for arguments and settings, 3 for addresses and the
+    /// data folder, 1 for anything else.
     #[must_use]
     pub fn status(&self) -> u8 {
         match self {
             Self::Arguments { .. }
-            | Self::Value { .. }
-            | Self::Settings
-            | Self::Read { .. }
-            | Self::Faulty { .. } => 2,
+            | Self::InvalidValue { .. }
+            | Self::MissingSettings
+            | Self::ReadSettings { .. }
+            | Self::InvalidSettings { .. } => 2,
             Self::Socket { .. } | Self::Node { .. } => 3,
             Self::Telemetry { .. } | Self::System { .. } => 1,
         }
     }
 }
 
-/// What the arguments ask for.
+/// What the arguments request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Print a text and end.
+    /// Print a text and exit.
     Print(String),
-    /// Run a host.
+    /// Run a host with these settings.
     Run(Box<Process>),
 }
 
-/// The options of the daemon.
 fn options() -> Options {
     let mut options = Options::new();
     options.optopt("s", "settings", "the settings of this process", "FILE");
@@ -145,42 +145,44 @@
     options
 }
 
-/// Reads the arguments and the settings that they name, and starts the log.
+/// Parses the arguments, reads the settings file that they name, and initializes logging.
 ///
 /// # Errors
-/// An argument or the settings are faulty.
-pub fn command(arguments: &[String]) -> Result<Command, Error> {
+/// An argument or the settings file is invalid, or the file cannot be read.
+pub fn parse_arguments(arguments: &[String]) -> Result<Command, Error> {
     let options = options();
     let matches = options.parse(arguments).context(ArgumentsSnafu)?;
     if matches.opt_present("help") {
-        return Ok(Command::Print(options.usage(BRIEF)));
+        return Ok(Command::Print(options.usage(USAGE)));
     }
     if matches.opt_present("version") {
         let version = concat!("cornelhitchd ", env!("CARGO_PKG_VERSION"), "\n");
         return Ok(Command::Print(version.to_owned()));
     }
-    let format = value::<Format>(&matches, "log-format")?.unwrap_or_default();
+    let format = parse_value::<Format>(&matches, "log-format")?.unwrap_or_default();
     let filter = matches.opt_str("log").unwrap_or_else(|| "info".to_owned());
-    log::start(format, &filter).map_err(|error| Error::Value {
+    log::init(format, &filter).map_err(|error| Error::InvalidValue {
         name: "log",
         value: filter,
         detail: error.to_string(),
     })?;
-    let path = PathBuf::from(matches.opt_str("settings").context(SettingsSnafu)?);
-    let text = std::fs::read_to_string(&path).context(ReadSnafu { path: &path })?;
-    let process: Process = text.parse().context(FaultySnafu { path: &path })?;
+    let path = PathBuf::from(matches.opt_str("settings").context(MissingSettingsSnafu)?);
+    let text = std::fs::read_to_string(&path).context(ReadSettingsSnafu { path: &path })?;
+    let process: Process = text.parse().context(InvalidSettingsSnafu { path: &path })?;
     let process = Process {
         file: Some(path),
         ..process
     };
-    Ok(Command::Run(Box::new(over(process, &matches)?)))
+    Ok(Command::Run(Box::new(override_settings(
+        process, &matches,
+    )?)))
 }
 
-/// The settings with the arguments over them.
-fn over(mut process: Process, matches: &Matches) -> Result<Process, Error> {
-    let callers = value::<SocketAddr>(matches, "callers")?;
-    let operators = value::<SocketAddr>(matches, "operators")?;
-    let peers = value::<SocketAddr>(matches, "peers")?;
+/// Overrides settings with the addresses and the data folder given as arguments.
+fn override_settings(mut process: Process, matches: &Matches) -> Result<Process, Error> {
+    let callers = parse_value::<SocketAddr>(matches, "callers")?;
+    let operators = parse_value::<SocketAddr>(matches, "operators")?;
+    let peers = parse_value::<SocketAddr>(matches, "peers")?;
     process.callers = callers.unwrap_or(process.callers);
     process.operators = operators.unwrap_or(process.operators);
     process.peers = peers.unwrap_or(process.peers);
@@ -188,8 +190,8 @@
     Ok(process)
 }
 
-/// The value of an argument.
-fn value<T>(matches: &Matches, name: &'static str) -> Result<Option<T>, Error>
+/// Parses the value of an argument; `None` if the argument is absent.
+fn parse_value<T>(matches: &Matches, name: &'static str) -> Result<Option<T>, Error>
 where
     T: std::str::FromStr<Err: std::fmt::Display>,
 {
@@ -200,7 +202,7 @@
         Ok(parsed) => Ok(Some(parsed)),
         Err(error) => {
             let detail = error.to_string();
-            ValueSnafu {
+            InvalidValueSnafu {
                 name,
                 value,
                 detail,
@@ -210,46 +212,46 @@
     }
 }
 
-/// Takes over changes of the settings file, after a signal and without; it never ends.
+/// Reloads the settings file after SIGHUP and whenever it has changed; never returns.
 ///
-/// A file that cannot be read, or is faulty, leaves the settings as they are.
-async fn reload(node: &Node, file: Option<PathBuf>) {
+/// If the file cannot be read or is invalid, the current settings stay in force.
+async fn reload_on_change(node: &Node, file: Option<PathBuf>) {
     let Some(path) = file else {
         return std::future::pending().await;
     };
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        tracing::error!("SIGHUP cannot be taken: the settings are not read again");
+        tracing::error!("cannot install SIGHUP handler; settings file is not reloaded");
         return std::future::pending().await;
     };
-    let mut known = std::fs::read_to_string(&path).unwrap_or_default();
+    let mut last_text = std::fs::read_to_string(&path).unwrap_or_default();
     loop {
         tokio::select! {
-            _ = hangup.recv() => tracing::info!("SIGHUP: reading the settings"),
-            () = tokio::time::sleep(LOOK) => {}
+            _ = hangup.recv() => tracing::info!("received SIGHUP, reading the settings file"),
+            () = tokio::time::sleep(RELOAD_INTERVAL) => {}
         }
         match std::fs::read_to_string(&path) {
-            Ok(text) if text == known => {}
+            Ok(text) if text == last_text => {}
             Ok(text) => {
                 match text.parse::<Process>() {
                     Ok(process) => {
-                        tracing::info!(seeds = ?process.seeds, "the settings were reloaded");
+                        tracing::info!(seeds = ?process.seeds, "settings reloaded");
                         node.reload(&process);
                     }
-                    Err(error) => tracing::warn!(%error, "the settings stay as they are"),
+                    Err(error) => tracing::warn!(%error, "invalid settings file ignored"),
                 }
-                known = text;
+                last_text = text;
             }
-            Err(error) => tracing::warn!(%error, "the settings stay as they are"),
+            Err(error) => tracing::warn!(%error, "unreadable settings file ignored"),
         }
     }
 }
 
-/// Runs a host until it has shut down.
+/// Runs a host until it has shut down gracefully.
 ///
 /// # Errors
-/// The host does not start.
+/// The host fails to start.
 pub async fn run(process: Process) -> Result<(), Error> {
-    let exporting = match &process.otlp {
+    let metrics_provider = match &process.otlp {
         Some(endpoint) => Some(telemetry::export(endpoint)?),
         None => None,
     };
@@ -267,23 +269,23 @@
     );
     let node = Node::speak(process, sockets, dialect)?;
     tracing::info!(addresses = ?node.addresses, "started");
-    tokio::spawn(log::watch());
-    if exporting.is_none() {
-        tokio::spawn(telemetry::lines(node.metrics.clone()));
+    tokio::spawn(log::report_dropped_lines());
+    if metrics_provider.is_none() {
+        tokio::spawn(telemetry::log_metrics(node.metrics.clone()));
     }
     tokio::select! {
-        () = reload(&node, file) => {}
-        _ = terminate.recv() => tracing::info!("SIGTERM: shutting down"),
-        _ = interrupt.recv() => tracing::info!("SIGINT: shutting down"),
-        () = node.asked() => tracing::info!("an operator asked: shutting down"),
+        () = reload_on_change(&node, file) => {}
+        _ = terminate.recv() => tracing::info!("received SIGTERM, shutting down"),
+        _ = interrupt.recv() => tracing::info!("received SIGINT, shutting down"),
+        () = node.asked() => tracing::info!("shutdown requested by an operator"),
     }
     node.drain();
     node.ended().await;
-    if let Some(provider) = exporting {
-        // The exporter's own thread waits for it, so this may not run on the runtime.
+    if let Some(provider) = metrics_provider {
+        // The exporter waits for its own thread, which would block the runtime.
         let _ = tokio::task::spawn_blocking(move || provider.shutdown()).await;
     }
     tracing::info!("ended");
-    log::finish();
+    log::flush();
     Ok(())
 }
--- a/crates/cornelhitch/src/lib.rs
+++ b/crates/cornelhitch/src/lib.rs
@@ -1,8 +1,8 @@
-//! A serving system for rarely used models.
+//! Serves rarely used models on a shared fleet of accelerators.
 //!
-//! The parts are libraries that others can embed; each has a sans-I/O core. The
-//! two binaries, `cornelhitchd` and `cornelhitch`, are thin around
-//! [`daemon`] and [`operator`].
+//! The parts of the system are libraries that can be embedded; each has a sans-I/O core. The two
+//! binaries, `cornelhitchd` and `cornelhitch`, are thin wrappers around [`daemon`] and
+//! [`operator`].
 //!
 //! ```
 //! use cornelhitch::prelude::*;
--- a/crates/cornelhitch/src/log.rs
+++ b/crates/cornelhitch/src/log.rs
@@ -1,4 +1,4 @@
-//! Logs of the two binaries.
+//! Log output of the daemon: a background thread writes the lines to standard output.
 
 use std::io::IsTerminal;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,87 +8,86 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Display, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Lines that wait to be written; more are dropped and counted, since no request may wait for a log
-/// that is not read.
-const WAITING: usize = 16_384;
+/// Capacity of the queue of log lines. Further lines are dropped and counted, so that requests
+/// never block on a log that is not read.
+const QUEUE_LINES: usize = 16_384;
 
-/// Time between two looks at how many lines were dropped.
-const LOOK: Duration = Duration::from_secs(10);
+/// Interval between checks for dropped log lines.
+const DROP_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What writes the lines, until [`finish`].
+/// The background writer, until [`flush`] is called.
 static WRITER: Mutex<Option<Writer>> = Mutex::new(None);
 
-/// The thread that writes lines, and its count of those that were dropped.
+/// The background writer of log lines.
 struct Writer {
-    /// Writes what waits when it is dropped.
+    /// Writes all queued lines when it is dropped.
     #[allow(dead_code)]
     guard: WorkerGuard,
     dropped: ErrorCounter,
 }
 
-/// Writes log lines to standard output from now on, by a thread of its own.
+/// Starts writing log lines to standard output on a background thread.
 ///
 /// `filter` is a level or a list of directives such as `info,cornelhitch_quorum=debug`.
 ///
 /// # Errors
-/// The filter cannot be read.
-pub fn start(format: Format, filter: &str) -> Result<(), tracing_subscriber::filter::ParseError> {
+/// The filter is invalid.
+pub fn init(format: Format, filter: &str) -> Result<(), tracing_subscriber::filter::ParseError> {
     let filter: EnvFilter = filter.parse()?;
     let (output, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING)
+        .buffered_lines_limit(QUEUE_LINES)
         .lossy(true)
         .finish(std::io::stdout());
     let dropped = output.error_counter();
-    let lines = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_ansi(std::io::stdout().is_terminal())
         .with_writer(output);
-    let started = match format {
-        Format::Text => lines.try_init(),
-        Format::Json => lines.json().try_init(),
+    let installed = match format {
+        Format::Text => subscriber.try_init(),
+        Format::Json => subscriber.json().try_init(),
     };
-    // A subscriber that stands already, as in tests, is left as it is.
-    if started.is_ok() {
-        *lock() = Some(Writer { guard, dropped });
+    // If another subscriber is already installed, as in tests, it stays in place.
+    if installed.is_ok() {
+        *writer() = Some(Writer { guard, dropped });
     }
     Ok(())
 }
 
-/// Tells how many lines were dropped, whenever there are more; it never ends.
-pub async fn watch() {
-    let mut told = 0;
+/// Logs a warning whenever more log lines have been dropped; never returns.
+pub async fn report_dropped_lines() {
+    let mut reported = 0;
     loop {
-        tokio::time::sleep(LOOK).await;
-        let dropped = lock()
+        tokio::time::sleep(DROP_CHECK_INTERVAL).await;
+        let dropped = writer()
             .as_ref()
             .map_or(0, |writer| writer.dropped.dropped_lines());
-        if dropped > told {
+        if dropped > reported {
             tracing::warn!(
                 dropped,
-                "log lines were dropped: the log is not read fast enough"
+                "log lines dropped: the log output is not read fast enough"
             );
-            told = dropped;
+            reported = dropped;
         }
     }
 }
 
-/// Writes what waits, as far as somebody reads it.
-pub fn finish() {
-    drop(lock().take());
+/// Writes the queued log lines, unless the output is not read.
+pub fn flush() {
+    drop(writer().take());
 }
 
-/// What writes the lines.
-fn lock() -> MutexGuard<'static, Option<Writer>> {
+fn writer() -> MutexGuard<'static, Option<Writer>> {
     WRITER.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/cornelhitch/src/operator.rs
+++ b/crates/cornelhitch/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operator's command: one table of commands, and what each asks of a host.
+//! The command-line tool for operators: a table of commands, and the requests that they send to a
+//! host.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,14 +15,14 @@
 use serde_json::{Value, json};
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-/// Time between two questions whether settings are in force.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Interval between checks whether settings are in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time after which `apply --wait` gives up.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What stands at the top of `--help`, before the commands.
-const BRIEF: &str = "Usage: cornelhitch COMMAND [arguments] [options]
+/// Usage text at the top of `--help`, before the list of commands.
+const USAGE: &str = "Usage: cornelhitch COMMAND [arguments] [options]
 
 Operates cornelhitch by any of its hosts.
 
@@ -30,55 +31,55 @@
 
 Commands:";
 
-/// Why a command was not done.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The arguments are faulty.
+    /// The options are invalid.
     #[snafu(display("{source}; see --help"))]
-    Options {
-        /// What is wrong.
+    InvalidOptions {
+        /// The error of the option parser.
         source: getopts::Fail,
     },
-    /// The command or its arguments are faulty.
+    /// The command, its arguments or an option's value are invalid.
     #[snafu(display("{detail}; see --help"))]
     Usage {
-        /// What is wrong.
+        /// What was expected and what was given.
         detail: String,
     },
     /// A file cannot be read.
-    #[snafu(display("{}: {source}", path.display()))]
+    #[snafu(display("cannot read {}: {source}", path.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The settings are faulty.
+    /// The fleet settings file is invalid.
     #[snafu(display("{text}"))]
-    Faulty {
-        /// One line a fault: file, line, column and what is wrong.
+    InvalidSettings {
+        /// One line per fault: file, line, column and message.
         text: String,
     },
-    /// No host could be reached.
+    /// The host cannot be reached.
     #[snafu(display("{host} cannot be reached: {detail}"))]
     Unreachable {
-        /// The host.
+        /// Address of the host.
         host: SocketAddr,
-        /// Why.
+        /// Why the host cannot be reached.
         detail: String,
     },
-    /// The system refused.
+    /// The host refused the request, or settings were not in force in time.
     #[snafu(display("{status}: {text}"))]
     Refused {
         /// The HTTP status.
         status: StatusCode,
-        /// What was said.
+        /// The body of the response, or the reason for giving up.
         text: String,
     },
 }
 
 impl Error {
-    /// The exit status that the error stands for.
+    /// Returns the exit status for the error.
     #[must_use]
     pub fn status(&self) -> u8 {
         match self {
@@ -91,84 +92,85 @@
 
 /// What a command does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Job {
-    /// Check a file, with no host.
+enum Operation {
+    /// Validates a settings file locally.
     Check,
-    /// Bring a file in force.
+    /// Submits a settings file.
     Apply,
-    /// Print the settings text in force.
+    /// Prints the text of the settings in force.
     Show,
-    /// Print a page of the host, whose path ends with the arguments.
-    Page(Verb, &'static str),
+    /// Requests a path from the host and prints the response; each `{}` stands for an argument.
+    Call(HttpMethod, &'static str),
 }
 
-/// The method of a page, as a row can hold it.
+/// The HTTP method of a request; [`Method`] cannot be used in a constant table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Verb {
+enum HttpMethod {
     Get,
     Post,
 }
 
-/// One command.
-struct Row {
+/// A command of the tool.
+struct CommandSpec {
     name: &'static str,
-    /// The names of its arguments.
+    /// Names of its positional arguments, for the help text.
     arguments: &'static [&'static str],
     help: &'static str,
-    job: Job,
+    operation: Operation,
 }
 
-/// One row a command; `{}` in a page's path stands for the next argument.
+/// All commands; `{}` in a path stands for the next argument.
 #[rustfmt::skip]
-const ROWS: &[Row] = &[
-    Row { name: "check", arguments: &["FILE"], help: "check a fleet settings file; names every fault", job: Job::Check },
-    Row { name: "apply", arguments: &["FILE"], help: "bring a fleet settings file in force", job: Job::Apply },
-    Row { name: "show", arguments: &[], help: "print the settings in force", job: Job::Show },
-    Row { name: "status", arguments: &[], help: "print the leader's state", job: Job::Page(Verb::Get, "/status") },
-    Row { name: "dump", arguments: &[], help: "print the state of the host that is asked", job: Job::Page(Verb::Get, "/dump") },
-    Row { name: "explain", arguments: &["MODEL"], help: "print why a model is where it is", job: Job::Page(Verb::Get, "/explain?model={}") },
-    Row { name: "drain", arguments: &[], help: "shut the host that is asked down gracefully", job: Job::Page(Verb::Post, "/drain") },
-    Row { name: "add", arguments: &["HOST", "INCARNATION"], help: "admit a host to the voters' log as a learner", job: Job::Page(Verb::Post, "/members?change=add&host={}&incarnation={}") },
-    Row { name: "promote", arguments: &["HOST"], help: "make a learner a voter", job: Job::Page(Verb::Post, "/members?change=promote&host={}") },
-    Row { name: "remove", arguments: &["HOST"], help: "remove a voter or learner", job: Job::Page(Verb::Post, "/members?change=remove&host={}") },
-    Row { name: "replace", arguments: &["OLD", "HOST", "INCARNATION"], help: "replace a voter by a host and the life of its disk", job: Job::Page(Verb::Post, "/members?change=replace&old={}&host={}&incarnation={}") },
-    Row { name: "dismiss", arguments: &["TARGET", "INCARNATION"], help: "attest that a target's machine no longer runs, which frees its memory", job: Job::Page(Verb::Post, "/dismiss?target={}&incarnation={}") },
-    Row { name: "pardon", arguments: &["FINGERPRINT"], help: "let a quarantined request run again", job: Job::Page(Verb::Post, "/pardon?fingerprint={}") },
+const COMMANDS: &[CommandSpec] = &[
+    CommandSpec { name: "check", arguments: &["FILE"], help: "check a fleet settings file; names every fault", operation: Operation::Check },
+    CommandSpec { name: "apply", arguments: &["FILE"], help: "bring a fleet settings file in force", operation: Operation::Apply },
+    CommandSpec { name: "show", arguments: &[], help: "print the settings in force", operation: Operation::Show },
+    CommandSpec { name: "status", arguments: &[], help: "print the leader's state", operation: Operation::Call(HttpMethod::Get, "/status") },
+    CommandSpec { name: "dump", arguments: &[], help: "print the state of the host that is asked", operation: Operation::Call(HttpMethod::Get, "/dump") },
+    CommandSpec { name: "explain", arguments: &["MODEL"], help: "print why a model is where it is", operation: Operation::Call(HttpMethod::Get, "/explain?model={}") },
+    CommandSpec { name: "drain", arguments: &[], help: "shut the host that is asked down gracefully", operation: Operation::Call(HttpMethod::Post, "/drain") },
+    CommandSpec { name: "add", arguments: &["HOST", "INCARNATION"], help: "admit a host to the voters' log as a learner", operation: Operation::Call(HttpMethod::Post, "/members?change=add&host={}&incarnation={}") },
+    CommandSpec { name: "promote", arguments: &["HOST"], help: "make a learner a voter", operation: Operation::Call(HttpMethod::Post, "/members?change=promote&host={}") },
+    CommandSpec { name: "remove", arguments: &["HOST"], help: "remove a voter or learner", operation: Operation::Call(HttpMethod::Post, "/members?change=remove&host={}") },
+    CommandSpec { name: "replace", arguments: &["OLD", "HOST", "INCARNATION"], help: "replace a voter by a host and the life of its disk", operation: Operation::Call(HttpMethod::Post, "/members?change=replace&old={}&host={}&incarnation={}") },
+    CommandSpec { name: "dismiss", arguments: &["TARGET", "INCARNATION"], help: "attest that a target's machine no longer runs, which frees its memory", operation: Operation::Call(HttpMethod::Post, "/dismiss?target={}&incarnation={}") },
+    CommandSpec { name: "pardon", arguments: &["FINGERPRINT"], help: "let a quarantined request run again", operation: Operation::Call(HttpMethod::Post, "/pardon?fingerprint={}") },
 ];
 
 /// Runs one command and returns what it prints.
 ///
 /// # Errors
-/// The arguments are faulty, no host can be reached, or the system refused.
+/// The arguments are invalid, the host cannot be reached, or it refuses the request.
 pub async fn run(arguments: &[String]) -> Result<String, Error> {
     let options = options();
-    let matches = options.parse(arguments).context(OptionsSnafu)?;
+    let matches = options.parse(arguments).context(InvalidOptionsSnafu)?;
     if matches.opt_present("help") {
         return Ok(options.usage(&help()));
     }
     if matches.opt_present("version") {
         return Ok(concat!("cornelhitch ", env!("CARGO_PKG_VERSION"), "\n").to_owned());
     }
-    let (row, values) = row(&matches)?;
-    match row.job {
-        Job::Check => check(&values[0]),
-        Job::Apply => apply(&matches, &values[0]).await,
-        Job::Show => show(&matches).await,
-        Job::Page(method, path) => {
+    let (command, values) = parse_command(&matches)?;
+    match command.operation {
+        Operation::Check => check(&values[0]),
+        Operation::Apply => apply(&matches, &values[0]).await,
+        Operation::Show => show(&matches).await,
+        Operation::Call(method, path) => {
             let path = values
                 .iter()
                 .fold(path.to_owned(), |path, value| path.replacen("{}", value, 1));
             let method = match method {
-                Verb::Get => Method::GET,
-                Verb::Post => Method::POST,
+                HttpMethod::Get => Method::GET,
+                HttpMethod::Post => Method::POST,
             };
-            let answer = Remote::of(&matches)?.call(method, &path, None).await?;
-            Ok(pretty(&answer))
+            let answer = HostClient::from_options(&matches)?
+                .call(method, &path, None)
+                .await?;
+            Ok(pretty_json(&answer))
         }
     }
 }
 
-/// The options of all commands.
 fn options() -> Options {
     let mut options = Options::new();
     options.optopt(
@@ -197,48 +199,47 @@
     options
 }
 
-/// The text before the options in `--help`.
+/// Returns the usage text with the list of commands.
 fn help() -> String {
-    let lines = ROWS.iter().map(|row| {
-        let call = [&[row.name][..], row.arguments].concat().join(" ");
-        format!("\n    {call:36}{}", row.help)
+    let lines = COMMANDS.iter().map(|command| {
+        let synopsis = [&[command.name][..], command.arguments].concat().join(" ");
+        format!("\n    {synopsis:36}{}", command.help)
     });
     let lines: String = lines.collect();
-    format!("{BRIEF}{lines}")
+    format!("{USAGE}{lines}")
 }
 
-/// The row of the command, and its arguments.
-fn row(matches: &Matches) -> Result<(&'static Row, &[String]), Error> {
+/// Returns the command that the arguments name, and its arguments.
+fn parse_command(matches: &Matches) -> Result<(&'static CommandSpec, &[String]), Error> {
     let (name, values) = matches.free.split_first().context(UsageSnafu {
-        detail: "no command was named",
+        detail: "no command given",
     })?;
-    let row = ROWS.iter().find(|row| row.name == *name);
-    let row = row.context(UsageSnafu {
-        detail: format!("there is no command {name:?}"),
+    let command = COMMANDS.iter().find(|command| command.name == *name);
+    let command = command.context(UsageSnafu {
+        detail: format!("unknown command {name:?}"),
     })?;
-    let wanted = row.arguments;
+    let expected = command.arguments;
     ensure!(
-        values.len() == wanted.len(),
+        values.len() == expected.len(),
         UsageSnafu {
             detail: format!(
-                "{name} takes {}",
-                if wanted.is_empty() {
+                "{name} expects {}",
+                if expected.is_empty() {
                     "no arguments".to_owned()
                 } else {
-                    wanted.join(" ")
+                    expected.join(" ")
                 }
             )
         }
     );
-    Ok((row, values))
+    Ok((command, values))
 }
 
-/// Reads a file.
 fn read(path: &str) -> Result<String, Error> {
     std::fs::read_to_string(path).context(ReadSnafu { path })
 }
 
-/// Checks a fleet settings file.
+/// Validates a fleet settings file and returns a summary.
 fn check(path: &str) -> Result<String, Error> {
     let text = read(path)?;
     match text.parse::<Fleet>() {
@@ -251,64 +252,64 @@
         Err(error) => {
             let lines = error.faults.iter().map(|fault| format!("{path}:{fault}"));
             let text = lines.collect::<Vec<_>>().join("\n");
-            FaultySnafu { text }.fail()
+            InvalidSettingsSnafu { text }.fail()
         }
     }
 }
 
-/// Brings a fleet settings file in force.
+/// Submits a fleet settings file; with `--wait`, waits until it is in force on all hosts.
 async fn apply(matches: &Matches, path: &str) -> Result<String, Error> {
     check(path)?;
-    let remote = Remote::of(matches)?;
+    let host = HostClient::from_options(matches)?;
     let base = match matches.opt_str("base") {
         Some(base) => base.parse::<u64>().ok().context(UsageSnafu {
-            detail: format!("--base: {base:?} is no version"),
+            detail: format!("--base: {base:?} is not a version number"),
         })?,
-        None => remote.settings().await?["version"]
+        None => host.settings().await?["version"]
             .as_u64()
             .unwrap_or_default(),
     };
     let user = std::env::var("USER").unwrap_or_else(|_| "operator".to_owned());
     let operator = matches.opt_str("operator").unwrap_or(user);
-    let request = matches.opt_str("request").unwrap_or_else(fresh);
+    let request = matches.opt_str("request").unwrap_or_else(new_request_id);
     let body = json!({
         "operator": operator,
         "request": request,
         "base": base,
         "text": read(path)?,
     });
-    let verdict = remote.call(Method::POST, "/settings", Some(body)).await?;
-    let version = verdict["version"].as_u64().unwrap_or_default();
+    let accepted = host.call(Method::POST, "/settings", Some(body)).await?;
+    let version = accepted["version"].as_u64().unwrap_or_default();
     if !matches.opt_present("wait") {
         return Ok(format!("accepted as version {version}\n"));
     }
     let started = std::time::Instant::now();
     let path = format!("/in-force?version={version}");
-    while started.elapsed() < PATIENCE {
-        if remote.call(Method::GET, &path, None).await? == Value::Bool(true) {
+    while started.elapsed() < WAIT_TIMEOUT {
+        if host.call(Method::GET, &path, None).await? == Value::Bool(true) {
             let after = started.elapsed().as_millis();
             return Ok(format!(
                 "version {version} is in force everywhere after {after} ms\n"
             ));
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     RefusedSnafu {
         status: StatusCode::GATEWAY_TIMEOUT,
-        text: format!("version {version} is accepted and not yet in force everywhere"),
+        text: format!("version {version} is accepted but not yet in force everywhere"),
     }
     .fail()
 }
 
-/// Prints the settings in force.
+/// Returns the settings in force, after a line with their version.
 async fn show(matches: &Matches) -> Result<String, Error> {
-    let settings = Remote::of(matches)?.settings().await?;
+    let settings = HostClient::from_options(matches)?.settings().await?;
     let text = settings["text"].as_str().unwrap_or_default();
     Ok(format!("# version {}\n{text}", settings["version"]))
 }
 
-/// An id for a request that was given none.
-fn fresh() -> String {
+/// Generates a request id from the time and the process id.
+fn new_request_id() -> String {
     let now = std::time::SystemTime::now();
     let now = now
         .duration_since(std::time::UNIX_EPOCH)
@@ -316,26 +317,26 @@
     format!("{}-{}", now.as_nanos(), std::process::id())
 }
 
-/// A value as operators read it.
-fn pretty(value: &Value) -> String {
+/// Formats a response as indented JSON.
+fn pretty_json(value: &Value) -> String {
     let text = serde_json::to_string_pretty(value).unwrap_or_default();
     text + "\n"
 }
 
-/// A host, and what it is shown.
-struct Remote {
+/// Connection parameters for a host.
+struct HostClient {
     host: SocketAddr,
     token: String,
 }
 
-impl Remote {
-    /// The host that the options name.
-    fn of(matches: &Matches) -> Result<Self, Error> {
+impl HostClient {
+    /// Reads the host's address and the token file from the options.
+    fn from_options(matches: &Matches) -> Result<Self, Error> {
         let host = matches
             .opt_str("host")
             .unwrap_or_else(|| "127.0.0.1:7002".to_owned());
         let parsed = host.parse().ok().context(UsageSnafu {
-            detail: format!("--host: {host:?} is no IP address and port"),
+            detail: format!("--host: {host:?} is not an IP address with a port"),
         })?;
         let token = matches.opt_str("token").context(UsageSnafu {
             detail: "--token FILE is missing",
@@ -346,12 +347,12 @@
         })
     }
 
-    /// The settings in force.
+    /// Requests the settings in force and their version.
     async fn settings(&self) -> Result<Value, Error> {
         self.call(Method::GET, "/settings", None).await
     }
 
-    /// One call.
+    /// Sends one request and returns the response body, as a string if it is not JSON.
     async fn call(&self, method: Method, path: &str, body: Option<Value>) -> Result<Value, Error> {
         let host = self.host;
         let unreachable = |detail: String| Error::Unreachable { host, detail };
--- a/crates/cornelhitch/src/prelude.rs
+++ b/crates/cornelhitch/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for a glob import.
+//! Commonly used types, for glob imports.
 
 pub use cornelhitch_node::node::Node;
 pub use cornelhitch_node::socket::Sockets;
--- a/crates/cornelhitch/src/telemetry.rs
+++ b/crates/cornelhitch/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics of a process: exported over OTLP/HTTP, or written to the log.
+//! Export of a process's metrics: over OTLP/HTTP, or to the log.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 use opentelemetry_otlp::{ExporterBuildError, MetricExporter, WithExportConfig};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 
-/// Time between two lines of metrics in the log.
-const LINES: Duration = Duration::from_mins(1);
+/// Interval between log lines with metrics.
+const LOG_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Exports all metrics to an OTLP/HTTP endpoint, such as `http://HOST:4318/v1/metrics`.
+/// Starts to export all metrics to an OTLP/HTTP endpoint, such as `http://HOST:4318/v1/metrics`.
 ///
-/// The provider has to be kept, and shut down at the end.
+/// The caller must keep the returned provider and shut it down at exit.
 ///
 /// # Errors
-/// The endpoint cannot be read.
+/// The exporter cannot be built, for example because the endpoint is not a valid URL.
 pub fn export(endpoint: &str) -> Result<SdkMeterProvider, ExporterBuildError> {
     let exporter = MetricExporter::builder()
         .with_http()
@@ -27,10 +27,10 @@
     Ok(provider)
 }
 
-/// Writes the sums of all counters to the log, again and again.
-pub async fn lines(metrics: Metrics) {
+/// Logs the sums of all counters periodically; never returns.
+pub async fn log_metrics(metrics: Metrics) {
     loop {
-        tokio::time::sleep(LINES).await;
+        tokio::time::sleep(LOG_INTERVAL).await;
         let sums = serde_json::to_string(&metrics.sums()).unwrap_or_default();
         tracing::info!(sums, "metrics");
     }
--- a/crates/cornelhitch/tests/daemon.rs
+++ b/crates/cornelhitch/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon's arguments, and its end by an operator.
+//! The daemon's arguments, the operator command's arguments, and shutdown by an operator.
 
 use std::path::Path;
 
@@ -9,21 +9,22 @@
 use serde_json::Value;
 use tempfile::TempDir;
 
-/// How often an operator tries to reach the host.
-const TRIES: usize = 200;
+/// Attempts to reach the host before the test fails.
+const MAX_ATTEMPTS: usize = 200;
 
-/// Time after which the daemon counts as hanging: four times as long as callers keep an answer
-/// of `/v1/entries`. A daemon that hangs would else end, and pass, by a runner's own SIGTERM.
-const HANG: std::time::Duration = std::time::Duration::from_secs(40);
+/// Time-out for the daemon's shutdown: four times the default `max-age-ms`, for which callers may
+/// cache the response of `/v1/entries`. Without it, a daemon that hangs would be ended by the test
+/// runner's SIGTERM, and the test would pass.
+const SHUTDOWN_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(40);
 
-/// Writes a file of the folder.
+/// Writes a file into the folder and returns its path.
 fn write(folder: &Path, name: &str, text: &str) -> String {
     let path = folder.join(name);
     std::fs::write(&path, text).expect("a file");
     path.display().to_string()
 }
 
-/// Settings of one host on free ports.
+/// Returns settings of one host on free ports.
 fn settings(folder: &Path) -> String {
     let keys = write(folder, "keys", "a secret that all peers share");
     let token = write(folder, "token", TOKEN);
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn arguments_are_read_or_refused_with_their_place() {
+fn daemon_arguments_are_parsed_or_rejected_by_name() {
     let folder = TempDir::new().expect("a folder");
     let good = write(folder.path(), "good.yaml", &settings(folder.path()));
     let bad = settings(folder.path()).replace("region:", "regoin:");
@@ -68,26 +69,26 @@
     ];
     for (arguments, phrase) in rows {
         let arguments: Vec<String> = arguments.iter().map(ToString::to_string).collect();
-        let error = daemon::command(&arguments).expect_err(phrase);
+        let error = daemon::parse_arguments(&arguments).expect_err(phrase);
         assert_eq!(error.status(), 2, "{error}");
         assert!(error.to_string().contains(phrase), "{error}");
     }
     let arguments = ["--settings", &good, "--callers", "127.0.0.1:7"].map(str::to_owned);
-    let Ok(Command::Run(process)) = daemon::command(&arguments) else {
+    let Ok(Command::Run(process)) = daemon::parse_arguments(&arguments) else {
         panic!("the settings are good");
     };
     assert_eq!(process.callers.port(), 7);
 }
 
 #[test]
-fn what_operators_type_is_refused_with_its_place() {
+fn invalid_operator_commands_are_rejected_with_status_and_reason() {
     let folder = TempDir::new().expect("a folder");
     let faulty = write(folder.path(), "fleet.yaml", "modles: []\n");
     let token = write(folder.path(), "token", TOKEN);
     let rows: [(&[&str], u8, &str); 7] = [
-        (&[], 2, "no command was named"),
-        (&["shuffle"], 2, "there is no command \"shuffle\""),
-        (&["check"], 2, "check takes FILE"),
+        (&[], 2, "no command given"),
+        (&["shuffle"], 2, "unknown command \"shuffle\""),
+        (&["check"], 2, "check expects FILE"),
         (&["check", &faulty], 2, "fleet.yaml:1:1:"),
         (&["status"], 2, "--token FILE is missing"),
         (
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn an_operator_ends_the_daemon() {
+fn drain_request_ends_the_daemon() {
     let folder = TempDir::new().expect("a folder");
     let process: Process = settings(folder.path()).parse().expect("settings");
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
@@ -120,7 +121,7 @@
     runtime.block_on(async {
         let daemon = tokio::spawn(daemon::run(process));
         let mut answer = Value::Null;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             answer = operator::call(operators, "POST", "/drain", &Value::Null).await;
             if !answer.is_null() {
                 break;
@@ -128,7 +129,7 @@
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
         }
         assert_eq!(answer, "draining");
-        let ended = tokio::time::timeout(HANG, daemon).await;
+        let ended = tokio::time::timeout(SHUTDOWN_TIMEOUT, daemon).await;
         let ended = ended
             .expect("the drain ends the daemon")
             .expect("the task ends");
--- a/crates/cornelhitch/tests/output.rs
+++ b/crates/cornelhitch/tests/output.rs
@@ -1,4 +1,4 @@
-//! A daemon whose log nobody reads.
+//! Requests are served even if nobody reads the daemon's log output.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,14 +8,14 @@
 use cornelhitch_trial::cluster::{TOKEN, free_port};
 use tempfile::TempDir;
 
-/// How often the daemon is asked before it counts as hanging, and the pause between.
-const TRIES: usize = 100;
-const PAUSE: Duration = Duration::from_millis(100);
+/// Attempts to reach the daemon before the test fails, and the pause between them.
+const MAX_ATTEMPTS: usize = 100;
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Requests that fill any pipe: each is refused, which writes a line.
+/// Number of requests: enough to fill any pipe, since each refusal logs a line.
 const REQUESTS: usize = 1_000;
 
-/// Ends the daemon with the test.
+/// Kills the daemon at the end of the test.
 struct Daemon(Child);
 
 impl Drop for Daemon {
@@ -25,12 +25,12 @@
     }
 }
 
-/// Asks for a model that there is not; whether the host says so.
+/// Requests a model that does not exist; returns whether the host refuses the request.
 fn refuses(callers: SocketAddr) -> bool {
     let body = r#"{"model":"none","messages":[]}"#;
     let ask = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect(callers)?;
-        stream.set_read_timeout(Some(PAUSE * 20))?;
+        stream.set_read_timeout(Some(RETRY_INTERVAL * 20))?;
         let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: any\r\nconnection: close";
         let length = body.len();
         write!(stream, "{head}\r\ncontent-length: {length}\r\n\r\n{body}")?;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_up_no_request() {
+fn unread_log_output_does_not_block_requests() {
     let folder = TempDir::new().expect("a folder");
     let write = |name: &str, text: &str| {
         let path = folder.path().join(name);
@@ -76,8 +76,8 @@
         .spawn();
     let _daemon = Daemon(daemon.expect("the daemon"));
     let callers = SocketAddr::from(([127, 0, 0, 1], callers));
-    let started = (0..TRIES).any(|_| {
-        std::thread::sleep(PAUSE);
+    let started = (0..MAX_ATTEMPTS).any(|_| {
+        std::thread::sleep(RETRY_INTERVAL);
         refuses(callers)
     });
     assert!(started, "the daemon does not start");
