--- a/crates/cornelhitch/src/daemon.rs
+++ b/crates/cornelhitch/src/daemon.rs
@@ -57,7 +57,7 @@
         source: std::io::Error,
     },
     /// The settings file is invalid.
-    #[snafu(display("invalid settings in {}:\n{source}", path.display()))]
+    #[snafu(display("{}:\n{source}", path.display()))]
     InvalidSettings {
         /// Path of the settings file.
         path: PathBuf,
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -22,7 +22,7 @@
         faults: Vec::new(),
     };
     if let Some(map) = root.as_mapping() {
-        checker.map(map, schema);
+        checker.check_map(map, schema);
     }
     checker.faults
 }
@@ -41,10 +41,10 @@
     }
 
     /// Checks the keys of a map.
-    fn map(&mut self, map: &MarkedMappingNode, schema: &Schema) {
+    fn check_map(&mut self, map: &MarkedMappingNode, schema: &Schema) {
         for (name, value) in map.iter() {
             if let Some(key) = schema.key(name.as_str()) {
-                self.value(key.name, &key.value_type, value, name.span().into());
+                self.check_value(key.name, &key.value_type, value, name.span().into());
             } else {
                 let message = unknown_key(name.as_str(), schema);
                 self.report(name.span().into(), message);
@@ -58,11 +58,17 @@
     }
 
     /// Checks one value; an empty one is reported at `key_position`, the position of its key.
-    fn value(&mut self, name: &str, value_type: &ValueType, node: &Node, key_position: Position) {
+    fn check_value(
+        &mut self,
+        name: &str,
+        value_type: &ValueType,
+        node: &Node,
+        key_position: Position,
+    ) {
         match (value_type, node) {
-            (ValueType::Map(schema), Node::Mapping(map)) => self.map(map, schema),
+            (ValueType::Map(schema), Node::Mapping(map)) => self.check_map(map, schema),
             (ValueType::List(value_type), Node::Sequence(list)) => {
-                self.list(name, value_type, list);
+                self.check_list(name, value_type, list);
             }
             (ValueType::Map(_) | ValueType::List(_), Node::Scalar(scalar)) if is_null(scalar) => (),
             (_, Node::Scalar(scalar)) if is_null(scalar) => {
@@ -75,7 +81,7 @@
                 self.report(position(node), format!("`{name}` must be a list"));
             }
             (_, Node::Scalar(scalar)) => {
-                if let Some(message) = self.scalar(name, value_type, scalar) {
+                if let Some(message) = self.scalar_fault(name, value_type, scalar) {
                     self.report(position(node), message);
                 }
             }
@@ -91,10 +97,10 @@
     }
 
     /// Checks the items of a list, which must be distinct.
-    fn list(&mut self, name: &str, value_type: &ValueType, list: &MarkedSequenceNode) {
+    fn check_list(&mut self, name: &str, value_type: &ValueType, list: &MarkedSequenceNode) {
         let mut seen: Vec<&MarkedScalarNode> = Vec::new();
         for item in list.iter() {
-            self.value(name, value_type, item, position(item));
+            self.check_value(name, value_type, item, position(item));
             let named = item.as_scalar().or_else(|| scalar(item, "name"));
             let Some(named) = named else { continue };
             let before = seen.iter().find(|before| before.as_str() == named.as_str());
@@ -111,7 +117,7 @@
     }
 
     /// Returns the error message for an invalid scalar.
-    fn scalar(
+    fn scalar_fault(
         &self,
         name: &str,
         value_type: &ValueType,
@@ -138,7 +144,7 @@
                 (!is_valid)
                     .then(|| format!("`{name}` is {text:?}, not one of {}", choices.join(", ")))
             }
-            ValueType::Reference(list) => self.reference(name, list, text),
+            ValueType::Reference(list) => self.reference_fault(name, list, text),
             ValueType::Text(format) => {
                 format_fault(*format, text).map(|why| format!("`{name}` is {text:?}{why}"))
             }
@@ -147,7 +153,7 @@
     }
 
     /// Returns the error message for a reference to an item that does not exist.
-    fn reference(&self, name: &str, list: &str, text: &str) -> Option<String> {
+    fn reference_fault(&self, name: &str, list: &str, text: &str) -> Option<String> {
         let mut names = items(self.root, list).filter_map(|item| scalar(item, "name"));
         let known = names.clone().any(|known| known.as_str() == text);
         if known {
@@ -207,10 +213,10 @@
 /// Error message for a text that is not a path segment.
 const NOT_A_SEGMENT: &str = ", not a name of up to 128 ASCII letters, digits, `-`, `_` and `.`";
 
-/// Returns whether a text is a name, in which `/` is allowed if `slashes` is set.
-fn is_name(text: &str, slashes: bool) -> bool {
+/// Returns whether a text is a name, in which `/` is allowed if `allow_slashes` is set.
+fn is_name(text: &str, allow_slashes: bool) -> bool {
     let is_allowed =
-        |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c) || slashes && c == '/';
+        |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c) || allow_slashes && c == '/';
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(is_allowed)
 }
 
--- a/crates/settings/src/manual.rs
+++ b/crates/settings/src/manual.rs
@@ -68,28 +68,31 @@
 fn sections(schema: &Schema, defaults: &Value) -> String {
     let nested = schema.keys.iter().map(|key| match key.value_type {
         ValueType::Map(nested) => {
-            let table = table(nested, &defaults[key.name]);
+            let table = key_table(nested, &defaults[key.name]);
             format!("\n### `{}`\n{table}", key.name)
         }
         ValueType::List(ValueType::Map(nested)) => {
-            let table = table(nested, &defaults[key.name][0]);
+            let table = key_table(nested, &defaults[key.name][0]);
             format!("\n### `{}`: {} each\n{table}", key.name, nested.noun)
         }
         _ => String::new(),
     });
-    table(schema, defaults) + &nested.collect::<String>()
+    key_table(schema, defaults) + &nested.collect::<String>()
 }
 
 /// Returns the table of a schema's keys.
-fn table(schema: &Schema, defaults: &Value) -> String {
-    let rows = schema.keys.iter().map(|key| row(key, &defaults[key.name]));
+fn key_table(schema: &Schema, defaults: &Value) -> String {
+    let rows = schema
+        .keys
+        .iter()
+        .map(|key| key_row(key, &defaults[key.name]));
     let head = "\n| key | value | where it is left out | meaning |\n| --- | --- | --- | --- |\n";
     let rows: String = rows.collect();
     format!("{head}{rows}")
 }
 
 /// Returns the table row of a key.
-fn row(key: &Key, default: &Value) -> String {
+fn key_row(key: &Key, default: &Value) -> String {
     let default_text = match default {
         _ if key.required => "a fault".to_owned(),
         Value::Number(number) => number.to_string(),
@@ -100,7 +103,7 @@
         }
         _ => String::new(),
     };
-    let value = value(&key.value_type);
+    let value = describe_type(&key.value_type);
     format!(
         "| `{}` | {value} | {default_text} | {} |\n",
         key.name, key.help
@@ -108,23 +111,23 @@
 }
 
 /// Describes what a value must be.
-fn value(value_type: &ValueType) -> String {
+fn describe_type(value_type: &ValueType) -> String {
     match value_type {
         ValueType::Integer(min, u64::MAX) => format!("a whole number from {min}"),
         ValueType::Integer(min, max) => format!("a whole number from {min} to {max}"),
         ValueType::Number(min, max) => format!("a number from {min} to {max}"),
         ValueType::Bool => "`true` or `false`".to_owned(),
-        ValueType::Text(format) => format_text(*format).to_owned(),
+        ValueType::Text(format) => describe_format(*format).to_owned(),
         ValueType::Choice(choices) => format!("`{}`", choices.join("` or `")),
         ValueType::Reference(list) => format!("a name from `{list}`"),
         ValueType::Map(_) => "keys, see below".to_owned(),
         ValueType::List(ValueType::Map(_)) => "a list, see below".to_owned(),
-        ValueType::List(item) => format!("a list: {}", value(item)),
+        ValueType::List(item) => format!("a list: {}", describe_type(item)),
     }
 }
 
 /// Describes what a text must be.
-fn format_text(format: TextFormat) -> &'static str {
+fn describe_format(format: TextFormat) -> &'static str {
     match format {
         TextFormat::Sentence => "a sentence",
         TextFormat::Name => "a name of ASCII letters, digits, `-`, `_`, `.` and `/`",
--- a/crates/settings/src/print.rs
+++ b/crates/settings/src/print.rs
@@ -53,7 +53,7 @@
 fn flow_value(value: &Value) -> String {
     match value {
         Value::String(text) if is_plain(text) => text.clone(),
-        Value::String(text) => quoted(text),
+        Value::String(text) => double_quoted(text),
         Value::Array(list) => {
             let items: Vec<_> = list.iter().map(flow_value).collect();
             format!("[{}]", items.join(", "))
@@ -76,13 +76,13 @@
 }
 
 /// Puts a text in double quotes and escapes all but printable ASCII and alphanumeric characters.
-fn quoted(text: &str) -> String {
-    let inner: String = text.chars().map(escaped).collect();
+fn double_quoted(text: &str) -> String {
+    let inner: String = text.chars().map(escape_char).collect();
     format!("\"{inner}\"")
 }
 
 /// Escapes a character for double quotes.
-fn escaped(c: char) -> String {
+fn escape_char(c: char) -> String {
     match c {
         '"' | '\\' => format!("\\{c}"),
         ' '..='~' => c.to_string(),
