--- a/crates/cornelhitch/src/lib.rs
+++ b/crates/cornelhitch/src/lib.rs
@@ -1,4 +1,4 @@
-//! Serves rarely used models on a shared fleet of accelerators.
+//! A serving system for rarely used models.
 //!
 //! The parts of the system are libraries that can be embedded; each has a sans-I/O core. The two
 //! binaries, `cornelhitchd` and `cornelhitch`, are thin wrappers around [`daemon`] and
--- a/crates/cornelhitch/src/telemetry.rs
+++ b/crates/cornelhitch/src/telemetry.rs
@@ -14,7 +14,7 @@
 /// The caller must keep the returned provider and shut it down at exit.
 ///
 /// # Errors
-/// The exporter cannot be built, for example because the endpoint is not a valid URL.
+/// The endpoint is not valid.
 pub fn export(endpoint: &str) -> Result<SdkMeterProvider, ExporterBuildError> {
     let exporter = MetricExporter::builder()
         .with_http()
