--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -75,24 +75,18 @@
                 self.report(key_position, format!("`{name}` has no value"));
             }
             (ValueType::Map(_), _) => {
-                self.report(position(node), format!("`{name}` must be a map of keys"));
+                self.report(position(node), format!("`{name}` is no map of keys"));
             }
             (ValueType::List(_), _) => {
-                self.report(position(node), format!("`{name}` must be a list"));
+                self.report(position(node), format!("`{name}` is no list"));
             }
             (_, Node::Scalar(scalar)) => {
                 if let Some(message) = self.scalar_fault(name, value_type, scalar) {
                     self.report(position(node), message);
                 }
             }
-            (_, Node::Mapping(_)) => self.report(
-                position(node),
-                format!("`{name}` is a map, expected a single value"),
-            ),
-            (_, Node::Sequence(_)) => self.report(
-                position(node),
-                format!("`{name}` is a list, expected a single value"),
-            ),
+            (_, Node::Mapping(_)) => self.report(position(node), format!("`{name}` is a map")),
+            (_, Node::Sequence(_)) => self.report(position(node), format!("`{name}` is a list")),
         }
     }
 
@@ -107,7 +101,7 @@
             if let Some(before) = before {
                 let line = Position::from(before.span()).line;
                 let message = format!(
-                    "`{}` is listed in `{name}` twice, first on line {line}",
+                    "`{}` stands in `{name}` twice, first on line {line}",
                     &**named
                 );
                 self.report(named.span().into(), message);
@@ -178,7 +172,7 @@
 /// Returns the error message for a text of the wrong format.
 fn format_fault(format: TextFormat, text: &str) -> Option<String> {
     let (is_valid, expected) = match format {
-        TextFormat::Sentence => (!text.trim().is_empty(), ", which is blank"),
+        TextFormat::Sentence => (!text.trim().is_empty(), ", which says nothing"),
         TextFormat::Name => (is_name(text, true), NOT_A_NAME),
         TextFormat::Segment => (
             is_name(text, false) && !matches!(text, "." | ".."),
@@ -249,9 +243,9 @@
         format!("did you mean `{}`?", key.name)
     } else {
         let keys: Vec<_> = schema.keys.iter().map(|key| key.name).collect();
-        format!("expected one of {}", keys.join(", "))
+        format!("it has {}", keys.join(", "))
     };
-    format!("unknown key {name:?} in {}; {hint}", schema.noun)
+    format!("{} has no key {name:?}; {hint}", schema.noun)
 }
 
 /// Returns the Levenshtein distance between two texts, the second truncated to [`MAX_NAME_BYTES`]
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -148,10 +148,9 @@
         }
         self.has_content = true;
         if self.first_document_ended {
-            return Some("a second YAML document starts here, expected only one".to_owned());
+            return Some("a second document starts here, and one is read".to_owned());
         }
-        (self.depth > MAX_DEPTH)
-            .then(|| format!("lists and maps are nested more than {MAX_DEPTH} deep"))
+        (self.depth > MAX_DEPTH).then(|| format!("lists and maps lie more than {MAX_DEPTH} deep"))
     }
 }
 
@@ -165,20 +164,18 @@
 fn load_fault(error: &LoadError) -> Fault {
     match error {
         LoadError::TopLevelMustBeMapping(at) | LoadError::TopLevelMustBeSequence(at) => {
-            Position::from(at).fault("the file must be a map of keys and values")
+            Position::from(at).fault("the file is no map of keys and values")
         }
         LoadError::UnexpectedAnchor(at) => Position::from(at).fault("anchors are not allowed"),
         LoadError::UnexpectedTag(at) => Position::from(at).fault("tags are not allowed"),
-        LoadError::MappingKeyMustBeScalar(at) => {
-            Position::from(at).fault("keys must be plain scalars")
-        }
+        LoadError::MappingKeyMustBeScalar(at) => Position::from(at).fault("a key is no plain word"),
         LoadError::ScanError(at, error) => {
-            Position::from(at).fault(format!("invalid YAML: {}", error.info()))
+            Position::from(at).fault(format!("no YAML: {}", error.info()))
         }
         LoadError::DuplicateKey(keys) => {
             let first = Position::from(keys.prev_key.span());
             let message = format!(
-                "duplicate key `{}`, first on line {}",
+                "the key `{}` stands here again, after line {}",
                 keys.key.as_str(),
                 first.line
             );
--- a/crates/settings/src/fleet_constraints.rs
+++ b/crates/settings/src/fleet_constraints.rs
@@ -151,8 +151,7 @@
         };
         if self.defaults[MINIMUM_INDEX] > self.defaults[MAXIMUM_INDEX] {
             let [minimum, maximum, ..] = self.defaults;
-            let message =
-                format!("`minimum-s` is {minimum}, must not exceed `maximum-s` {maximum}");
+            let message = format!("`minimum-s` is {minimum}, over `maximum-s` {maximum}");
             faults.push(position_of_key("minimum-s").fault(message));
         }
         let is_zero = |key| {
@@ -160,8 +159,7 @@
             value == Some(0.0)
         };
         if is_zero("cold-start-weight") && is_zero("idle-weight") {
-            let message =
-                "`cold-start-weight` and `idle-weight` are both 0, at least one must be positive";
+            let message = "`cold-start-weight` and `idle-weight` are both 0, so nothing is weighed";
             faults.push(position_of_key("idle-weight").fault(message));
         }
         faults
@@ -172,15 +170,14 @@
         let mut faults = Vec::new();
         let mut fault = |position: Position, message: String| faults.push(position.fault(message));
         if exception.model.is_some() == exception.group.is_some() {
-            let message = "an exception must name either a `model` or a `group`";
+            let message = "an exception is for a `model` or for a `group`, one of the two";
             fault(exception.position, message.to_owned());
             return faults;
         }
         let covered: Vec<&Model> = self.models.iter().filter(|m| exception.covers(m)).collect();
         if covered.is_empty() {
             if let Some(group) = exception.group {
-                let message =
-                    format!("the group {group:?} has no models, so the exception has no effect");
+                let message = format!("no model is in the group {group:?}, so nothing is changed");
                 fault(exception.position, message);
             }
             return faults;
@@ -207,10 +204,7 @@
                 |other: &&Exception| other.has_same_scope(exception) && other.sets[i].is_some();
             let duplicate = earlier.iter().find(same)?;
             let line = duplicate.position_of(rule).line;
-            let message = format!(
-                "`{}` is already set on line {line} for the same models",
-                rule.key
-            );
+            let message = format!("`{}` is set on line {line} for the same", rule.key);
             Some(exception.position_of(rule).fault(message))
         });
         rules.collect()
@@ -227,7 +221,7 @@
             let position = exception.position_of(rule);
             if !rule.applies_to_unmanaged && !any_managed {
                 let message = format!(
-                    "`{}` has no effect, since cornelhitch does not load these models",
+                    "`{}` changes nothing, since cornelhitch does not load these models",
                     rule.key
                 );
                 faults.push(position.fault(message));
@@ -256,9 +250,8 @@
         let model = covered.iter().find(exceeds)?;
         let [minimum, maximum, ..] = self.values(model, None);
         let name = model.name;
-        let message = format!(
-            "for model {name:?} `minimum-s` becomes {minimum}, must not exceed `maximum-s` {maximum}"
-        );
+        let message =
+            format!("for {name:?} `minimum-s` becomes {minimum}, over `maximum-s` {maximum}");
         let rule = if sets[MINIMUM_INDEX].is_some() {
             MINIMUM_INDEX
         } else {
@@ -296,9 +289,9 @@
 fn no_effect_message(rule: &Rule, set: Option<u64>, without: Option<u64>) -> String {
     match set {
         Some(value) if set == without => {
-            format!("`{}` is already {value} without the exception", rule.key)
+            format!("`{}` is {value} without the exception too", rule.key)
         }
-        _ => format!("`{}` is overridden for each of these models", rule.key),
+        _ => format!("`{}` is overruled for each of these models", rule.key),
     }
 }
 
@@ -331,7 +324,7 @@
         return None;
     }
     let message = format!(
-        "`bytes` is {}, at most {max_bytes} fit on {accelerators} accelerators",
+        "`bytes` is {}, over {max_bytes} on {accelerators} accelerators",
         bytes.as_str()
     );
     Some(Position::from(bytes.span()).fault(message))
--- a/crates/settings/tests/fleet.rs
+++ b/crates/settings/tests/fleet.rs
@@ -12,55 +12,55 @@
 
 /// Settings on one line, and the complete error message.
 const ROWS: &str = r#"
-placing: { replica: 2 }                              => 1:12: unknown key "replica" in `placing`; did you mean `replicas`?
-colour: red                                          => 1:1: unknown key "colour" in the fleet's file; expected one of loading, keeping, placing, refusing, regions, classes, groups, models, services, exceptions
+placing: { replica: 2 }                              => 1:12: `placing` has no key "replica"; did you mean `replicas`?
+colour: red                                          => 1:1: the fleet's file has no key "colour"; it has loading, keeping, placing, refusing, regions, classes, groups, models, services, exceptions
 placing: { replicas: two }                           => 1:22: `replicas` is "two", not a whole number from 1 to 100000
 placing: { replicas: "2" }                           => 1:22: `replicas` is "2", not a whole number from 1 to 100000
 placing: { replicas: 0 }                             => 1:22: `replicas` is "0", not a whole number from 1 to 100000
 placing: { replicas: -1 }                            => 1:22: `replicas` is "-1", not a whole number from 1 to 100000
 placing: { replicas: 1.5 }                           => 1:22: `replicas` is "1.5", not a whole number from 1 to 100000
-placing: { replicas: [2] }                           => 1:22: `replicas` is a list, expected a single value
-placing: { replicas: { of: 2 } }                     => 1:22: `replicas` is a map, expected a single value
+placing: { replicas: [2] }                           => 1:22: `replicas` is a list
+placing: { replicas: { of: 2 } }                     => 1:22: `replicas` is a map
 placing: { spread: yes }                             => 1:20: `spread` is "yes", not true or false
-placing: 3                                           => 1:10: `placing` must be a map of keys
-placing: { replicas: 2, replicas: 3 }                => 1:25: duplicate key `replicas`, first on line 1
+placing: 3                                           => 1:10: `placing` is no map of keys
+placing: { replicas: 2, replicas: 3 }                => 1:25: the key `replicas` stands here again, after line 1
 keeping: { idle-weight: -0.5 }                       => 1:25: `idle-weight` is "-0.5", not a number from 0 to 1000000
 keeping: { idle-weight: NaN }                        => 1:25: `idle-weight` is "NaN", not a number from 0 to 1000000
-keeping: { idle-weight: 0, cold-start-weight: 0.0 }  => 1:25: `cold-start-weight` and `idle-weight` are both 0, at least one must be positive
-keeping: { minimum-s: 9000 }                         => 1:23: `minimum-s` is 9000, must not exceed `maximum-s` 7200
-keeping: { maximum-s: 3 }                            => 1:10: `minimum-s` is 5, must not exceed `maximum-s` 3
+keeping: { idle-weight: 0, cold-start-weight: 0.0 }  => 1:25: `cold-start-weight` and `idle-weight` are both 0, so nothing is weighed
+keeping: { minimum-s: 9000 }                         => 1:23: `minimum-s` is 9000, over `maximum-s` 7200
+keeping: { maximum-s: 3 }                            => 1:10: `minimum-s` is 5, over `maximum-s` 3
 loading: { starts-per-second: 0 }                    => 1:31: `starts-per-second` is "0", not a number from 0.001 to 100000
 loading: { starts-per-second: ~ }                    => 1:12: `starts-per-second` has no value
 refusing: { queue: 0 }                               => 1:20: `queue` is "0", not a whole number from 1 to 10000000
-regions: perth-a                                     => 1:10: `regions` must be a list
-regions: [perth-a]                                   => 1:11: `regions` must be a map of keys
+regions: perth-a                                     => 1:10: `regions` is no list
+regions: [perth-a]                                   => 1:11: `regions` is no map of keys
 regions: [{ name: "perth a" }]                       => 1:19: `name` is "perth a", not a name of up to 128 ASCII letters, digits, `-`, `_`, `.` and `/`
-regions: [{ name: a }, { name: b }, { name: a }]     => 1:45: `a` is listed in `regions` twice, first on line 1
+regions: [{ name: a }, { name: b }, { name: a }]     => 1:45: `a` stands in `regions` twice, first on line 1
 classes: [{ name: lane }]                            => 1:11: a class has no `weight`
 classes: [{ name: lane, weight: -1 }]                => 1:33: `weight` is "-1", not a whole number from 1 to 1000000
 models: [{ name: m }]                                => 1:10: a model has no `bytes`
 models: [{ name: m, bytes: 0 }]                      => 1:28: `bytes` is "0", not a whole number from 1 to 17592186044416
-models: [{ name: m, bytes: 2199023255552 }]          => 1:28: `bytes` is 2199023255552, at most 1099511627776 fit on 1 accelerators
+models: [{ name: m, bytes: 2199023255552 }]          => 1:28: `bytes` is 2199023255552, over 1099511627776 on 1 accelerators
 models: [{ name: m, bytes: 1, group: g }]            => 1:38: `group` is "g", which is not in `groups`
 models: [{ name: m, bytes: 1, class: "" }]           => 1:38: `class` is "", which is not in `classes`
-models: [{ name: m, bytes: 1, adapters: [a, a] }]    => 1:45: `a` is listed in `adapters` twice, first on line 1
+models: [{ name: m, bytes: 1, adapters: [a, a] }]    => 1:45: `a` stands in `adapters` twice, first on line 1
 models: [{ name: m@1, bytes: 1 }]                    => 1:18: `name` is "m@1", not a name of up to 128 ASCII letters, digits, `-`, `_`, `.` and `/`
 services: [{ name: a/b }]                            => 1:20: `name` is "a/b", not a name of up to 128 ASCII letters, digits, `-`, `_` and `.`
 services: [{ name: .. }]                             => 1:20: `name` is "..", not a name of up to 128 ASCII letters, digits, `-`, `_` and `.`
 services: [{ name: a, repeatable: [get] }]           => 1:36: `repeatable` is "get", not an HTTP method in capitals
-exceptions: [{ reason: r, replicas: 2 }]             => 1:14: an exception must name either a `model` or a `group`
+exceptions: [{ reason: r, replicas: 2 }]             => 1:14: an exception is for a `model` or for a `group`, one of the two
 exceptions: [{ reason: r, model: m, replicas: 2 }]   => 1:34: `model` is "m", which is not in `models`
-[]                                                   => 1:1: the file must be a map of keys and values
-just text                                            => 1:1: the file must be a map of keys and values
+[]                                                   => 1:1: the file is no map of keys and values
+just text                                            => 1:1: the file is no map of keys and values
 a: &x 1                                              => 1:7: anchors are not allowed
 a: !!str 1                                           => 1:10: tags are not allowed
-{ a: 1                                               => 2:1: invalid YAML: while parsing a flow mapping, did not find expected ',' or '}'
-[[[[[[[[[[[[[[[[[[[[                                 => 1:17: lists and maps are nested more than 16 deep
-- - - - - - - - - - - - - - - - - - a                => 1:33: lists and maps are nested more than 16 deep
+{ a: 1                                               => 2:1: no YAML: while parsing a flow mapping, did not find expected ',' or '}'
+[[[[[[[[[[[[[[[[[[[[                                 => 1:17: lists and maps lie more than 16 deep
+- - - - - - - - - - - - - - - - - - a                => 1:33: lists and maps lie more than 16 deep
 ---\nplacing: { spread: true }                          => none
 --- {}\n...\n                                         => none
-placing: {}\n---\nkeeping: {}                          => 2:1: a second YAML document starts here, expected only one
-placing: {}\n...\nkeeping: {}                          => 3:8: a second YAML document starts here, expected only one
+placing: {}\n---\nkeeping: {}                          => 2:1: a second document starts here, and one is read
+placing: {}\n...\nkeeping: {}                          => 3:8: a second document starts here, and one is read
 "#;
 
 #[test]
@@ -93,11 +93,11 @@
     ),
     (
         "- { reason: ' ', model: report, replicas: 2 }",
-        "8:13: `reason` is \" \", which is blank",
+        "8:13: `reason` is \" \", which says nothing",
     ),
     (
         "- { reason: r, model: report, group: yard, replicas: 2 }",
-        "8:3: an exception must name either a `model` or a `group`",
+        "8:3: an exception is for a `model` or for a `group`, one of the two",
     ),
     (
         "- { reason: r, model: repotr, replicas: 2 }",
@@ -109,19 +109,19 @@
     ),
     (
         "- { reason: r, model: report, replicas: 4 }",
-        "8:41: `replicas` is already 4 without the exception",
+        "8:41: `replicas` is 4 without the exception too",
     ),
     (
         "- { reason: r, group: none, replicas: 2 }",
-        "8:3: the group \"none\" has no models, so the exception has no effect",
+        "8:3: no model is in the group \"none\", so nothing is changed",
     ),
     (
         "- { reason: r, group: old, replicas: 2 }",
-        "8:38: `replicas` has no effect, since cornelhitch does not load these models",
+        "8:38: `replicas` changes nothing, since cornelhitch does not load these models",
     ),
     (
         "- { reason: r, model: report, minimum-s: 9000 }",
-        "8:42: for model \"report\" `minimum-s` becomes 9000, must not exceed `maximum-s` 7200",
+        "8:42: for \"report\" `minimum-s` becomes 9000, over `maximum-s` 7200",
     ),
     (
         "- { reason: r, model: report, replicas: 2 }\n- { reason: r, group: yard, replicas: 3 }",
@@ -129,21 +129,21 @@
     ),
     (
         "- { reason: r, model: legacy, concurrency: 2 }\n- { reason: r, group: old, concurrency: 3 }",
-        "9:41: `concurrency` is overridden for each of these models",
+        "9:41: `concurrency` is overruled for each of these models",
     ),
     (
         "- { reason: r, group: yard, replicas: 2 }\n- { reason: r, model: report, replicas: 2 }",
-        "9:41: `replicas` is already 2 without the exception",
+        "9:41: `replicas` is 2 without the exception too",
     ),
     (
         "- { reason: r, model: report, replicas: 2 }\n- { reason: r, model: report, replicas: 3 }",
-        "8:41: `replicas` is overridden for each of these models\n\
-         9:41: `replicas` is already set on line 8 for the same models",
+        "8:41: `replicas` is overruled for each of these models\n\
+         9:41: `replicas` is set on line 8 for the same",
     ),
     (
         "- { reason: r, group: yard, maximum-s: 60 }\n- { reason: r, model: report, minimum-s: 90 }",
-        "8:40: for model \"report\" `minimum-s` becomes 90, must not exceed `maximum-s` 60\n\
-         9:42: for model \"report\" `minimum-s` becomes 90, must not exceed `maximum-s` 60",
+        "8:40: for \"report\" `minimum-s` becomes 90, over `maximum-s` 60\n\
+         9:42: for \"report\" `minimum-s` becomes 90, over `maximum-s` 60",
     ),
 ];
 
@@ -183,13 +183,13 @@
 ";
     let expected = expect![[r#"
         3:22: `starts-per-second` is "fast", not a number from 0.001 to 100000
-        4:3: unknown key "concurency" in `loading`; did you mean `concurrency`?
+        4:3: `loading` has no key "concurency"; did you mean `concurrency`?
         6:13: `replicas` is "0", not a whole number from 1 to 100000
-        10:11: `lane` is listed in `classes` twice, first on line 8
+        10:11: `lane` stands in `classes` twice, first on line 8
         15:12: `class` is "lanes", which is not in `classes`; did you mean "lane"?
         16:12: `group` is "yard", which is not in `groups`
         17:5: a model has no `name`
         19:5: an exception has no `reason`
-        23:16: for model "report" `minimum-s` becomes 7201, must not exceed `maximum-s` 7200"#]];
+        23:16: for "report" `minimum-s` becomes 7201, over `maximum-s` 7200"#]];
     expected.assert_eq(&faults(text));
 }
--- a/crates/settings/tests/process.rs
+++ b/crates/settings/tests/process.rs
@@ -26,11 +26,11 @@
 const ROWS: &str = r#"
 host: 1                         |                                  | 1:1: the process's file has no `host`
 host: 1                         | host: one                        | 2:7: `host` is "one", not a whole number from 0 to 18446744073709551615
-host: 1                         | hots: 1                          | 1:1: the process's file has no `host` // 2:1: unknown key "hots" in the process's file; did you mean `host`?
+host: 1                         | hots: 1                          | 1:1: the process's file has no `host` // 2:1: the process's file has no key "hots"; did you mean `host`?
 cluster: co-op                  | cluster: "co op"                 | 1:10: `cluster` is "co op", not a name of up to 128 ASCII letters, digits, `-`, `_`, `.` and `/`
 roles: [entry, control]         | roles: []                        | 5:8: `roles` is empty, expected at least one role
 roles: [entry, control]         | roles: [entry, voter]            | 5:16: `roles` is "voter", not one of entry, control
-roles: [entry, control]         | roles: [entry, entry, control]   | 5:16: `entry` is listed in `roles` twice, first on line 5
+roles: [entry, control]         | roles: [entry, entry, control]   | 5:16: `entry` stands in `roles` twice, first on line 5
 callers: 10.1.0.1:8080          | callers: perth                   | 6:10: `callers` is "perth", not an IP address with a port
 callers: 10.1.0.1:8080          | callers: 10.1.0.1:8081           | 7:12: 10.1.0.1:8081 is configured as a listen address twice, first on line 6
 callers: 10.1.0.1:8080          | callers: 10.1.0.1:80808          | 6:10: `callers` is "10.1.0.1:80808", not an IP address with a port
--- a/crates/types/src/model.rs
+++ b/crates/types/src/model.rs
@@ -37,13 +37,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// The string is longer than [`MAX_REFERENCE_BYTES`].
-    #[snafu(display("model name has {length} bytes, at most {MAX_REFERENCE_BYTES} are allowed"))]
+    #[snafu(display("a model name has {length} bytes, at most {MAX_REFERENCE_BYTES} are allowed"))]
     TooLong {
         /// Length of the string in bytes.
         length: usize,
     },
     /// A part is empty.
-    #[snafu(display("{part} is empty in model name {text:?}"))]
+    #[snafu(display("the {part} in the model name {text:?} is empty"))]
     Empty {
         /// The name of the part: model, version or adapter.
         part: &'static str,
@@ -51,7 +51,7 @@
         text: String,
     },
     /// A part contains a character that is not allowed.
-    #[snafu(display("{part} in model name {text:?} contains {found:?}, which is not allowed"))]
+    #[snafu(display("the {part} in the model name {text:?} has the character {found:?}"))]
     InvalidCharacter {
         /// The name of the part: model, version or adapter.
         part: &'static str,
--- a/crates/types/src/route.rs
+++ b/crates/types/src/route.rs
@@ -173,17 +173,14 @@
         let mut services = BTreeSet::new();
         for service in &self.services {
             if !services.insert(&service.name) {
-                faults.push(new_fault(
-                    &service.name,
-                    "another service has the same name",
-                ));
+                faults.push(new_fault(&service.name, "two services have this name"));
             }
         }
         for route in &self.routes {
             if !prefixes.insert((&route.host, &route.prefix)) {
                 faults.push(new_fault(
                     &route.name,
-                    "another route has the same host and prefix",
+                    "another route has this host and prefix",
                 ));
             }
             if route
@@ -193,7 +190,7 @@
             {
                 faults.push(new_fault(
                     &route.name,
-                    "a split names a service that is not in the table",
+                    "it leads to a service that is not listed",
                 ));
             }
             faults.extend(route.first_fault());
@@ -220,18 +217,13 @@
         let weights = self.splits.iter().map(|split| u64::from(split.weight));
         let has_slashes = self.prefix.starts_with('/') && self.prefix.ends_with('/');
         if weights.sum::<u64>() == 0 {
-            return Some(new_fault(
-                &self.name,
-                "the weights of the splits add up to 0",
-            ));
+            return Some(new_fault(&self.name, "its weights add up to 0"));
         }
         if self.timeout.is_zero() {
-            return Some(new_fault(
-                &self.name,
-                "timeout is 0, expected a positive duration",
-            ));
+            return Some(new_fault(&self.name, "its timeout is 0"));
         }
-        (!has_slashes).then(|| new_fault(&self.name, "prefix does not begin and end with a slash"))
+        (!has_slashes)
+            .then(|| new_fault(&self.name, "its prefix does not begin and end with a slash"))
     }
 
     /// Selects a service by weight for a random `draw` in `[0, 1)`; `None` if no service has a
--- a/crates/types/tests/route.rs
+++ b/crates/types/tests/route.rs
@@ -82,14 +82,14 @@
 #[rustfmt::skip]
 fn invalid_route_is_reported_by_name() {
     assert_eq!(first_fault(|_| ()), None);
-    let weights = Some("r: the weights of the splits add up to 0".to_owned());
+    let weights = Some("r: its weights add up to 0".to_owned());
     assert_eq!(first_fault(|it| it.splits.clear()), weights);
     assert_eq!(first_fault(|it| it.splits = vec![split("s", 0)]), weights);
-    assert_eq!(first_fault(|it| it.splits = vec![split("u", 1)]).as_deref(), Some("r: a split names a service that is not in the table"));
-    assert_eq!(first_fault(|it| it.timeout = Duration::ZERO).as_deref(), Some("r: timeout is 0, expected a positive duration"));
+    assert_eq!(first_fault(|it| it.splits = vec![split("u", 1)]).as_deref(), Some("r: it leads to a service that is not listed"));
+    assert_eq!(first_fault(|it| it.timeout = Duration::ZERO).as_deref(), Some("r: its timeout is 0"));
     for prefix in ["p/", "/p", ""] {
         let found = first_fault(|it| it.prefix = prefix.into());
-        assert_eq!(found.as_deref(), Some("r: prefix does not begin and end with a slash"), "{prefix}");
+        assert_eq!(found.as_deref(), Some("r: its prefix does not begin and end with a slash"), "{prefix}");
     }
 }
 
@@ -98,13 +98,13 @@
     let twice = table(vec![route("a", "h", "/p/"), route("b", "h", "/p/")]);
     assert_eq!(
         twice.faults()[0].to_string(),
-        "b: another route has the same host and prefix"
+        "b: another route has this host and prefix"
     );
     let mut same = table(vec![route("a", "h", "/p/")]);
     same.services.push(same.services[0].clone());
     assert_eq!(
         same.faults()[0].to_string(),
-        "s: another service has the same name"
+        "s: two services have this name"
     );
 }
 
