--- a/crates/settings/tests/fleet.rs
+++ b/crates/settings/tests/fleet.rs
@@ -1,16 +1,16 @@
-//! Faults of the fleet's settings: each has its place, and all are told at once.
+//! Errors in fleet settings: each has its position, and all are reported at once.
 
 use cornelhitch_settings::fleet::Fleet;
 use cornelhitch_settings::prelude::Error;
 use expect_test::expect;
 
-/// What is wrong with a text.
+/// Returns the error message for a text, or "none" if it is valid.
 fn faults(text: &str) -> String {
     let fleet: Result<Fleet, Error> = text.parse();
     fleet.map_or_else(|error| error.to_string(), |_| "none".to_owned())
 }
 
-/// Settings with one fault each, on one line, and the whole of what is said.
+/// Settings on one line, and the complete error message.
 const ROWS: &str = r#"
 placing: { replica: 2 }                              => 1:12: `placing` has no key "replica"; did you mean `replicas`?
 colour: red                                          => 1:1: the fleet's file has no key "colour"; it has loading, keeping, placing, refusing, regions, classes, groups, models, services, exceptions
@@ -64,7 +64,7 @@
 "#;
 
 #[test]
-fn each_fault_has_its_place() {
+fn each_fault_is_reported_with_its_position() {
     for row in ROWS.trim().lines() {
         let (text, expected) = row.split_once("=>").expect("a row");
         let lines = text.trim_end().replace("\\n", "\n");
@@ -72,7 +72,7 @@
     }
 }
 
-/// What stands before the exceptions of a row.
+/// Settings in front of the exceptions of each row.
 const CATALOGUE: &str = "
 groups: [{ name: yard }, { name: old, managed: false }, { name: none }]
 models:
@@ -82,7 +82,7 @@
 exceptions:
 ";
 
-/// Exceptions on lines 8 and on, and what is said of them without the line.
+/// Exceptions, the first on line 8, and the complete error message.
 const EXCEPTIONS: [(&str, &str); 17] = [
     ("- { reason: r, model: report, replicas: 2 }", "none"),
     ("- { reason: r, group: yard, minimum-s: 60 }", "none"),
@@ -148,7 +148,7 @@
 ];
 
 #[test]
-fn an_exception_has_a_reason_and_an_effect() {
+fn exception_needs_a_reason_and_an_effect() {
     for (text, expected) in EXCEPTIONS {
         let found = faults(&format!("{CATALOGUE}{text}"));
         assert_eq!(found, expected, "{text}");
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once_and_in_order() {
+fn all_faults_are_reported_at_once_and_in_order() {
     let text = "
 loading:
   starts-per-second: fast
