--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -16,14 +16,14 @@
 use cornelhitch_control::input::Input;
 use cornelhitch_control::leader::Leader;
 use cornelhitch_control::state::State;
-use cornelhitch_quorum::action::{self, Action, Reason};
+use cornelhitch_quorum::action::{self, Action, RejectReason};
 use cornelhitch_quorum::core::Core;
-use cornelhitch_quorum::disk::{Done, Writer};
+use cornelhitch_quorum::disk::{WriteResult, Writer};
 use cornelhitch_quorum::event::Event;
 use cornelhitch_quorum::id::RequestId;
 use cornelhitch_quorum::log::Snapshot;
+use cornelhitch_quorum::membership_policy::{JoinRequests, MembershipPolicy};
 use cornelhitch_quorum::status::Role;
-use cornelhitch_quorum::steward::{Joiners, Steward};
 use cornelhitch_settings::process;
 use cornelhitch_target::client::Client;
 use cornelhitch_target::inbound;
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub enum TaskMessage {
     /// The disk writer has finished a batch, successfully or not.
-    Written(Done),
+    Written(WriteResult),
     /// The outcome of an order that was sent to a worker.
     Order(Order, Outcome),
     /// The result of asking a worker about its orders.
@@ -103,7 +103,7 @@
     /// Where this host takes messages from targets and operators.
     pub registry: Option<SocketAddr>,
     /// Decides on membership changes, where hosts come and go without an operator.
-    pub steward: Option<Steward>,
+    pub membership_policy: Option<MembershipPolicy>,
     /// Cancelled when the process stops.
     pub stop: CancellationToken,
     /// The instant from which the log's core measures time.
@@ -175,7 +175,7 @@
     /// The index of the last entry applied to the state.
     applied: u64,
     /// Hosts that have asked to join.
-    joiners: Joiners,
+    join_requests: JoinRequests,
     /// When membership was last checked.
     last_membership_check: Instant,
 }
@@ -207,7 +207,7 @@
         next: 1,
         lease,
         applied: 0,
-        joiners: Joiners::default(),
+        join_requests: JoinRequests::default(),
         last_membership_check: Instant::now(),
         setup,
     };
@@ -330,8 +330,8 @@
             }
             Action::Rejected { id, reason, leader } => self.rejected(id, reason, leader),
             Action::BarrierDone { id } => self.barrier_done(id),
-            Action::Changed { id } => self.membership_changed(id),
-            Action::Joining(peer) => self.admit(peer),
+            Action::MembershipChanged { id } => self.membership_changed(id),
+            Action::JoinRequested(peer) => self.admit(peer),
             Action::Role { role, term, leader } => self.role_changed(role, term, leader),
         }
     }
@@ -419,7 +419,7 @@
     }
 
     /// Handles a request that the log's core rejected.
-    fn rejected(&mut self, id: RequestId, reason: Reason, leader: Option<HostId>) {
+    fn rejected(&mut self, id: RequestId, reason: RejectReason, leader: Option<HostId>) {
         let Some(waiting) = self.waiters.remove(&id) else {
             return;
         };
@@ -427,7 +427,7 @@
         match waiting {
             // The host retries, here or at the leader; retries are idempotent.
             Waiter::Host { host, call } => {
-                if matches!(reason, Reason::NotLeader | Reason::Superseded) {
+                if matches!(reason, RejectReason::NotLeader | RejectReason::Superseded) {
                     self.send_not_leader(host, Some(call), leader);
                 }
             }
--- a/crates/node/src/control/members.rs
+++ b/crates/node/src/control/members.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cornelhitch_quorum::event::{Change, Event};
+use cornelhitch_quorum::event::{Event, MembershipChange};
 use cornelhitch_quorum::id::RequestId;
 use cornelhitch_settings::process;
 use cornelhitch_types::id::{HostId, Incarnation};
@@ -16,9 +16,9 @@
 const MEMBERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Control {
-    /// Starts the next membership change if the steward finds one due.
+    /// Starts the next membership change if the membership policy finds one due.
     pub(super) fn adjust_membership(&mut self) {
-        let Some(steward) = self.setup.steward else {
+        let Some(membership_policy) = self.setup.membership_policy else {
             return;
         };
         if self.last_membership_check.elapsed() < MEMBERSHIP_CHECK_INTERVAL {
@@ -30,15 +30,15 @@
             let member = status.members.get(id);
             member.is_some_and(|member| member.incarnation == *incarnation)
         };
-        self.joiners
+        self.join_requests
             .retain(|id, incarnation| !joined(id, incarnation));
-        if let Some(change) = steward.next(&status, &self.joiners) {
+        if let Some(change) = membership_policy.next_change(&status, &self.join_requests) {
             tracing::info!(
-                ?change, silent = ?status.silent,
+                ?change, silent = ?status.unresponsive_for,
                 "starting an automatic membership change"
             );
             let id = self.register_waiter(Waiter::Leader);
-            self.quorum_event(Event::Change { id, change });
+            self.quorum_event(Event::ChangeMembership { id, change });
         }
     }
 
@@ -77,9 +77,9 @@
     }
 
     /// Starts a membership change for a host's call.
-    pub(crate) fn change_members(&mut self, change: Change, host: HostId, call: u64) {
+    pub(crate) fn change_members(&mut self, change: MembershipChange, host: HostId, call: u64) {
         let id = self.register_waiter(Waiter::Members { host, call });
-        self.quorum_event(Event::Change { id, change });
+        self.quorum_event(Event::ChangeMembership { id, change });
     }
 
     /// Handles a completed membership change.
@@ -90,8 +90,8 @@
             }
             Some(Waiter::Learner(member)) => {
                 let id = self.register_waiter(Waiter::Leader);
-                let change = Change::Promote(member);
-                self.quorum_event(Event::Change { id, change });
+                let change = MembershipChange::Promote(member);
+                self.quorum_event(Event::ChangeMembership { id, change });
             }
             _ => {}
         }
@@ -99,13 +99,13 @@
 
     /// Handles a host that asks to join.
     ///
-    /// Without a steward, only voters named in the settings are admitted, and any other host has to
-    /// be named by an operator as the replacement of a voter. A host that is known under another
+    /// Without a membership policy, only voters named in the settings are admitted, and any other
+    /// host has to be named by an operator as the replacement of a voter. A host that is known under another
     /// incarnation of its disk is not admitted: an operator has to replace it, since the votes it
     /// gave before are lost.
     pub(super) fn admit(&mut self, peer: cornelhitch_quorum::id::Peer) {
-        if self.setup.steward.is_some() {
-            self.joiners.insert(peer.id, peer.incarnation);
+        if self.setup.membership_policy.is_some() {
+            self.join_requests.insert(peer.id, peer.incarnation);
             return;
         }
         if !self.setup.voters.contains(&peer.id) {
@@ -116,7 +116,7 @@
             return;
         }
         let id = self.register_waiter(Waiter::Learner(peer.id));
-        let change = Change::Add(peer);
-        self.quorum_event(Event::Change { id, change });
+        let change = MembershipChange::Add(peer);
+        self.quorum_event(Event::ChangeMembership { id, change });
     }
 }
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -12,8 +12,8 @@
 use cornelhitch_entry::core::Core;
 use cornelhitch_planner::policy::Policy;
 use cornelhitch_quorum as quorum;
-use cornelhitch_quorum::disk::{Disk, Owner, Writer};
-use cornelhitch_quorum::steward::Steward;
+use cornelhitch_quorum::disk::{DiskStore, ExpectedIdentity, Writer};
+use cornelhitch_quorum::membership_policy::MembershipPolicy;
 use cornelhitch_quorum::store::Store;
 use cornelhitch_settings::fleet::Fleet;
 use cornelhitch_settings::process::{Process, Role};
@@ -167,9 +167,9 @@
         incoming: mpsc::UnboundedReceiver<Incoming>,
     ) -> Result<(mpsc::UnboundedSender<TaskMessage>, JoinHandle<()>), Error> {
         let folder = self.process.data.clone().context(DataSnafu)?;
-        let disk = Disk::open(
+        let disk = DiskStore::open(
             folder,
-            Owner {
+            ExpectedIdentity {
                 cluster: cluster(&self.process.cluster),
                 group: 0,
                 member: self.process.host,
@@ -209,9 +209,9 @@
             metrics: self.metrics.clone(),
             initial_settings: self.initial_settings()?,
             registry: self.process.registry,
-            steward: seeded.then(|| Steward {
-                voters: 2 * self.process.losses as usize + 1,
-                ..Steward::default()
+            membership_policy: seeded.then(|| MembershipPolicy {
+                target_voters: 2 * self.process.losses as usize + 1,
+                ..MembershipPolicy::default()
             }),
             stop: self.stop.clone(),
             epoch: self.epoch,
@@ -226,13 +226,13 @@
         let seeded = !self.process.seeds.is_empty();
         let mut config = quorum::config::Config {
             peers: voters.iter().copied().filter(|peer| *peer != me).collect(),
-            founder: voters.iter().min() == Some(&me) && (!seeded || self.process.bootstrap),
+            may_bootstrap: voters.iter().min() == Some(&me) && (!seeded || self.process.bootstrap),
             lease_reads: !seeded,
             ..quorum::config::Config::default()
         };
         if seeded {
-            config.election = ELECTION_TIMEOUT;
-            config.heartbeat = HEARTBEAT_INTERVAL;
+            config.election_timeout = ELECTION_TIMEOUT;
+            config.heartbeat_interval = HEARTBEAT_INTERVAL;
         }
         config
     }
--- a/crates/node/src/upward.rs
+++ b/crates/node/src/upward.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use cornelhitch_control::command::Command;
 use cornelhitch_control::input::Input;
-use cornelhitch_quorum::event::Change;
+use cornelhitch_quorum::event::MembershipChange;
 use cornelhitch_quorum::id::Peer as Member;
 use cornelhitch_types::entry::Host;
 use cornelhitch_types::id::HostId;
@@ -115,10 +115,10 @@
     /// Starts the membership change that an operator asks for.
     fn operator_change(&mut self, host: HostId, call: u64, membership: &Membership) {
         let change = match *membership {
-            Membership::Add(peer) => Change::Add(member(peer)),
-            Membership::Promote(id) => Change::Promote(id),
-            Membership::Remove(id) => Change::Remove(id),
-            Membership::Replace { old, new } => Change::Replace {
+            Membership::Add(peer) => MembershipChange::Add(member(peer)),
+            Membership::Promote(id) => MembershipChange::Promote(id),
+            Membership::Remove(id) => MembershipChange::Remove(id),
+            Membership::Replace { old, new } => MembershipChange::Replace {
                 old,
                 new: member(new),
             },
--- a/crates/quorum/examples/commits.rs
+++ b/crates/quorum/examples/commits.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use cornelhitch_quorum::disk::{Disk, Done, Owner, Writer};
+use cornelhitch_quorum::disk::{DiskStore, ExpectedIdentity, WriteResult, Writer};
 use cornelhitch_quorum::log::{Entry, Payload};
 use cornelhitch_quorum::prelude::*;
 use cornelhitch_quorum::store::{HardState, Record};
@@ -99,8 +99,8 @@
     })
 }
 
-fn owner(member: MemberId) -> Owner {
-    Owner {
+fn owner(member: MemberId) -> ExpectedIdentity {
+    ExpectedIdentity {
         cluster: 7,
         group: 0,
         member,
@@ -109,8 +109,9 @@
 }
 
 /// Opens a directory, seeding it with a group of three if it is empty.
-fn open(dir: &Path, member: MemberId) -> Disk {
-    let mut disk = Disk::open(dir.join(member.to_string()), owner(member)).expect("a directory");
+fn open(dir: &Path, member: MemberId) -> DiskStore {
+    let mut disk =
+        DiskStore::open(dir.join(member.to_string()), owner(member)).expect("a directory");
     if disk.recovered().entries.is_empty() {
         let peers: Vec<Peer> = (0..VOTERS).map(|id| Peer { id, incarnation: 1 }).collect();
         let seeded = Recovered::seeded(disk.recovered().identity, &Membership::of(&peers));
@@ -142,7 +143,7 @@
             };
             let core = Core::new(config, disk.recovered(), member, start.elapsed());
             let own = inputs[threads.len()].clone();
-            let report = move |done: Done| drop(own.send(Input::Event(done.into())));
+            let report = move |result: WriteResult| drop(own.send(Input::Event(result.into())));
             let writer = Writer::start(Box::new(disk), report).expect("a thread");
             let (peers, output) = (inputs.clone(), output.clone());
             let voter = Voter {
@@ -228,7 +229,7 @@
 /// actions.
 fn measure_restart(dir: &Path, entries: u64) {
     let dir = dir.join(format!("restart-{entries}"));
-    let mut disk = Disk::open(&dir, owner(0)).expect("a directory");
+    let mut disk = DiskStore::open(&dir, owner(0)).expect("a directory");
     let data = Bytes::from(vec![7; PAYLOAD_BYTES]);
     let entry = |index| Entry {
         index,
@@ -250,7 +251,7 @@
         .for_each(|part| disk.append(part).expect("room on the disk"));
     drop(disk);
     let start = Instant::now();
-    let disk = Disk::open(&dir, owner(0)).expect("a directory");
+    let disk = DiskStore::open(&dir, owner(0)).expect("a directory");
     let mut core = Core::new(Config::default(), disk.recovered(), 1, Time::ZERO);
     core.handle(Event::Tick, Time::ZERO);
     println!("start with {entries} entries: {:?}", start.elapsed());
--- a/crates/quorum/src/action.rs
+++ b/crates/quorum/src/action.rs
@@ -34,7 +34,7 @@
         /// The owner's request ID.
         id: RequestId,
         /// Why the request failed.
-        reason: Reason,
+        reason: RejectReason,
         /// The leader, if known.
         leader: Option<MemberId>,
     },
@@ -45,12 +45,12 @@
         id: RequestId,
     },
     /// A membership change is committed.
-    Changed {
+    MembershipChanged {
         /// The owner's request ID.
         id: RequestId,
     },
     /// A member that belongs to no group asks this leader to admit it.
-    Joining(Peer),
+    JoinRequested(Peer),
     /// This member's role or term, or the known leader, has changed.
     Role {
         /// This member's role.
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
-pub enum Reason {
+pub enum RejectReason {
     /// This member is not the leader; the request had no effect.
     NotLeader,
     /// Too many uncommitted bytes are in flight, or another membership change is in progress; the
--- a/crates/quorum/src/config.rs
+++ b/crates/quorum/src/config.rs
@@ -19,8 +19,8 @@
 /// use cornelhitch_quorum::config::Config;
 /// use std::time::Duration;
 ///
-/// let config = Config { founder: true, ..Config::default() };
-/// assert!(config.lease() < config.election);
+/// let config = Config { may_bootstrap: true, ..Config::default() };
+/// assert!(config.lease() < config.election_timeout);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Config {
@@ -28,12 +28,12 @@
     pub peers: Vec<MemberId>,
     /// Whether this member bootstraps the group if its storage is empty and no peer belongs to a
     /// group.
-    pub founder: bool,
+    pub may_bootstrap: bool,
     /// Election timeout: a member campaigns after hearing no leader for a random time between this
     /// value and twice it. No member grants a vote within this time of hearing from a leader.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// Interval between heartbeats to each member.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// A disk that needs longer than this to write one batch counts as unhealthy.
     pub stall_timeout: Duration,
     /// Delay between a failed write and the next attempt.
@@ -74,9 +74,9 @@
     #[must_use]
     pub fn lease(&self) -> Duration {
         if self.fault == Some(Fault::LongLease) {
-            return self.election * 4;
+            return self.election_timeout * 4;
         }
-        self.election / MILLION * (MILLION - 2 * DRIFT_PPM)
+        self.election_timeout / MILLION * (MILLION - 2 * DRIFT_PPM)
     }
 }
 
@@ -84,9 +84,9 @@
     fn default() -> Self {
         Self {
             peers: Vec::new(),
-            founder: false,
-            election: Duration::from_millis(800),
-            heartbeat: Duration::from_millis(150),
+            may_bootstrap: false,
+            election_timeout: Duration::from_millis(800),
+            heartbeat_interval: Duration::from_millis(150),
             stall_timeout: Duration::from_secs(2),
             write_retry_delay: Duration::from_millis(500),
             catch_up_timeout: Duration::from_mins(1),
--- a/crates/quorum/src/core.rs
+++ b/crates/quorum/src/core.rs
@@ -135,7 +135,7 @@
         }
         let log = Log::new(snapshot, entries);
         let mut core = Self {
-            votes_withheld_until: now + config.election,
+            votes_withheld_until: now + config.election_timeout,
             election_at: now,
             identity,
             rng: SmallRng::seed_from_u64(seed),
@@ -220,7 +220,7 @@
             Event::Propose { id, payload } => self.propose(id, payload),
             Event::Persisted { token } => self.on_persisted(token),
             Event::PersistFailed { token } => self.on_persist_failed(token),
-            Event::Change { id, change } => self.on_change(id, change),
+            Event::ChangeMembership { id, change } => self.on_change(id, change),
             Event::Snapshot { index, data } => self.on_owner_snapshot(index, data),
             Event::Barrier { id } => self.on_barrier(id),
         }
@@ -303,20 +303,20 @@
             snapshot: self.log.snapshot_index(),
             members: self.membership().clone(),
             matched,
-            silent: self.silent(),
+            unresponsive_for: self.unresponsive_for(),
             disk_unhealthy: self.writes.is_unhealthy(),
             dropped: self.dropped,
         }
     }
 
     /// Returns how long each other member has not responded to this leader.
-    fn silent(&self) -> BTreeMap<MemberId, Time> {
+    fn unresponsive_for(&self) -> BTreeMap<MemberId, Time> {
         let members = self.progress.iter();
-        let silent = members.map(|(id, progress)| {
+        let unresponsive_for = members.map(|(id, progress)| {
             let heard = progress.stamp.unwrap_or(self.leader_since);
             (*id, self.now.saturating_sub(heard))
         });
-        silent.collect()
+        unresponsive_for.collect()
     }
 
     /// The entry at `index`, if in memory; for invariant checks in tests.
--- a/crates/quorum/src/core/apply.rs
+++ b/crates/quorum/src/core/apply.rs
@@ -1,7 +1,7 @@
 //! Delivery of committed entries to the owner and completion of its requests.
 
 use super::Core;
-use crate::action::{Action, Entry, Reason};
+use crate::action::{Action, Entry, RejectReason};
 use crate::id::{Index, RequestId, Term};
 use crate::log::Payload;
 
@@ -41,11 +41,11 @@
         if proposed == term {
             return Some(id);
         }
-        self.reject(id, Reason::Superseded);
+        self.reject(id, RejectReason::Superseded);
         None
     }
 
-    pub(super) fn reject(&mut self, id: RequestId, reason: Reason) {
+    pub(super) fn reject(&mut self, id: RequestId, reason: RejectReason) {
         let leader = self.leader.map(|peer| peer.id);
         self.actions.push(Action::Rejected { id, reason, leader });
     }
--- a/crates/quorum/src/core/barrier.rs
+++ b/crates/quorum/src/core/barrier.rs
@@ -2,7 +2,7 @@
 //! §6.4).
 
 use super::Core;
-use crate::action::{Action, Reason};
+use crate::action::{Action, RejectReason};
 use crate::config::Fault;
 use crate::id::{Index, RequestId, Time};
 use crate::status::Role;
@@ -23,7 +23,7 @@
             return self.actions.push(Action::BarrierDone { id });
         }
         if self.role != Role::Leader {
-            return self.reject(id, Reason::NotLeader);
+            return self.reject(id, RejectReason::NotLeader);
         }
         let index = self.commit.max(self.term_start_index);
         let stamp = self.next_stamp();
--- a/crates/quorum/src/core/change.rs
+++ b/crates/quorum/src/core/change.rs
@@ -1,9 +1,9 @@
 //! Single-server membership changes, one at a time (Ongaro's thesis §4).
 
 use super::Core;
-use crate::action::{Action, Reason};
+use crate::action::{Action, RejectReason};
 use crate::config::Fault;
-use crate::event::Change;
+use crate::event::MembershipChange;
 use crate::id::{MemberId, Peer, RequestId, Time};
 use crate::log::Payload;
 use crate::member::{MemberKind, Membership};
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(super) struct PendingChange {
     pub(super) id: RequestId,
-    change: Change,
+    change: MembershipChange,
     since: Time,
 }
 
@@ -30,18 +30,18 @@
     Invalid,
 }
 
-impl Change {
+impl MembershipChange {
     /// Returns the next step from `members`. Depends on the membership alone, so a repeated change
     /// resumes where the earlier one stopped.
     fn next_step(self, members: &Membership) -> ChangeStep {
         match self {
-            Change::Add(peer) => add(members, peer),
-            Change::Promote(id) => match members.peer(id) {
+            MembershipChange::Add(peer) => add(members, peer),
+            MembershipChange::Promote(id) => match members.peer(id) {
                 Some(peer) => promote(members, peer),
                 None => ChangeStep::Invalid,
             },
-            Change::Remove(id) => remove(members, id),
-            Change::Replace { old, new } => replace(members, old, new),
+            MembershipChange::Remove(id) => remove(members, id),
+            MembershipChange::Replace { old, new } => replace(members, old, new),
         }
     }
 }
@@ -95,12 +95,12 @@
 }
 
 impl Core {
-    pub(super) fn on_change(&mut self, id: RequestId, change: Change) {
+    pub(super) fn on_change(&mut self, id: RequestId, change: MembershipChange) {
         if self.role != Role::Leader {
-            return self.reject(id, Reason::NotLeader);
+            return self.reject(id, RejectReason::NotLeader);
         }
         if self.pending_change.is_some() {
-            return self.reject(id, Reason::Busy);
+            return self.reject(id, RejectReason::Busy);
         }
         self.pending_change = Some(PendingChange {
             id,
@@ -124,11 +124,11 @@
         match pending.change.next_step(self.membership()) {
             ChangeStep::Done => {
                 self.pending_change = None;
-                self.actions.push(Action::Changed { id });
+                self.actions.push(Action::MembershipChanged { id });
             }
             ChangeStep::Invalid => {
                 self.pending_change = None;
-                self.reject(id, Reason::Invalid);
+                self.reject(id, RejectReason::Invalid);
             }
             ChangeStep::Write(members) => self.append_if_quorum_responsive(id, since, members),
             ChangeStep::Promote(peer) => self.promote_if_caught_up(id, since, peer),
@@ -164,13 +164,13 @@
         }
         if self.now >= since + self.config.catch_up_timeout {
             self.pending_change = None;
-            self.reject(id, Reason::Stalled);
+            self.reject(id, RejectReason::Stalled);
         }
     }
 
     fn is_responsive(&self, id: MemberId) -> bool {
         let stamp = self.progress.get(&id).and_then(|progress| progress.stamp);
-        let heard = stamp.is_some_and(|at| at + self.config.election > self.now);
+        let heard = stamp.is_some_and(|at| at + self.config.election_timeout > self.now);
         heard || id == self.me().id
     }
 
@@ -186,7 +186,7 @@
         }
         if self.now >= advanced_at + self.config.catch_up_timeout {
             self.pending_change = None;
-            self.reject(id, Reason::Stalled);
+            self.reject(id, RejectReason::Stalled);
         }
     }
 }
--- a/crates/quorum/src/core/election.rs
+++ b/crates/quorum/src/core/election.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::Core;
-use crate::action::{Action, Reason};
+use crate::action::{Action, RejectReason};
 use crate::config::Fault;
 use crate::id::{Incarnation, MemberId, Peer, Term, Time};
 use crate::log::Payload;
@@ -21,14 +21,14 @@
     /// Schedules the next election in one to two election timeouts.
     pub(super) fn postpone_election(&mut self) {
         let jitter = self.rng.random_range(0.0..1.0);
-        self.election_at = self.now + self.config.election.mul_f64(1.0 + jitter);
+        self.election_at = self.now + self.config.election_timeout.mul_f64(1.0 + jitter);
     }
 
     /// Schedules the next attempt in a quarter to three quarters of an election timeout: after a
     /// split vote no voter withholds its vote for a leader any more, so the retry may come sooner.
     fn retry_election(&mut self) {
         let jitter = self.rng.random_range(0.25..0.75);
-        self.election_at = self.now + self.config.election.mul_f64(jitter);
+        self.election_at = self.now + self.config.election_timeout.mul_f64(jitter);
     }
 
     /// Becomes a follower in `term`, which must not be lower than the current term.
@@ -57,13 +57,13 @@
         self.leader_stamp = Time::ZERO;
         self.progress.clear();
         self.uncommitted_bytes = 0;
-        self.votes_withheld_until = self.now + self.config.election;
+        self.votes_withheld_until = self.now + self.config.election_timeout;
         self.postpone_election();
         for barrier in std::mem::take(&mut self.barriers) {
-            self.reject(barrier.id, Reason::NotLeader);
+            self.reject(barrier.id, RejectReason::NotLeader);
         }
         if let Some(pending) = self.pending_change.take() {
-            self.reject(pending.id, Reason::Unknown);
+            self.reject(pending.id, RejectReason::Unknown);
         }
     }
 
@@ -278,7 +278,7 @@
     pub(super) fn on_join(&mut self, from: Peer) {
         let without_group = self.membership().is_empty();
         if self.role == Role::Leader && !self.membership().admits(from) {
-            self.actions.push(Action::Joining(from));
+            self.actions.push(Action::JoinRequested(from));
         }
         self.send(from, Message::NoGroup(without_group));
     }
@@ -298,7 +298,8 @@
         let confirmed = |id: &MemberId| *id == me.id || self.without_group.contains(id);
         let uninitialized =
             self.membership().is_empty() && [0, lineage].contains(&self.hard_state.lineage);
-        if !uninitialized || !self.config.founder || !self.config.peers.iter().all(confirmed) {
+        if !uninitialized || !self.config.may_bootstrap || !self.config.peers.iter().all(confirmed)
+        {
             return;
         }
         self.set_hard_state(HardState {
--- a/crates/quorum/src/core/follower.rs
+++ b/crates/quorum/src/core/follower.rs
@@ -42,7 +42,7 @@
         }
         self.leader = Some(from);
         self.leader_stamp = self.leader_stamp.max(stamp);
-        self.votes_withheld_until = self.now + self.config.election;
+        self.votes_withheld_until = self.now + self.config.election_timeout;
         self.postpone_election();
         true
     }
--- a/crates/quorum/src/core/persist.rs
+++ b/crates/quorum/src/core/persist.rs
@@ -5,7 +5,7 @@
 use super::Core;
 use crate::action::Action;
 use crate::config::{Config, Fault};
-use crate::id::{Index, Time, Token};
+use crate::id::{BatchToken, Index, Time};
 use crate::message::{Envelope, Message};
 use crate::status::Role;
 use crate::store::{Batch, HardState, Record};
@@ -13,7 +13,7 @@
 /// A submitted batch that is not known to be synced.
 #[derive(Debug)]
 struct PendingBatch {
-    token: Token,
+    token: BatchToken,
     /// Last log index covered once the batch is synced; lowered if the log is truncated.
     last: Index,
     records: Vec<Record>,
@@ -27,7 +27,7 @@
     pub(super) durable: Index,
     staged: Vec<Record>,
     pending: VecDeque<PendingBatch>,
-    next: Token,
+    next: BatchToken,
     attempt: u64,
     retry_at: Option<Time>,
     failing: bool,
@@ -72,7 +72,7 @@
 
     /// Returns the token of the batch that covers everything staged so far; `None` if all is
     /// synced.
-    fn token(&self) -> Option<Token> {
+    fn token(&self) -> Option<BatchToken> {
         if !self.staged.is_empty() {
             return Some(self.next);
         }
@@ -181,7 +181,7 @@
         }
     }
 
-    pub(super) fn on_persisted(&mut self, token: Token) {
+    pub(super) fn on_persisted(&mut self, token: BatchToken) {
         let before = self.writes.durable;
         while self
             .writes
@@ -211,7 +211,7 @@
         }
     }
 
-    pub(super) fn on_persist_failed(&mut self, token: Token) {
+    pub(super) fn on_persist_failed(&mut self, token: BatchToken) {
         if self
             .writes
             .pending
--- a/crates/quorum/src/core/replicate.rs
+++ b/crates/quorum/src/core/replicate.rs
@@ -4,7 +4,7 @@
 
 use super::Core;
 use super::progress::{Mode, Progress};
-use crate::action::Reason;
+use crate::action::RejectReason;
 use crate::config::Fault;
 use crate::id::{Index, MemberId, Peer, RequestId, Term, Time};
 use crate::log::{Entry, Payload};
@@ -18,17 +18,17 @@
 impl Core {
     pub(super) fn propose(&mut self, id: RequestId, payload: Bytes) {
         if self.role != Role::Leader {
-            return self.reject(id, Reason::NotLeader);
+            return self.reject(id, RejectReason::NotLeader);
         }
         if payload.len() > self.config.max_message_bytes {
-            return self.reject(id, Reason::TooLarge);
+            return self.reject(id, RejectReason::TooLarge);
         }
         if self.uncommitted_bytes + payload.len() > self.config.max_uncommitted_bytes {
-            return self.reject(id, Reason::Busy);
+            return self.reject(id, RejectReason::Busy);
         }
         let index = self.append_entry(Payload::Data(payload));
         if let Some((_, old)) = self.proposals.insert(index, (self.hard_state.term, id)) {
-            self.reject(old, Reason::Unknown);
+            self.reject(old, RejectReason::Unknown);
         }
     }
 
@@ -81,7 +81,7 @@
     pub(super) fn replicate(&mut self) {
         let heartbeat_due = self.now >= self.heartbeat_at;
         if heartbeat_due {
-            self.heartbeat_at = self.now + self.config.heartbeat;
+            self.heartbeat_at = self.now + self.config.heartbeat_interval;
         }
         let ids: Vec<MemberId> = self.progress.keys().copied().collect();
         for id in ids {
@@ -258,7 +258,7 @@
     /// The time at which the leader steps down unless a quorum responds before.
     pub(super) fn quorum_deadline(&self) -> Time {
         let heard = self.quorum_stamp(self.now).unwrap_or_default();
-        heard.max(self.leader_since) + self.config.election
+        heard.max(self.leader_since) + self.config.election_timeout
     }
 
     /// Steps down if no quorum has responded within an election timeout.
--- a/crates/quorum/src/core/transfer.rs
+++ b/crates/quorum/src/core/transfer.rs
@@ -5,7 +5,7 @@
 use super::Core;
 use super::progress::Mode;
 use super::route::MAX_TERM_OR_INDEX;
-use crate::action::{Action, Reason};
+use crate::action::{Action, RejectReason};
 use crate::config::Fault;
 use crate::id::{Index, MemberId, Peer, Term, Time};
 use crate::log::Snapshot;
@@ -110,7 +110,7 @@
     pub(super) fn send_chunk(&mut self, id: MemberId, heartbeat_due: bool) {
         let stamp = self.next_stamp();
         let (now, size) = (self.now, self.config.max_message_bytes);
-        let resend_after = self.config.election / 2;
+        let resend_after = self.config.election_timeout / 2;
         let Some(progress) = self.progress.get_mut(&id) else {
             return;
         };
@@ -239,7 +239,7 @@
     pub(super) fn fail_unresolved_proposals(&mut self, index: Index) {
         let later = self.proposals.split_off(&(index + 1));
         for (_, (_, id)) in std::mem::replace(&mut self.proposals, later) {
-            self.reject(id, Reason::Unknown);
+            self.reject(id, RejectReason::Unknown);
         }
     }
 
--- a/crates/quorum/src/disk.rs
+++ b/crates/quorum/src/disk.rs
@@ -25,7 +25,7 @@
 
 pub use frame::{MAX_PAYLOAD_BYTES, Scan, scan};
 pub use snapshot_file::SnapshotRef;
-pub use writer::{Done, Writer};
+pub use writer::{WriteResult, Writer};
 
 /// Maximum total payload of the records in one frame, unless a single record is larger.
 const MAX_FRAME_RECORD_BYTES: usize = 8 * 1024 * 1024;
@@ -54,7 +54,7 @@
 
 /// The expected owner of a data directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Owner {
+pub struct ExpectedIdentity {
     /// The cluster.
     pub cluster: ClusterId,
     /// The group.
@@ -68,7 +68,7 @@
 
 /// A store in a directory.
 #[derive(Debug)]
-pub struct Disk {
+pub struct DiskStore {
     dir: PathBuf,
     _lock: File,
     state: Recovered,
@@ -80,7 +80,7 @@
     fail_after: Option<usize>,
 }
 
-impl Disk {
+impl DiskStore {
     /// Opens the directory, creating it if missing. A torn tail, left by a crash during a write
     /// that was never reported as synced, is truncated.
     ///
@@ -89,7 +89,7 @@
     /// [`Error::Corrupt`] if a file is corrupt other than by a torn tail, [`Error::Locked`] if
     /// another process has locked the directory, [`Error::WrongOwner`] if it belongs to another
     /// member, [`Error::Io`] if a file system operation fails.
-    pub fn open(dir: impl Into<PathBuf>, owner: Owner) -> Result<Self, Error> {
+    pub fn open(dir: impl Into<PathBuf>, owner: ExpectedIdentity) -> Result<Self, Error> {
         let dir = dir.into();
         fs::create_dir_all(&dir).context(IoSnafu {
             what: "make",
@@ -117,7 +117,7 @@
     }
 
     /// Initializes an empty directory with a new incarnation.
-    fn create(dir: PathBuf, lock: File, owner: Owner) -> Result<Self, Error> {
+    fn create(dir: PathBuf, lock: File, owner: ExpectedIdentity) -> Result<Self, Error> {
         if let Some(path) = file::find_by_prefix(&dir, SNAPSHOT_PREFIX)? {
             let what = "found a snapshot file but no log file";
             return CorruptSnafu {
@@ -211,7 +211,7 @@
     }
 }
 
-impl Store for Disk {
+impl Store for DiskStore {
     fn recovered(&self) -> Recovered {
         self.state.clone()
     }
@@ -242,7 +242,7 @@
     }
 }
 
-fn check_owner(dir: &Path, found: Identity, owner: Owner) -> Result<(), Error> {
+fn check_owner(dir: &Path, found: Identity, owner: ExpectedIdentity) -> Result<(), Error> {
     let peer = Peer {
         id: owner.member,
         incarnation: found.peer.incarnation,
--- a/crates/quorum/src/disk/writer.rs
+++ b/crates/quorum/src/disk/writer.rs
@@ -4,7 +4,7 @@
 use std::thread::JoinHandle;
 
 use crate::event::Event;
-use crate::id::Token;
+use crate::id::BatchToken;
 use crate::store::{Batch, Error, Record, Store};
 
 /// Record count at which no further batches are added to one sync.
@@ -12,26 +12,26 @@
 
 /// The result of writing batches.
 #[derive(Debug)]
-pub enum Done {
+pub enum WriteResult {
     /// All batches up to and including this one are synced.
     Persisted {
         /// Token of the last synced batch.
-        token: Token,
+        token: BatchToken,
     },
     /// Writing a batch failed.
     Failed {
         /// Token of the first batch that was not written.
-        token: Token,
+        token: BatchToken,
         /// The cause.
         error: Error,
     },
 }
 
-impl From<Done> for Event {
-    fn from(done: Done) -> Self {
-        match done {
-            Done::Persisted { token } => Event::Persisted { token },
-            Done::Failed { token, .. } => Event::PersistFailed { token },
+impl From<WriteResult> for Event {
+    fn from(result: WriteResult) -> Self {
+        match result {
+            WriteResult::Persisted { token } => Event::Persisted { token },
+            WriteResult::Failed { token, .. } => Event::PersistFailed { token },
         }
     }
 }
@@ -52,7 +52,7 @@
     /// Returns an error if the operating system fails to create the thread.
     pub fn start(
         store: Box<dyn Store>,
-        report: impl FnMut(Done) + Send + 'static,
+        report: impl FnMut(WriteResult) + Send + 'static,
     ) -> std::io::Result<Self> {
         let (batches, queue) = channel();
         let builder = std::thread::Builder::new().name("quorum-writer".to_owned());
@@ -86,7 +86,7 @@
     }
 }
 
-fn run(mut store: Box<dyn Store>, queue: &Receiver<Batch>, mut report: impl FnMut(Done)) {
+fn run(mut store: Box<dyn Store>, queue: &Receiver<Batch>, mut report: impl FnMut(WriteResult)) {
     let mut attempt = 0;
     while let Ok(first) = queue.recv() {
         let token = first.token;
@@ -94,11 +94,11 @@
             continue;
         };
         match store.append(&records) {
-            Ok(()) => report(Done::Persisted { token: last }),
+            Ok(()) => report(WriteResult::Persisted { token: last }),
             Err(error) => {
                 tracing::warn!(%error, "cannot write a batch");
                 attempt += 1;
-                report(Done::Failed { token, error });
+                report(WriteResult::Failed { token, error });
             }
         }
     }
@@ -110,7 +110,7 @@
     first: Batch,
     queue: &Receiver<Batch>,
     attempt: u64,
-) -> Option<(Token, Vec<Record>)> {
+) -> Option<(BatchToken, Vec<Record>)> {
     if first.attempt < attempt {
         return None;
     }
--- a/crates/quorum/src/event.rs
+++ b/crates/quorum/src/event.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::id::{Index, MemberId, Peer, RequestId, Token};
+use crate::id::{BatchToken, Index, MemberId, Peer, RequestId};
 use crate::message::Envelope;
 
 /// Events that the owner passes to a [`Core`](crate::core::Core).
@@ -29,20 +29,21 @@
     /// All batches up to and including this one are synced.
     Persisted {
         /// Token of the last synced batch.
-        token: Token,
+        token: BatchToken,
     },
     /// Writing a batch failed, so no later batch of the same attempt was written either.
     PersistFailed {
         /// Token of the first batch that failed.
-        token: Token,
+        token: BatchToken,
     },
-    /// Changes the membership. Completed by [`Action::Changed`](crate::action::Action::Changed) or
+    /// Changes the membership. Completed by
+    /// [`Action::MembershipChanged`](crate::action::Action::MembershipChanged) or
     /// [`Action::Rejected`](crate::action::Action::Rejected).
-    Change {
+    ChangeMembership {
         /// The owner's request ID.
         id: RequestId,
         /// The requested change.
-        change: Change,
+        change: MembershipChange,
     },
     /// A snapshot of the owner's state. It may lag behind the entries already handed to the owner.
     Snapshot {
@@ -64,7 +65,7 @@
 /// succeeds at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Change {
+pub enum MembershipChange {
     /// Adds a learner.
     Add(Peer),
     /// Promotes a learner to voter once it has synced every committed entry.
--- a/crates/quorum/src/id.rs
+++ b/crates/quorum/src/id.rs
@@ -20,7 +20,7 @@
 pub type Index = u64;
 
 /// Identifies a batch of records submitted for writing; later batches have larger tokens.
-pub type Token = u64;
+pub type BatchToken = u64;
 
 /// Identifies a cluster; messages from other clusters are dropped.
 pub type ClusterId = u64;
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,7 +1,7 @@
 //! A Raft replicated log with leader election, leases, snapshots and membership changes.
 //!
 //! [`core::Core`] implements the protocol for one member and performs no I/O: its owner passes in
-//! events and the current time and executes the returned actions. [`disk::Disk`] persists the
+//! events and the current time and executes the returned actions. [`disk::DiskStore`] persists the
 //! records that the core produces; a [`disk::Writer`] runs it on its own thread.
 //!
 //! Three in-memory members elect a leader and commit a proposal:
@@ -66,9 +66,9 @@
 pub mod id;
 pub mod log;
 pub mod member;
+pub mod membership_policy;
 pub mod memory;
 pub mod message;
 pub mod prelude;
 pub mod status;
-pub mod steward;
 pub mod store;
--- a/crates/quorum/src/prelude.rs
+++ b/crates/quorum/src/prelude.rs
@@ -1,10 +1,10 @@
 //! Re-exports of the types that most users of the crate need.
 
-pub use crate::action::{Action, Reason};
+pub use crate::action::{Action, RejectReason};
 pub use crate::config::Config;
 pub use crate::core::Core;
-pub use crate::event::{Change, Event};
-pub use crate::id::{Index, MemberId, Peer, RequestId, Term, Time, Token};
+pub use crate::event::{Event, MembershipChange};
+pub use crate::id::{BatchToken, Index, MemberId, Peer, RequestId, Term, Time};
 pub use crate::member::{MemberKind, Membership};
 pub use crate::message::Envelope;
 pub use crate::status::{Lease, Role, Status};
--- a/crates/quorum/src/status.rs
+++ b/crates/quorum/src/status.rs
@@ -66,7 +66,8 @@
     pub matched: BTreeMap<MemberId, Index>,
     /// On a leader, the time since the sending of the latest message that each other member
     /// answered.
-    pub silent: BTreeMap<MemberId, Time>,
+    #[serde(rename = "silent")]
+    pub unresponsive_for: BTreeMap<MemberId, Time>,
     /// Whether writes fail or stall; such a member neither leads nor votes.
     #[serde(rename = "disk_sick")]
     pub disk_unhealthy: bool,
--- a/crates/quorum/src/store.rs
+++ b/crates/quorum/src/store.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use crate::id::{ClusterId, GroupId, Incarnation, Index, Peer, Term, Token};
+use crate::id::{BatchToken, ClusterId, GroupId, Incarnation, Index, Peer, Term};
 use crate::log::{Entry, Payload, Snapshot};
 use crate::member::Membership;
 
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
     /// Identifies the batch in reports of completion; increases with each batch.
-    pub token: Token,
+    pub token: BatchToken,
     /// Increases after a failed write. Batches of an attempt that has failed must be skipped.
     pub attempt: u64,
     /// The records to write.
--- a/crates/quorum/tests/disk.rs
+++ b/crates/quorum/tests/disk.rs
@@ -5,14 +5,16 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, channel};
 
-use cornelhitch_quorum::disk::{Block, Disk, MAX_PAYLOAD_BYTES, Owner, Writer, scan};
+use cornelhitch_quorum::disk::{
+    Block, DiskStore, ExpectedIdentity, MAX_PAYLOAD_BYTES, Writer, scan,
+};
 use cornelhitch_quorum::log::{Entry, Payload, Snapshot};
 use cornelhitch_quorum::prelude::*;
 use cornelhitch_quorum::store::{HardState, Record};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const OWNER: Owner = Owner {
+const OWNER: ExpectedIdentity = ExpectedIdentity {
     cluster: 7,
     group: 0,
     member: 1,
@@ -30,25 +32,25 @@
     now: Time,
     applied: Vec<String>,
     last: Index,
-    rejected: Vec<(RequestId, Reason)>,
+    rejected: Vec<(RequestId, RejectReason)>,
 }
 
 impl Voter {
-    fn start(disk: Disk) -> Self {
+    fn start(disk: DiskStore) -> Self {
         let mut voter = Self::new(disk);
         voter.tick(3);
         voter
     }
 
-    fn new(disk: Disk) -> Self {
+    fn new(disk: DiskStore) -> Self {
         let recovered = disk.recovered();
         let (sender, done) = channel();
-        let report = move |result: cornelhitch_quorum::disk::Done| {
+        let report = move |result: cornelhitch_quorum::disk::WriteResult| {
             sender.send(result.into()).unwrap();
         };
         let writer = Writer::start(Box::new(disk), report).unwrap();
         let config = Config {
-            founder: true,
+            may_bootstrap: true,
             ..Config::default()
         };
         let core = Core::new(config, recovered, 1, Time::ZERO);
@@ -148,7 +150,7 @@
 /// path.
 fn dir_with_entries() -> (tempfile::TempDir, PathBuf) {
     let dir = tempfile::tempdir().unwrap();
-    let mut disk = Disk::open(dir.path(), OWNER).unwrap();
+    let mut disk = DiskStore::open(dir.path(), OWNER).unwrap();
     (1..10).for_each(|index| disk.append(&[entry(index)]).unwrap());
     let log = find_file(dir.path(), "log-");
     (dir, log)
@@ -169,7 +171,7 @@
 fn single_voter_keeps_committed_entries_across_restarts() {
     let dir = tempfile::tempdir().unwrap();
     for restart in 0..4 {
-        let mut voter = Voter::start(Disk::open(dir.path(), OWNER).unwrap());
+        let mut voter = Voter::start(DiskStore::open(dir.path(), OWNER).unwrap());
         assert!(
             voter.core.lease(voter.now).is_some(),
             "{:?}",
@@ -190,13 +192,13 @@
 fn leader_with_full_disk_steps_down_until_writes_succeed() {
     for bytes in [0, 7, HEADER_BYTES + 1, 10_000] {
         let dir = tempfile::tempdir().unwrap();
-        let mut disk = Disk::open(dir.path(), OWNER).unwrap();
+        let mut disk = DiskStore::open(dir.path(), OWNER).unwrap();
         disk.append(&[Record::HardState(HardState::default())])
             .unwrap();
         let mut voter = Voter::start(disk);
         voter.propose(0..3);
         drop(voter);
-        let mut disk = Disk::open(dir.path(), OWNER).unwrap();
+        let mut disk = DiskStore::open(dir.path(), OWNER).unwrap();
         disk.fail_after(bytes);
         let mut voter = Voter::new(disk);
         voter.tick(1);
@@ -205,12 +207,12 @@
             "a candidate became leader before its vote was synced"
         );
         voter.propose(3..4);
-        assert_eq!(voter.rejected, [(3, Reason::NotLeader)]);
+        assert_eq!(voter.rejected, [(3, RejectReason::NotLeader)]);
         voter.tick(8);
         assert!(voter.core.is_leader(), "{:?}", voter.core.status());
         voter.propose(4..6);
         drop(voter);
-        let voter = Voter::start(Disk::open(dir.path(), OWNER).unwrap());
+        let voter = Voter::start(DiskStore::open(dir.path(), OWNER).unwrap());
         assert_eq!(voter.applied, ["0", "1", "2", "4", "5"]);
     }
 }
@@ -219,7 +221,7 @@
 fn failed_write_leaves_only_records_that_were_appended_again() {
     for bytes in [0, 1, HEADER_BYTES, 30, 10_000] {
         let (dir, _) = dir_with_entries();
-        let mut disk = Disk::open(dir.path(), OWNER).unwrap();
+        let mut disk = DiskStore::open(dir.path(), OWNER).unwrap();
         disk.fail_after(bytes);
         assert!(disk.append(&[entry(10)]).is_err());
         assert_eq!(disk.recovered().last(), 9);
@@ -227,7 +229,7 @@
         let recovered = disk.recovered();
         drop(disk);
         assert_eq!(
-            Disk::open(dir.path(), OWNER).unwrap().recovered(),
+            DiskStore::open(dir.path(), OWNER).unwrap().recovered(),
             recovered
         );
     }
@@ -293,12 +295,12 @@
             .collect();
         corrupt(&mut bytes, &frames);
         fs::write(&log, &bytes).unwrap();
-        match (Disk::open(dir.path(), OWNER), result) {
+        match (DiskStore::open(dir.path(), OWNER), result) {
             (Ok(mut disk), Ok(last)) => {
                 assert_eq!(disk.recovered().last(), last, "{case}");
                 disk.append(&[entry(last + 1)]).unwrap();
                 drop(disk);
-                let disk = Disk::open(dir.path(), OWNER).unwrap();
+                let disk = DiskStore::open(dir.path(), OWNER).unwrap();
                 assert_eq!(disk.recovered().last(), last + 1, "{case}");
             }
             (Err(error), Err(part)) => {
@@ -320,7 +322,10 @@
     let from = usize::try_from(frames[9].0).unwrap();
     for length in from..=original.len() {
         fs::write(&log, &original[..length]).unwrap();
-        let last = Disk::open(dir.path(), OWNER).unwrap().recovered().last();
+        let last = DiskStore::open(dir.path(), OWNER)
+            .unwrap()
+            .recovered()
+            .last();
         assert_eq!(last, if length == original.len() { 9 } else { 8 });
     }
 }
@@ -328,13 +333,13 @@
 #[test]
 fn snapshot_replaces_log_and_obsolete_files_are_removed() {
     let (dir, _) = dir_with_entries();
-    let mut disk = Disk::open(dir.path(), OWNER).unwrap();
+    let mut disk = DiskStore::open(dir.path(), OWNER).unwrap();
     disk.append(&[snapshot(4), entry(10)]).unwrap();
     disk.append(&[snapshot(6)]).unwrap();
     fs::write(dir.path().join("unfinished"), "half a file").unwrap();
     let recovered = disk.recovered();
     drop(disk);
-    let disk = Disk::open(dir.path(), OWNER).unwrap();
+    let disk = DiskStore::open(dir.path(), OWNER).unwrap();
     assert_eq!(disk.recovered(), recovered);
     assert_eq!(recovered.entries.first().map(|entry| entry.index), Some(7));
     assert_eq!(recovered.last(), 10);
@@ -345,13 +350,13 @@
     );
     drop(disk);
     fs::write(find_file(dir.path(), "snapshot-"), "stale").unwrap();
-    let text = Disk::open(dir.path(), OWNER).unwrap_err().to_string();
+    let text = DiskStore::open(dir.path(), OWNER).unwrap_err().to_string();
     assert!(
         text.contains("snapshot-") && text.contains("To rejoin"),
         "{text}"
     );
     fs::remove_file(find_file(dir.path(), "log-")).unwrap();
-    let text = Disk::open(dir.path(), OWNER).unwrap_err().to_string();
+    let text = DiskStore::open(dir.path(), OWNER).unwrap_err().to_string();
     assert!(
         text.contains("found a snapshot file but no log file"),
         "{text}"
@@ -361,36 +366,39 @@
 #[test]
 fn directory_rejects_second_process_and_other_members() {
     let (dir, _) = dir_with_entries();
-    let disk = Disk::open(dir.path(), OWNER).unwrap();
-    let text = Disk::open(dir.path(), OWNER).unwrap_err().to_string();
+    let disk = DiskStore::open(dir.path(), OWNER).unwrap();
+    let text = DiskStore::open(dir.path(), OWNER).unwrap_err().to_string();
     assert!(text.contains("in use by another process"), "{text}");
     drop(disk);
     let others = [
-        Owner { member: 2, ..OWNER },
-        Owner {
+        ExpectedIdentity { member: 2, ..OWNER },
+        ExpectedIdentity {
             cluster: 8,
             ..OWNER
         },
-        Owner { group: 1, ..OWNER },
+        ExpectedIdentity { group: 1, ..OWNER },
     ];
     for other in others {
-        let text = Disk::open(dir.path(), other).unwrap_err().to_string();
+        let text = DiskStore::open(dir.path(), other).unwrap_err().to_string();
         assert!(
             text.contains("belongs to member 1 of cluster 7 group 0"),
             "{text}"
         );
     }
-    let later = Owner {
+    let later = ExpectedIdentity {
         incarnation: 99,
         ..OWNER
     };
-    let found = Disk::open(dir.path(), later).unwrap().recovered().identity;
+    let found = DiskStore::open(dir.path(), later)
+        .unwrap()
+        .recovered()
+        .identity;
     assert_eq!(
         found.peer.incarnation, OWNER.incarnation,
         "only an empty directory takes a new incarnation"
     );
     fs::remove_dir_all(dir.path()).unwrap();
-    let fresh = Disk::open(dir.path(), later).unwrap().recovered();
+    let fresh = DiskStore::open(dir.path(), later).unwrap().recovered();
     assert_eq!((fresh.identity.peer.incarnation, fresh.last()), (99, 0));
 }
 
@@ -444,7 +452,7 @@
         let mut file = OpenOptions::new().write(true).truncate(true).open(&log).unwrap();
         file.write_all(&bytes).unwrap();
         let in_last_frame = original.last().is_some_and(|(start, _)| at as u64 >= *start);
-        match Disk::open(dir.path(), OWNER) {
+        match DiskStore::open(dir.path(), OWNER) {
             Ok(disk) => prop_assert!(in_last_frame && disk.recovered().last() == 8),
             Err(error) => prop_assert!(!in_last_frame, "{}", error),
         }
--- a/crates/quorum/tests/group.rs
+++ b/crates/quorum/tests/group.rs
@@ -32,7 +32,7 @@
 }
 
 /// Requests a membership change and runs until it completes or fails.
-fn change(sim: &mut Simulation, change: Change) -> Result<(), Reason> {
+fn change(sim: &mut Simulation, change: MembershipChange) -> Result<(), RejectReason> {
     let id = sim.change(change).unwrap();
     for _ in 0..60 {
         if let Some(outcome) = sim.checker.outcomes.get(&id) {
@@ -119,7 +119,7 @@
         !sent.iter().any(|e| e.from == peer && is_response(e)),
         "a wiped member responds"
     );
-    let replace = Change::Replace {
+    let replace = MembershipChange::Replace {
         old: peer.id,
         new: peer,
     };
@@ -144,7 +144,7 @@
         let peer = wipe(&mut sim, wiped);
         sim.run_for(SECOND).unwrap();
         let id = sim
-            .change(Change::Replace {
+            .change(MembershipChange::Replace {
                 old: peer.id,
                 new: peer,
             })
@@ -167,32 +167,35 @@
         incarnation: 99,
     };
     let cases = [
-        (Change::Add(other(0)), Err(Reason::Invalid)),
-        (Change::Promote(7), Err(Reason::Invalid)),
-        (Change::Remove(7), Ok(())),
+        (MembershipChange::Add(other(0)), Err(RejectReason::Invalid)),
+        (MembershipChange::Promote(7), Err(RejectReason::Invalid)),
+        (MembershipChange::Remove(7), Ok(())),
         (
-            Change::Replace {
+            MembershipChange::Replace {
                 old: 0,
                 new: other(1),
             },
-            Err(Reason::Invalid),
+            Err(RejectReason::Invalid),
         ),
-        (Change::Add(other(8)), Ok(())),
-        (Change::Promote(8), Err(Reason::Stalled)),
-        (Change::Remove(8), Ok(())),
+        (MembershipChange::Add(other(8)), Ok(())),
+        (MembershipChange::Promote(8), Err(RejectReason::Stalled)),
+        (MembershipChange::Remove(8), Ok(())),
     ];
     let (mut sim, _, _) = settled(6);
     for (requested, outcome) in cases {
         assert_eq!(change(&mut sim, requested), outcome, "{requested:?}");
     }
     let first = sim
-        .change(Change::Replace {
+        .change(MembershipChange::Replace {
             old: 0,
             new: other(8),
         })
         .unwrap();
-    let second = sim.change(Change::Remove(1)).unwrap();
-    assert_eq!(sim.checker.outcomes.get(&second), Some(&Err(Reason::Busy)));
+    let second = sim.change(MembershipChange::Remove(1)).unwrap();
+    assert_eq!(
+        sim.checker.outcomes.get(&second),
+        Some(&Err(RejectReason::Busy))
+    );
     assert_eq!(sim.checker.outcomes.get(&first), None);
 }
 
@@ -204,8 +207,8 @@
         .unwrap();
     sim.run_for(2 * SECOND).unwrap();
     let third = (leader + 2) % 3;
-    let remove = Change::Remove(u64::try_from(third).unwrap());
-    assert_eq!(change(&mut sim, remove), Err(Reason::Stalled));
+    let remove = MembershipChange::Remove(u64::try_from(third).unwrap());
+    assert_eq!(change(&mut sim, remove), Err(RejectReason::Stalled));
     commit_proposal(&mut sim);
 }
 
--- a/crates/quorum/tests/steward.rs
+++ b/crates/quorum/tests/membership_policy.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use cornelhitch_quorum::event::Change;
+use cornelhitch_quorum::event::MembershipChange;
 use cornelhitch_quorum::id::{Incarnation, MemberId, Peer};
 use cornelhitch_quorum::member::{MemberKind, Membership};
+use cornelhitch_quorum::membership_policy::{JoinRequests, MembershipPolicy};
 use cornelhitch_quorum::status::{Role, Status};
-use cornelhitch_quorum::steward::{Joiners, Steward};
 
 /// A member whose incarnation equals its ID.
 fn peer(id: MemberId) -> Peer {
@@ -41,13 +41,13 @@
         snapshot: 0,
         members,
         matched: BTreeMap::new(),
-        silent: silent.collect(),
+        unresponsive_for: silent.collect(),
         disk_unhealthy: false,
         dropped: 0,
     }
 }
 
-fn joiners(peers: &[Peer]) -> Joiners {
+fn join_requests(peers: &[Peer]) -> JoinRequests {
     peers
         .iter()
         .map(|peer| (peer.id, peer.incarnation))
@@ -60,8 +60,8 @@
     voters: &'static [MemberId],
     learners: &'static [MemberId],
     silent: &'static [(MemberId, u64)],
-    joiners: Vec<Peer>,
-    expected: Option<Change>,
+    join_requests: Vec<Peer>,
+    expected: Option<MembershipChange>,
 }
 
 #[test]
@@ -69,23 +69,23 @@
 fn next_change_for_each_group_state() {
     let wiped = Peer { id: 2, incarnation: 99 };
     let cases = [
-        Case { name: "healthy group", voters: &[1, 2, 3], learners: &[], silent: &[], joiners: vec![], expected: None },
-        Case { name: "a new host asks to join", voters: &[1, 2, 3], learners: &[], silent: &[], joiners: vec![peer(4)], expected: Some(Change::Add(peer(4))) },
-        Case { name: "a learner asks again to join", voters: &[1, 2, 3], learners: &[4], silent: &[], joiners: vec![peer(4)], expected: None },
-        Case { name: "a spare learner", voters: &[1, 2, 3], learners: &[4], silent: &[], joiners: vec![], expected: None },
-        Case { name: "a silent voter and a learner", voters: &[1, 2, 3], learners: &[4], silent: &[(2, 5)], joiners: vec![], expected: Some(Change::Replace { old: 2, new: peer(4) }) },
-        Case { name: "a briefly silent voter", voters: &[1, 2, 3], learners: &[4], silent: &[(2, 2)], joiners: vec![], expected: None },
-        Case { name: "a silent voter without a learner", voters: &[1, 2, 3], learners: &[], silent: &[(2, 5)], joiners: vec![], expected: None },
-        Case { name: "voter and learner silent", voters: &[1, 2, 3], learners: &[4], silent: &[(2, 5), (4, 5)], joiners: vec![], expected: None },
-        Case { name: "too few voters", voters: &[1, 2], learners: &[4], silent: &[], joiners: vec![], expected: Some(Change::Promote(4)) },
-        Case { name: "too few voters, learner silent", voters: &[1, 2], learners: &[4], silent: &[(4, 5)], joiners: vec![], expected: None },
-        Case { name: "a learner silent for long", voters: &[1, 2, 3], learners: &[4], silent: &[(4, 11)], joiners: vec![], expected: Some(Change::Remove(4)) },
-        Case { name: "a voter with a wiped disk", voters: &[1, 2, 3], learners: &[], silent: &[], joiners: vec![wiped], expected: Some(Change::Replace { old: 2, new: wiped }) },
-        Case { name: "the leader does not count as silent", voters: &[1, 2, 3], learners: &[4], silent: &[(1, 60)], joiners: vec![], expected: None },
+        Case { name: "healthy group", voters: &[1, 2, 3], learners: &[], silent: &[], join_requests: vec![], expected: None },
+        Case { name: "a new host asks to join", voters: &[1, 2, 3], learners: &[], silent: &[], join_requests: vec![peer(4)], expected: Some(MembershipChange::Add(peer(4))) },
+        Case { name: "a learner asks again to join", voters: &[1, 2, 3], learners: &[4], silent: &[], join_requests: vec![peer(4)], expected: None },
+        Case { name: "a spare learner", voters: &[1, 2, 3], learners: &[4], silent: &[], join_requests: vec![], expected: None },
+        Case { name: "a silent voter and a learner", voters: &[1, 2, 3], learners: &[4], silent: &[(2, 5)], join_requests: vec![], expected: Some(MembershipChange::Replace { old: 2, new: peer(4) }) },
+        Case { name: "a briefly silent voter", voters: &[1, 2, 3], learners: &[4], silent: &[(2, 2)], join_requests: vec![], expected: None },
+        Case { name: "a silent voter without a learner", voters: &[1, 2, 3], learners: &[], silent: &[(2, 5)], join_requests: vec![], expected: None },
+        Case { name: "voter and learner silent", voters: &[1, 2, 3], learners: &[4], silent: &[(2, 5), (4, 5)], join_requests: vec![], expected: None },
+        Case { name: "too few voters", voters: &[1, 2], learners: &[4], silent: &[], join_requests: vec![], expected: Some(MembershipChange::Promote(4)) },
+        Case { name: "too few voters, learner silent", voters: &[1, 2], learners: &[4], silent: &[(4, 5)], join_requests: vec![], expected: None },
+        Case { name: "a learner silent for long", voters: &[1, 2, 3], learners: &[4], silent: &[(4, 11)], join_requests: vec![], expected: Some(MembershipChange::Remove(4)) },
+        Case { name: "a voter with a wiped disk", voters: &[1, 2, 3], learners: &[], silent: &[], join_requests: vec![wiped], expected: Some(MembershipChange::Replace { old: 2, new: wiped }) },
+        Case { name: "the leader does not count as silent", voters: &[1, 2, 3], learners: &[4], silent: &[(1, 60)], join_requests: vec![], expected: None },
     ];
     for case in cases {
         let status = status(case.voters, case.learners, case.silent);
-        let expected = Steward::default().next(&status, &joiners(&case.joiners));
+        let expected = MembershipPolicy::default().next_change(&status, &join_requests(&case.join_requests));
         assert_eq!(expected, case.expected, "{}", case.name);
     }
 }
@@ -98,7 +98,7 @@
             ..status(&[1, 2], &[4], &[])
         };
         assert_eq!(
-            Steward::default().next(&status, &joiners(&[peer(5)])),
+            MembershipPolicy::default().next_change(&status, &join_requests(&[peer(5)])),
             None,
             "{role}"
         );
--- a/crates/quorum/tests/schedule/checker.rs
+++ b/crates/quorum/tests/schedule/checker.rs
@@ -66,7 +66,7 @@
     leases: BTreeMap<MemberId, Duration>,
     requests: BTreeMap<RequestId, Request>,
     /// Outcomes of completed membership changes and of rejected requests.
-    pub outcomes: BTreeMap<RequestId, Result<(), Reason>>,
+    pub outcomes: BTreeMap<RequestId, Result<(), RejectReason>>,
 }
 
 impl Checker {
--- a/crates/quorum/tests/schedule/node.rs
+++ b/crates/quorum/tests/schedule/node.rs
@@ -106,10 +106,10 @@
 }
 
 /// A configuration with small limits, so that few entries reach them.
-pub fn config(founder: bool, fault: Option<Fault>) -> Config {
+pub fn config(may_bootstrap: bool, fault: Option<Fault>) -> Config {
     Config {
         peers: (0..8).collect(),
-        founder,
+        may_bootstrap,
         max_message_bytes: 64,
         max_inflight_messages: 3,
         snapshot_threshold_entries: 12,
--- a/crates/quorum/tests/schedule/simulation.rs
+++ b/crates/quorum/tests/schedule/simulation.rs
@@ -101,8 +101,8 @@
     }
 
     fn start(&mut self, index: usize) {
-        let founder = self.schedule.voters == 0 && index == 0;
-        let mut config = config(founder, self.schedule.fault);
+        let may_bootstrap = self.schedule.voters == 0 && index == 0;
+        let mut config = config(may_bootstrap, self.schedule.fault);
         config.peers = self.nodes.iter().map(|node| node.peer.id).collect();
         let seed = self.rng.random();
         self.nodes[index].start(config, seed, self.now);
@@ -231,7 +231,7 @@
             Action::NeedSnapshot => return Ok(Some(self.snapshot(index))),
             Action::Rejected { id, reason, .. } => {
                 self.checker.outcomes.insert(id, Err(reason));
-                if reason != Reason::Unknown {
+                if reason != RejectReason::Unknown {
                     self.checker.request_rejected(id)?;
                 }
             }
@@ -242,7 +242,7 @@
                     .map_or(0, |c| c.status().applied);
                 self.checker.read_completed(id, applied)?;
             }
-            Action::Joining(peer) if self.admit_joiners => {
+            Action::JoinRequested(peer) if self.admit_joiners => {
                 return Ok(Some(self.admit(index, peer)));
             }
             Action::Role {
@@ -250,8 +250,8 @@
                 term,
                 ..
             } => self.checker.leader_elected(peer, term)?,
-            Action::Changed { id } => drop(self.checker.outcomes.insert(id, Ok(()))),
-            Action::Joining(_) | Action::Role { .. } => {}
+            Action::MembershipChanged { id } => drop(self.checker.outcomes.insert(id, Ok(()))),
+            Action::JoinRequested(_) | Action::Role { .. } => {}
         }
         Ok(None)
     }
@@ -319,14 +319,14 @@
     fn admit(&mut self, index: usize, peer: Peer) -> Event {
         let members = self.members(index);
         let change = if members.contains_key(&peer.id) {
-            Change::Replace {
+            MembershipChange::Replace {
                 old: peer.id,
                 new: peer,
             }
         } else {
-            Change::Add(peer)
+            MembershipChange::Add(peer)
         };
-        Event::Change {
+        Event::ChangeMembership {
             id: self.request(),
             change,
         }
@@ -498,19 +498,19 @@
     fn execute_change(&mut self, kind: ChangeKind, a: usize, b: usize) -> Check {
         let (a, b) = (self.nodes[a].peer, self.nodes[b].peer);
         let change = match kind {
-            ChangeKind::Add => Change::Add(a),
-            ChangeKind::Promote => Change::Promote(a.id),
-            ChangeKind::Remove => Change::Remove(a.id),
-            ChangeKind::Replace => Change::Replace { old: a.id, new: b },
+            ChangeKind::Add => MembershipChange::Add(a),
+            ChangeKind::Promote => MembershipChange::Promote(a.id),
+            ChangeKind::Remove => MembershipChange::Remove(a.id),
+            ChangeKind::Replace => MembershipChange::Replace { old: a.id, new: b },
         };
         self.change(change).map(drop)
     }
 
     /// Requests a membership change from the leader.
-    pub fn change(&mut self, change: Change) -> Result<RequestId, Violation> {
+    pub fn change(&mut self, change: MembershipChange) -> Result<RequestId, Violation> {
         let id = self.request();
         if let Some(leader) = self.leader() {
-            self.handle(leader, Event::Change { id, change })?;
+            self.handle(leader, Event::ChangeMembership { id, change })?;
         }
         Ok(id)
     }
