--- a/crates/control/examples/scale.rs
+++ b/crates/control/examples/scale.rs
@@ -12,7 +12,7 @@
 use cornelhitch_control::replicas::Decide;
 use cornelhitch_planner::Planner;
 use cornelhitch_planner::decision::Decision;
-use cornelhitch_planner::picture::Picture;
+use cornelhitch_planner::fleet_state::FleetState;
 use cornelhitch_types::demand::{Demand, Report};
 use cornelhitch_types::entry;
 use cornelhitch_types::id::Time;
@@ -35,7 +35,7 @@
 struct Idle;
 
 impl Planner for Idle {
-    fn plan(&mut self, _: &Picture, _: Time) -> Vec<Decision> {
+    fn plan(&mut self, _: &FleetState, _: Time) -> Vec<Decision> {
         Vec::new()
     }
 
--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use cornelhitch_planner::picture;
+use cornelhitch_planner::fleet_state;
 use cornelhitch_types::demand::{Demand, Report};
 use cornelhitch_types::id::{HostId, Incarnation, ModelId, Name, RegionId, Time};
 
@@ -175,8 +175,8 @@
     }
 
     /// Returns the rows of the planner's input; arrivals count since the last call.
-    pub(crate) fn rows(&mut self) -> Vec<picture::Demand> {
-        let mut rows: BTreeMap<RegionalKey, picture::Demand> = BTreeMap::new();
+    pub(crate) fn rows(&mut self) -> Vec<fleet_state::Demand> {
+        let mut rows: BTreeMap<RegionalKey, fleet_state::Demand> = BTreeMap::new();
         for host in self.hosts.values() {
             for demand in &host.rows {
                 let regional = RegionalKey {
@@ -262,8 +262,8 @@
 }
 
 /// Returns a row without requests.
-fn empty_row(regional: &RegionalKey) -> picture::Demand {
-    picture::Demand {
+fn empty_row(regional: &RegionalKey) -> fleet_state::Demand {
+    fleet_state::Demand {
         model: regional.key.model.clone(),
         version: regional.key.version.clone(),
         region: regional.region.clone(),
@@ -277,7 +277,7 @@
 }
 
 /// Adds one host's demand to a row.
-fn add_demand(row: &mut picture::Demand, demand: &Demand, received: Time) {
+fn add_demand(row: &mut fleet_state::Demand, demand: &Demand, received: Time) {
     row.waiting = row.waiting.saturating_add(demand.waiting);
     row.running = row.running.saturating_add(demand.running);
     if demand.waiting > 0 {
--- a/crates/control/src/hosting.rs
+++ b/crates/control/src/hosting.rs
@@ -10,7 +10,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use cornelhitch_planner::hosting::{self, Action, Mean, Policy, Rate, Scene, Step, Wish};
+use cornelhitch_planner::hosting::{
+    self, Action, ArrivalRate, ModelDemand, PlannedOrder, Policy, RunningMean, ServiceState,
+};
 use cornelhitch_types::id::{Incarnation, ModelId, Name, TargetId, Time, Version};
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::order::{self, Order, Outcome};
@@ -45,9 +47,9 @@
 #[derive(Debug, Clone, Copy)]
 struct MeanDemand {
     /// The arrival rate.
-    rate: Rate,
+    rate: ArrivalRate,
     /// Requests that wait or are in progress.
-    load: Mean,
+    load: RunningMean,
 }
 
 /// The models of a service by id.
@@ -158,12 +160,12 @@
     fn update_demand(&mut self, model: &ModelId, total: &Total, now: Time) -> MeanDemand {
         let mean = self.mean_demand.entry(model.clone());
         let mean = mean.or_insert_with(|| MeanDemand {
-            rate: Rate::new(0, now),
-            load: Mean::new(now),
+            rate: ArrivalRate::new(0, now),
+            load: RunningMean::new(now),
         });
-        mean.rate.count(total.arrivals, now);
+        mean.rate.update(total.arrivals, now);
         mean.load
-            .take(f64::from(total.waiting + total.running), now);
+            .update(f64::from(total.waiting + total.running), now);
         *mean
     }
 }
@@ -302,44 +304,44 @@
         ctx: &mut Context,
     ) {
         let models = self.hosting.models(table, service, engine);
-        let mut wishes = BTreeMap::new();
+        let mut demand = BTreeMap::new();
         for id in models.keys() {
             let total = totals.get(id).cloned().unwrap_or_default();
             let mean = self.hosting.update_demand(id, &total, ctx.now);
-            wishes.insert(
+            demand.insert(
                 id.clone(),
-                Wish {
+                ModelDemand {
                     waiting: total.waiting,
                     running: total.running,
                     load: mean.load.value(),
                     rate: mean.rate.per_second(),
-                    slack: total.slack,
+                    time_to_deadline: total.slack,
                     weight: total.weight,
                     adapters: total.adapters,
                 },
             );
         }
         let workers = self.policy_workers(service, ctx);
-        let fetching = self
+        let store_loads_in_flight = self
             .hosting
             .workers
             .values()
             .filter(|it| it.fetches())
             .count();
-        let scene = Scene {
+        let service_state = ServiceState {
             engine,
             models: &models,
             workers,
-            wishes,
-            fetching: u32::try_from(fetching).unwrap_or(u32::MAX),
+            demand,
+            store_loads_in_flight: u32::try_from(store_loads_in_flight).unwrap_or(u32::MAX),
             store_open: self.is_storage_known(ctx) && self.hosting.store_open(engine, ctx.now),
         };
         let policy = self.hosting.policies.entry(service.clone()).or_default();
-        let steps = policy.plan(&scene);
-        let store_only = scene.distant().into_iter().cloned();
+        let steps = policy.plan(&service_state);
+        let store_only = service_state.store_only_models().into_iter().cloned();
         let store_only = store_only.map(|id| (models[&id].from_store, id));
         let store_only = store_only.map(|(load_time, id)| (id, load_time)).collect();
-        drop(scene);
+        drop(service_state);
         if self.is_storage_known(ctx) {
             self.publish_store_only(service, store_only);
         }
@@ -393,10 +395,10 @@
                 target: target.clone(),
                 region: announcement.region.clone(),
                 held: held(last_heartbeat, worker_orders),
-                near: worker_orders.nearest.clone(),
-                coming: worker_orders.loading_model().cloned(),
+                local_copies: worker_orders.nearest.clone(),
+                loading: worker_orders.loading_model().cloned(),
                 // Before its first heartbeat to this leader, the worker's local storage is unknown.
-                free_in: worker_orders
+                time_until_free: worker_orders
                     .free_in(ctx.now)
                     .filter(|_| last_heartbeat.sequence > 0),
                 open: !known.leaving && worker.is_open(),
@@ -406,7 +408,7 @@
     }
 
     /// Sends one order.
-    fn send_hosted_order(&mut self, models: &Models, step: Step, ctx: &mut Context) {
+    fn send_hosted_order(&mut self, models: &Models, step: PlannedOrder, ctx: &mut Context) {
         let now = ctx.now;
         let Some(worker_orders) = self.hosting.workers.get_mut(&step.target) else {
             return;
--- a/crates/control/src/hosting/worker_orders.rs
+++ b/crates/control/src/hosting/worker_orders.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use cornelhitch_planner::hosting::{Action, Held};
+use cornelhitch_planner::hosting::{Action, HeldModel};
 use cornelhitch_types::id::{Incarnation, ModelId, Name, Time};
 use cornelhitch_types::order::{Order, Outcome, Reply};
 use cornelhitch_types::target::{Holding, Stage};
@@ -275,23 +275,23 @@
 }
 
 /// Returns what a worker holds in accelerator memory.
-pub(super) fn held(last_heartbeat: &LastHeartbeat, orders: &WorkerOrders) -> Vec<Held> {
+pub(super) fn held(last_heartbeat: &LastHeartbeat, orders: &WorkerOrders) -> Vec<HeldModel> {
     let ready = last_heartbeat
         .inventory
         .iter()
         .filter(|it| it.stage == Stage::Ready);
-    let held = ready.map(|holding| Held {
+    let held = ready.map(|holding| HeldModel {
         model: holding.model.model.clone(),
         adapters: orders.adapters(holding, false),
-        leaving: orders.unloads(&holding.model.model),
+        unloading: orders.unloads(&holding.model.model),
     });
     // A model that no heartbeat shows takes memory and gets no requests.
     let not_shown = orders.not_shown(last_heartbeat).into_iter();
     let not_shown = not_shown.filter(|model| orders.loading_model() != Some(model));
-    let not_shown = not_shown.map(|model| Held {
+    let not_shown = not_shown.map(|model| HeldModel {
         model,
         adapters: Vec::new(),
-        leaving: true,
+        unloading: true,
     });
     held.chain(not_shown).collect()
 }
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -21,13 +21,13 @@
 ///
 /// ```
 /// use cornelhitch_control::prelude::*;
-/// use cornelhitch_planner::{Planner, decision::Decision, picture::Picture};
+/// use cornelhitch_planner::{Planner, decision::Decision, fleet_state::FleetState};
 /// use cornelhitch_types::id::Time;
 ///
 /// struct Nothing;
 ///
 /// impl Planner for Nothing {
-///     fn plan(&mut self, _: &Picture, _: Time) -> Vec<Decision> {
+///     fn plan(&mut self, _: &FleetState, _: Time) -> Vec<Decision> {
 ///         Vec::new()
 ///     }
 ///     fn explain(&self, _: &str, _: Time) -> Vec<String> {
--- a/crates/control/src/output.rs
+++ b/crates/control/src/output.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cornelhitch_planner::hosting::Step;
+use cornelhitch_planner::hosting::PlannedOrder;
 use cornelhitch_types::id::{HostId, Incarnation, TargetId, Version};
 use cornelhitch_types::order::Order;
 use cornelhitch_types::view::View;
@@ -56,7 +56,7 @@
         version: Version,
     },
     /// A placement step was decided, for the log; its order follows separately.
-    Decided(Step),
+    Decided(PlannedOrder),
     /// Inspect a worker: ask how many orders it has accepted and what it holds.
     Inspect {
         /// The worker to inspect.
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -31,14 +31,14 @@
         self.last_plan = Some(ctx.now);
         self.plan_requested = false;
         let adapters = u32::try_from(self.adapters.len()).unwrap_or(u32::MAX);
-        let picture = self.planner_input.refresh(
+        let fleet_state = self.planner_input.refresh(
             &self.workers,
             &mut self.replica_orders,
             &mut self.demand,
             adapters,
             ctx,
         );
-        let decisions = planner.plan(picture, ctx.now);
+        let decisions = planner.plan(fleet_state, ctx.now);
         let mut taken = Taken::new();
         for decision in decisions {
             self.apply_decision(decision, &mut taken, ctx);
--- a/crates/control/src/planner_input.rs
+++ b/crates/control/src/planner_input.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cornelhitch_planner::picture::{Copy, Picture, Quiet, Replica, Worker};
+use cornelhitch_planner::fleet_state::{FleetState, LoadCooldown, Replica, WeightCopy, Worker};
 use cornelhitch_types::id::{ModelId, ReplicaId, TargetId, Time};
 use cornelhitch_types::target::{Kind, Stage};
 use cornelhitch_types::view::State;
@@ -15,7 +15,7 @@
 /// The planner's input, and which parts of it are out of date.
 #[derive(Debug, Default)]
 pub(crate) struct PlannerInput {
-    picture: Picture,
+    fleet_state: FleetState,
     stale_workers: BTreeSet<TargetId>,
     stale_replicas: BTreeSet<ReplicaId>,
 }
@@ -40,8 +40,8 @@
         demand: &mut DemandTracker,
         adapters: u32,
         ctx: &Context,
-    ) -> &Picture {
-        self.picture.settings = ctx.state.catalogue().fleet().clone();
+    ) -> &FleetState {
+        self.fleet_state.settings = ctx.state.catalogue().fleet().clone();
         for target in std::mem::take(&mut self.stale_workers) {
             self.refresh_worker(&target, workers, ctx);
         }
@@ -49,22 +49,22 @@
             self.refresh_replica(replica, replica_orders, ctx);
         }
         self.count_running(workers, replica_orders, demand, ctx);
-        self.picture.demand = demand.rows();
-        self.picture.adapters_in_flight = adapters;
-        &self.picture
+        self.fleet_state.demand = demand.rows();
+        self.fleet_state.adapters_in_flight = adapters;
+        &self.fleet_state
     }
 
     /// Inserts, replaces or removes a worker.
     fn refresh_worker(&mut self, target: &TargetId, workers: &Workers, ctx: &Context) {
         let position = self
-            .picture
+            .fleet_state
             .workers
             .binary_search_by(|it| it.target.cmp(target));
         match (position, planner_worker(target, workers, ctx)) {
-            (Ok(at), Some(worker)) => self.picture.workers[at] = worker,
-            (Err(at), Some(worker)) => self.picture.workers.insert(at, worker),
+            (Ok(at), Some(worker)) => self.fleet_state.workers[at] = worker,
+            (Err(at), Some(worker)) => self.fleet_state.workers.insert(at, worker),
             (Ok(at), None) => {
-                self.picture.workers.remove(at);
+                self.fleet_state.workers.remove(at);
             }
             (Err(_), None) => {}
         }
@@ -73,14 +73,14 @@
     /// Inserts, replaces or removes a replica.
     fn refresh_replica(&mut self, id: ReplicaId, replica_orders: &OrdersByReplica, ctx: &Context) {
         let position = self
-            .picture
+            .fleet_state
             .replicas
             .binary_search_by(|it| it.replica.cmp(&id));
         match (position, planner_replica(id, replica_orders, ctx)) {
-            (Ok(at), Some(replica)) => self.picture.replicas[at] = replica,
-            (Err(at), Some(replica)) => self.picture.replicas.insert(at, replica),
+            (Ok(at), Some(replica)) => self.fleet_state.replicas[at] = replica,
+            (Err(at), Some(replica)) => self.fleet_state.replicas.insert(at, replica),
             (Ok(at), None) => {
-                self.picture.replicas.remove(at);
+                self.fleet_state.replicas.remove(at);
             }
             (Err(_), None) => {}
         }
@@ -95,10 +95,10 @@
         ctx: &Context,
     ) {
         let mut peers: BTreeMap<ModelId, u32> = BTreeMap::new();
-        for replica in self.picture.replicas.iter().filter(|it| is_used(it)) {
+        for replica in self.fleet_state.replicas.iter().filter(|it| is_used(it)) {
             *peers.entry(replica.model.clone()).or_default() += 1;
         }
-        for replica in &mut self.picture.replicas {
+        for replica in &mut self.fleet_state.replicas {
             // Requests reported by hosts out of contact have ended if the worker is idle.
             let worker = workers.get(&replica.target);
             let running = if worker.is_some_and(KnownWorker::is_idle) {
@@ -115,7 +115,7 @@
             }
             let peers = peers.get(&replica.model).copied().unwrap_or(1);
             replica.running = running.div_ceil(peers);
-            replica.used = ctx.now;
+            replica.last_used = ctx.now;
             if let Some(orders) = replica_orders.get_mut(&replica.replica) {
                 orders.last_used = ctx.now;
             }
@@ -143,7 +143,7 @@
         .iter()
         .flat_map(|last_heartbeat| &last_heartbeat.inventory);
     let copies = inventory.filter(|it| matches!(it.stage, Stage::Disk | Stage::Memory));
-    let copies = copies.map(|it| Copy {
+    let copies = copies.map(|it| WeightCopy {
         model: it.model.model.clone(),
         stage: it.stage,
     });
@@ -154,9 +154,9 @@
         memory: announcement.memory,
         free: announcement.memory.saturating_sub(taken),
         accelerators: announcement.accelerators,
-        open: worker.is_loadable() && !known.silent,
+        accepts_loads: worker.is_loadable() && !known.silent,
         copies: copies.collect(),
-        quiet: quiet_models(target, worker, ctx),
+        cooldowns: quiet_models(target, worker, ctx),
     })
 }
 
@@ -169,18 +169,18 @@
 }
 
 /// Returns the models that must not be loaded on a worker for a while.
-fn quiet_models(target: &TargetId, worker: &KnownWorker, ctx: &Context) -> Vec<Quiet> {
+fn quiet_models(target: &TargetId, worker: &KnownWorker, ctx: &Context) -> Vec<LoadCooldown> {
     let committed = ctx.state.replicas().quiet();
     let committed = committed.filter(|it| it.target == *target);
-    let committed = committed.map(|it| Quiet {
+    let committed = committed.map(|it| LoadCooldown {
         model: it.model.clone(),
         until: ctx.now + HEARTBEAT_INTERVAL * heartbeats_until(it.until, worker.sequence()),
     });
-    let backoff = worker.backoff.iter().map(|it| Quiet {
+    let backoff = worker.backoff.iter().map(|it| LoadCooldown {
         model: it.model.clone(),
         until: it.until,
     });
-    let orphans = worker.orphans.iter().map(|it| Quiet {
+    let orphans = worker.orphans.iter().map(|it| LoadCooldown {
         model: it.model.model.clone(),
         until: ctx.now + ctx.timing.load_backoff,
     });
@@ -208,11 +208,11 @@
         target: replica.target.clone(),
         bytes: replica.bytes,
         state: replica.state,
-        decided: replica.decided,
-        ready: replica.ready,
+        decided_at: replica.decided,
+        ready_at: replica.ready,
         from: orders.map_or(Stage::Remote, |orders| orders.from),
         running: 0,
-        used: orders.map_or(replica.decided, |orders| orders.last_used),
+        last_used: orders.map_or(replica.decided, |orders| orders.last_used),
         adapters: orders.map(|it| it.adapters.clone()).unwrap_or_default(),
     })
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use cornelhitch_control::prelude::*;
 use cornelhitch_planner::Planner;
 use cornelhitch_planner::decision::{self, Decision, Reason};
-use cornelhitch_planner::picture::{Picture, Worker};
+use cornelhitch_planner::fleet_state::{FleetState, Worker};
 use cornelhitch_types::demand::{Demand, Report};
 use cornelhitch_types::entry;
 use cornelhitch_types::id::{HostId, ReplicaId, Time};
@@ -140,24 +140,29 @@
 pub struct DemandPlanner;
 
 impl Planner for DemandPlanner {
-    fn plan(&mut self, picture: &Picture, _: Time) -> Vec<Decision> {
+    fn plan(&mut self, fleet_state: &FleetState, _: Time) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        for demand in picture.demand.iter().filter(|it| it.waiting > 0) {
-            let Some(model) = picture.settings.model(&demand.model) else {
+        for demand in fleet_state.demand.iter().filter(|it| it.waiting > 0) {
+            let Some(model) = fleet_state.settings.model(&demand.model) else {
                 continue;
             };
-            let standing = picture.replicas.iter().filter(|it| it.model == model.name);
+            let standing = fleet_state
+                .replicas
+                .iter()
+                .filter(|it| it.model == model.name);
             let wanted = demand.waiting.div_ceil(4) as usize;
-            if standing.count() >= wanted || !picture.settings.managed(model) {
+            if standing.count() >= wanted || !fleet_state.settings.managed(model) {
                 continue;
             }
             let fits = |it: &&Worker| {
-                let present = |replica: &cornelhitch_planner::picture::Replica| {
+                let present = |replica: &cornelhitch_planner::fleet_state::Replica| {
                     replica.target == it.target && replica.model == model.name
                 };
-                it.open && it.free >= model.bytes && !picture.replicas.iter().any(present)
+                it.accepts_loads
+                    && it.free >= model.bytes
+                    && !fleet_state.replicas.iter().any(present)
             };
-            if let Some(worker) = picture.workers.iter().find(fits) {
+            if let Some(worker) = fleet_state.workers.iter().find(fits) {
                 decisions.push(decision::Action::Load {
                     model: model.name.clone(),
                     version: None,
@@ -166,13 +171,13 @@
                 });
             }
         }
-        for replica in picture
+        for replica in fleet_state
             .replicas
             .iter()
             .filter(|it| it.state == ReplicaState::Ready)
         {
-            let same = |it: &&cornelhitch_planner::picture::Demand| it.model == replica.model;
-            let demand = picture.demand.iter().filter(same);
+            let same = |it: &&cornelhitch_planner::fleet_state::Demand| it.model == replica.model;
+            let demand = fleet_state.demand.iter().filter(same);
             let wanted: u32 = demand.map(|it| it.waiting + it.running).sum();
             if wanted == 0 {
                 decisions.push(decision::Action::Unload {
--- a/crates/node/src/control/leading.rs
+++ b/crates/node/src/control/leading.rs
@@ -117,8 +117,8 @@
             } => self.grant_lease(host, incarnation, length, version),
             Output::Decided(step) => tracing::info!(
                 target = &*step.target, action = ?step.action, reason = %step.reason,
-                waiting = step.wish.waiting, running = step.wish.running,
-                rate = step.wish.rate, copies = step.copies, "decided on an order"
+                waiting = step.demand.waiting, running = step.demand.running,
+                rate = step.demand.rate, copies = step.copies, "decided on an order"
             ),
             Output::Inspect {
                 target,
--- a/crates/planner/examples/hosting.rs
+++ b/crates/planner/examples/hosting.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cornelhitch_planner::hosting::{Held, Policy, Scene, Wish, Worker};
+use cornelhitch_planner::hosting::{HeldModel, ModelDemand, Policy, ServiceState, Worker};
 use cornelhitch_types::id::ModelId;
 use cornelhitch_types::route::{Engine, Model};
 use cornelhitch_types::target::Stage;
@@ -50,36 +50,36 @@
 /// Creates a full worker with random models.
 fn worker(index: usize, models: usize, random: &mut SmallRng) -> Worker {
     let near: Vec<usize> = (0..NEAR).map(|_| random.random_range(0..models)).collect();
-    let held = near.iter().take(HELD).map(|model| Held {
+    let held = near.iter().take(HELD).map(|model| HeldModel {
         model: name(*model),
         adapters: Vec::new(),
-        leaving: false,
+        unloading: false,
     });
     Worker {
         target: format!("worker-{index:05}").into(),
         region: "perth".into(),
         held: held.collect(),
-        near: Arc::new(
+        local_copies: Arc::new(
             near.iter()
                 .map(|model| (name(*model), Stage::Disk))
                 .collect(),
         ),
-        coming: None,
-        free_in: Some(Duration::ZERO),
+        loading: None,
+        time_until_free: Some(Duration::ZERO),
         open: true,
     }
 }
 
 /// Creates the demand for a model; requests are waiting for one model in ten.
-fn wish(index: usize, random: &mut SmallRng) -> Wish {
+fn model_demand(index: usize, random: &mut SmallRng) -> ModelDemand {
     let rate = 20.0 / f64::from(u32::try_from(index + 1).unwrap_or(u32::MAX));
-    Wish {
+    ModelDemand {
         waiting: u32::from(index % 10 == 9),
         running: random.random_range(0..4),
         load: rate / 2.0,
         rate,
-        slack: Duration::from_secs(4),
-        ..Wish::default()
+        time_to_deadline: Duration::from_secs(4),
+        ..ModelDemand::default()
     }
 }
 
@@ -98,21 +98,21 @@
     for (workers, count) in SIZES {
         let mut random = SmallRng::seed_from_u64(1);
         let models: BTreeMap<ModelId, Model> = (0..count).map(|it| (name(it), model(it))).collect();
-        let scene = Scene {
+        let service_state = ServiceState {
             engine: &engine,
             models: &models,
             workers: (0..workers)
                 .map(|it| worker(it, count, &mut random))
                 .collect(),
-            wishes: (0..count)
-                .map(|it| (name(it), wish(it, &mut random)))
+            demand: (0..count)
+                .map(|it| (name(it), model_demand(it, &mut random)))
                 .collect(),
-            fetching: 0,
+            store_loads_in_flight: 0,
             store_open: true,
         };
         let before = thread_cpu_ns();
         for _ in 0..PLANS {
-            std::hint::black_box(Policy::default().plan(&scene));
+            std::hint::black_box(Policy::default().plan(&service_state));
         }
         let us_per_plan = (thread_cpu_ns() - before) / u64::from(PLANS) / 1_000;
         println!("{workers:7} {count:7} {us_per_plan:10}");
--- a/crates/planner/examples/replay/host.rs
+++ b/crates/planner/examples/replay/host.rs
@@ -1,6 +1,6 @@
 //! Simulated workers and their caches in host memory and on disk.
 
-use cornelhitch_planner::picture::{Copy, Worker};
+use cornelhitch_planner::fleet_state::{WeightCopy, Worker};
 use cornelhitch_types::id::{ModelId, RegionId};
 use cornelhitch_types::target::Stage;
 
@@ -41,9 +41,9 @@
     }
 
     /// Returns the copies as the worker reports them.
-    pub fn copies(&self) -> Vec<Copy> {
-        let list = |cache: &Cache, stage: Stage| -> Vec<Copy> {
-            let copy = |model: &ModelId| Copy {
+    pub fn copies(&self) -> Vec<WeightCopy> {
+        let list = |cache: &Cache, stage: Stage| -> Vec<WeightCopy> {
+            let copy = |model: &ModelId| WeightCopy {
                 model: model.clone(),
                 stage,
             };
@@ -75,8 +75,8 @@
         memory: ACCELERATOR_MEMORY,
         free: ACCELERATOR_MEMORY,
         accelerators: ACCELERATORS,
-        open: true,
+        accepts_loads: true,
         copies: Vec::new(),
-        quiet: Vec::new(),
+        cooldowns: Vec::new(),
     }
 }
--- a/crates/planner/examples/replay/run.rs
+++ b/crates/planner/examples/replay/run.rs
@@ -40,8 +40,8 @@
         world.step(STEP);
         steps += 1;
         if event || steps % IDLE_STEPS_PER_PLAN == 0 {
-            let picture = world.picture();
-            for decision in planner.plan(&picture, world.now) {
+            let fleet_state = world.fleet_state();
+            for decision in planner.plan(&fleet_state, world.now) {
                 world.apply(&decision);
             }
         }
--- a/crates/planner/examples/replay/stats.rs
+++ b/crates/planner/examples/replay/stats.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cornelhitch_planner::picture::Replica;
+use cornelhitch_planner::fleet_state::Replica;
 use cornelhitch_settings::fleet::Fleet;
 use cornelhitch_types::id::Time;
 use cornelhitch_types::target::Stage;
--- a/crates/planner/examples/replay/world.rs
+++ b/crates/planner/examples/replay/world.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use cornelhitch_planner::decision::{Action, Decision};
-use cornelhitch_planner::picture::{Demand, Picture, Replica, Worker};
+use cornelhitch_planner::fleet_state::{Demand, FleetState, Replica, Worker};
 use cornelhitch_settings::fleet::{Fleet, Model};
 use cornelhitch_types::id::{ModelId, Name, RegionId, ReplicaId, Time};
 use cornelhitch_types::target::Stage;
@@ -163,8 +163,8 @@
             };
             if work.load_left_s <= 0.0 {
                 replica.state = State::Ready;
-                replica.ready = Some(self.now);
-                replica.used = self.now;
+                replica.ready_at = Some(self.now);
+                replica.last_used = self.now;
             }
         }
     }
@@ -177,7 +177,7 @@
             work.ends.retain(|end| *end > now);
             replica.running = u32::try_from(work.ends.len()).unwrap_or(u32::MAX);
             if replica.running > 0 {
-                replica.used = now;
+                replica.last_used = now;
             }
         }
         let gone = |replica: &Replica| replica.state == State::Retiring && replica.running == 0;
@@ -206,7 +206,7 @@
                 let work = self.work.entry(replica.replica).or_default();
                 work.ends.push(self.now + waiting.call.service);
                 replica.running += 1;
-                replica.used = self.now;
+                replica.last_used = self.now;
                 self.stats
                     .record_start(waiting.call.at, waiting.cold, self.now);
                 queue.pop_front();
@@ -230,7 +230,7 @@
     /// Fails a worker: its accelerator and host memory are lost, its disk is not.
     pub fn fail(&mut self, worker: usize) {
         let target = self.workers[worker].target.clone();
-        self.workers[worker].open = false;
+        self.workers[worker].accepts_loads = false;
         self.workers[worker].free = self.workers[worker].memory;
         self.caches[worker].lose_host_memory();
         self.replicas.retain(|replica| replica.target != target);
@@ -238,11 +238,11 @@
 
     /// Brings a failed worker back.
     pub fn restore(&mut self, worker: usize) {
-        self.workers[worker].open = true;
+        self.workers[worker].accepts_loads = true;
     }
 
     /// Returns the planner's input.
-    pub fn picture(&mut self) -> Picture {
+    pub fn fleet_state(&mut self) -> FleetState {
         let mut workers = self.workers.clone();
         for (worker, caches) in workers.iter_mut().zip(&self.caches) {
             worker.copies = caches.copies();
@@ -267,7 +267,7 @@
             let row = demand.entry(key.clone()).or_insert_with(|| row(&key));
             row.running += replica.running;
         }
-        Picture {
+        FleetState {
             settings: Arc::clone(&self.fleet),
             workers,
             replicas: self.replicas.clone(),
@@ -332,11 +332,11 @@
             target: self.workers[worker].target.clone(),
             bytes,
             state: State::Loading,
-            decided: self.now,
-            ready: None,
+            decided_at: self.now,
+            ready_at: None,
             from,
             running: 0,
-            used: self.now,
+            last_used: self.now,
             adapters: Vec::new(),
         });
         self.next += 1;
--- a/crates/planner/examples/scale.rs
+++ b/crates/planner/examples/scale.rs
@@ -7,7 +7,7 @@
 
 use cornelhitch_planner::Planner;
 use cornelhitch_planner::decision::{Action, Decision};
-use cornelhitch_planner::picture::{Copy, Demand, Picture, Replica, Worker};
+use cornelhitch_planner::fleet_state::{Demand, FleetState, Replica, WeightCopy, Worker};
 use cornelhitch_planner::policy::Policy;
 use cornelhitch_settings::fleet::{Fleet, Model};
 use cornelhitch_types::target::Stage;
@@ -65,12 +65,12 @@
 }
 
 /// Creates a fleet with a replica on every worker and random copies on disk.
-fn picture(workers: usize, accelerators: u32, random: &mut SmallRng) -> Picture {
+fn fleet_state(workers: usize, accelerators: u32, random: &mut SmallRng) -> FleetState {
     let fleet = fleet();
     let each = accelerators / u32::try_from(workers).expect("a small count");
-    let mut picture = Picture::default();
+    let mut fleet_state = FleetState::default();
     for index in 0..workers {
-        let copies = (0..6).map(|_| Copy {
+        let copies = (0..6).map(|_| WeightCopy {
             model: fleet.models[random.random_range(0..MODELS)].name.clone(),
             stage: Stage::Disk,
         });
@@ -81,41 +81,41 @@
             memory: u64::from(each) * 24 * GIB,
             free: u64::from(each) * 24 * GIB,
             accelerators: each,
-            open: true,
+            accepts_loads: true,
             copies: copies.collect(),
-            quiet: Vec::new(),
+            cooldowns: Vec::new(),
         };
         let model = &fleet.models[index % (MODELS - 9)];
         worker.free -= model.bytes;
-        picture.replicas.push(Replica {
+        fleet_state.replicas.push(Replica {
             replica: index as u64,
             model: model.name.clone(),
             version: None,
             target: worker.target.clone(),
             bytes: model.bytes,
             state: State::Ready,
-            decided: Duration::ZERO,
-            ready: Some(Duration::ZERO),
+            decided_at: Duration::ZERO,
+            ready_at: Some(Duration::ZERO),
             from: Stage::Disk,
             running: random.random_range(0..4),
-            used: Duration::ZERO,
+            last_used: Duration::ZERO,
             adapters: model.adapters[..3].to_vec(),
         });
-        picture.workers.push(worker);
+        fleet_state.workers.push(worker);
     }
-    picture.settings = Arc::new(fleet);
-    picture
+    fleet_state.settings = Arc::new(fleet);
+    fleet_state
 }
 
 /// Generates demand for every model from every region; requests wait for about a third of the models.
-fn demand(picture: &mut Picture, now: Duration, random: &mut SmallRng) {
-    let most = u32::try_from(picture.workers.len() / 20).expect("a small count");
-    picture.demand.clear();
-    for model in &picture.settings.models {
+fn demand(fleet_state: &mut FleetState, now: Duration, random: &mut SmallRng) {
+    let most = u32::try_from(fleet_state.workers.len() / 20).expect("a small count");
+    fleet_state.demand.clear();
+    for model in &fleet_state.settings.models {
         let waits = random.random_bool(0.3);
         for region in REGIONS {
             let named = random.random_range(0..model.adapters.len());
-            picture.demand.push(Demand {
+            fleet_state.demand.push(Demand {
                 model: model.name.clone(),
                 version: None,
                 region: region.into(),
@@ -135,27 +135,27 @@
 }
 
 /// Applies decisions, after finishing the loads and unloads of the previous plan.
-fn apply(picture: &mut Picture, decisions: &[Decision], now: Duration) {
+fn apply(fleet_state: &mut FleetState, decisions: &[Decision], now: Duration) {
     let gone = |replica: &Replica| replica.state == State::Retiring;
-    for replica in picture
+    for replica in fleet_state
         .replicas
         .iter_mut()
         .filter(|r| r.state == State::Loading)
     {
         replica.state = State::Ready;
-        replica.ready = Some(now);
+        replica.ready_at = Some(now);
     }
-    for replica in picture.replicas.iter().filter(|replica| gone(replica)) {
-        let place = picture
+    for replica in fleet_state.replicas.iter().filter(|replica| gone(replica)) {
+        let place = fleet_state
             .workers
             .binary_search_by_key(&&replica.target, |w| &w.target);
-        picture.workers[place.expect("a worker")].free += replica.bytes;
+        fleet_state.workers[place.expect("a worker")].free += replica.bytes;
     }
-    picture.replicas.retain(|replica| !gone(replica));
+    fleet_state.replicas.retain(|replica| !gone(replica));
     for decision in decisions {
         match &decision.action {
             Action::Unload { replica } => {
-                let mut replicas = picture.replicas.iter_mut();
+                let mut replicas = fleet_state.replicas.iter_mut();
                 if let Some(replica) = replicas.find(|known| known.replica == *replica) {
                     replica.state = State::Retiring;
                 }
@@ -165,35 +165,35 @@
                 target,
                 bytes,
                 ..
-            } => load(picture, model, target, *bytes, now),
+            } => load(fleet_state, model, target, *bytes, now),
             Action::Adapter { .. } | Action::Warm { .. } => {}
         }
     }
 }
 
 /// Starts a load.
-fn load(picture: &mut Picture, model: &str, target: &str, bytes: u64, now: Duration) {
-    let place = picture
+fn load(fleet_state: &mut FleetState, model: &str, target: &str, bytes: u64, now: Duration) {
+    let place = fleet_state
         .workers
         .binary_search_by_key(&target, |worker| &worker.target);
-    picture.workers[place.expect("a worker")].free -= bytes;
-    let next = picture
+    fleet_state.workers[place.expect("a worker")].free -= bytes;
+    let next = fleet_state
         .replicas
         .iter()
         .map(|replica| replica.replica + 1)
         .max();
-    picture.replicas.push(Replica {
+    fleet_state.replicas.push(Replica {
         replica: next.unwrap_or(0),
         model: model.into(),
         version: None,
         target: target.into(),
         bytes,
         state: State::Loading,
-        decided: now,
-        ready: None,
+        decided_at: now,
+        ready_at: None,
         from: Stage::Disk,
         running: 1,
-        used: now,
+        last_used: now,
         adapters: Vec::new(),
     });
 }
@@ -204,21 +204,21 @@
     let mut points: Vec<(f64, f64)> = Vec::new();
     for (workers, accelerators) in SIZES {
         let mut random = SmallRng::seed_from_u64(9);
-        let mut picture = picture(workers, accelerators, &mut random);
+        let mut fleet_state = fleet_state(workers, accelerators, &mut random);
         let mut policy = Policy::default();
         let mut spent = 0;
         let mut decisions = 0;
         for plan in 0..PLANS {
             let now = Duration::from_hours(1) + PERIOD * plan;
-            demand(&mut picture, now, &mut random);
-            for replica in picture.replicas.iter_mut().step_by(2) {
-                replica.used = now;
+            demand(&mut fleet_state, now, &mut random);
+            for replica in fleet_state.replicas.iter_mut().step_by(2) {
+                replica.last_used = now;
             }
             let start = thread_cpu_ns();
-            let decided = policy.plan(&picture, now);
+            let decided = policy.plan(&fleet_state, now);
             spent += thread_cpu_ns() - start;
             decisions += decided.len();
-            apply(&mut picture, &decided, now);
+            apply(&mut fleet_state, &decided, now);
         }
         let plans = f64::from(PLANS);
         let mean_ms = Duration::from_nanos(spent).as_secs_f64() * 1_000.0 / plans;
--- a/crates/planner/src/adapters.rs
+++ b/crates/planner/src/adapters.rs
@@ -5,16 +5,16 @@
 
 use crate::decision::{Action, Reason};
 use crate::demand::ModelDemand;
+use crate::fleet_state::Replica;
 use crate::pass::PlanningPass;
 use crate::pending::{PendingAction, matches_version};
-use crate::picture::Replica;
 
 impl PlanningPass<'_> {
     /// Loads the adapters that waiting requests name, the most urgent first.
     pub fn load_adapters(&mut self) {
         let limit = self.policy.catalog.fleet().loading.adapters_in_flight;
         let pending = u32::try_from(self.policy.pending.adapter_loads()).unwrap_or(u32::MAX);
-        let in_flight = self.fleet.picture.adapters_in_flight;
+        let in_flight = self.fleet.fleet_state.adapters_in_flight;
         let mut left = limit.saturating_sub(in_flight.saturating_add(pending));
         let mut waiting: Vec<&ModelDemand> = self
             .demands
--- a/crates/planner/src/demand.rs
+++ b/crates/planner/src/demand.rs
@@ -5,7 +5,7 @@
 use cornelhitch_types::id::{ModelId, Name, RegionId, Time};
 
 use crate::catalog::Catalog;
-use crate::picture::Demand;
+use crate::fleet_state::Demand;
 
 /// A model in one version.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/planner/src/fleet_index.rs
+++ b/crates/planner/src/fleet_index.rs
@@ -1,4 +1,4 @@
-//! The picture of the fleet, indexed for one planning pass and updated with its decisions.
+//! The fleet state, indexed for one planning pass and updated with its decisions.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,10 +6,10 @@
 use cornelhitch_types::view::State;
 
 use crate::demand::ModelVersion;
+use crate::fleet_state::{FleetState, Replica, Worker};
 use crate::pending::{PendingAction, PendingDecisions, matches_version};
-use crate::picture::{Picture, Replica, Worker};
 
-/// The position of a worker in the picture.
+/// The position of a worker in the fleet state.
 pub type WorkerIndex = usize;
 
 /// The accelerator memory of one worker after the decisions so far, in bytes.
@@ -29,11 +29,11 @@
     staying: u32,
 }
 
-/// An index of the workers and replicas in a picture.
+/// An index of the workers and replicas in a fleet state.
 #[derive(Debug)]
 pub struct FleetIndex<'a> {
-    /// The indexed picture.
-    pub picture: &'a Picture,
+    /// The indexed fleet state.
+    pub fleet_state: &'a FleetState,
     memory: Vec<WorkerMemory>,
     worker_positions: HashMap<&'a str, WorkerIndex>,
     replicas_by_model: HashMap<&'a str, ModelReplicas<'a>>,
@@ -43,20 +43,20 @@
 }
 
 impl<'a> FleetIndex<'a> {
-    /// Indexes the workers and replicas of a picture.
+    /// Indexes the workers and replicas of a fleet state.
     #[must_use]
-    pub fn new(picture: &'a Picture) -> Self {
-        let workers = picture.workers.iter().enumerate();
+    pub fn new(fleet_state: &'a FleetState) -> Self {
+        let workers = fleet_state.workers.iter().enumerate();
         let mut index = Self {
-            picture,
-            memory: picture.workers.iter().map(reported_memory).collect(),
+            fleet_state,
+            memory: fleet_state.workers.iter().map(reported_memory).collect(),
             worker_positions: workers.map(|(index, w)| (&*w.target, index)).collect(),
             replicas_by_model: HashMap::new(),
-            replicas_by_worker: vec![Vec::new(); picture.workers.len()],
+            replicas_by_worker: vec![Vec::new(); fleet_state.workers.len()],
             leaving: HashSet::new(),
             pending_loads: Vec::new(),
         };
-        for replica in &picture.replicas {
+        for replica in &fleet_state.replicas {
             index.add_replica(replica);
         }
         index
@@ -105,7 +105,7 @@
         replicas.find(|replica| replica.replica == id)
     }
 
-    /// Returns the position of a worker, or `None` if it is not in the picture.
+    /// Returns the position of a worker, or `None` if it is not in the fleet state.
     #[must_use]
     pub fn worker_index(&self, target: &str) -> Option<WorkerIndex> {
         self.worker_positions.get(target).copied()
@@ -114,7 +114,7 @@
     /// Returns the worker at a position.
     #[must_use]
     pub fn worker(&self, index: WorkerIndex) -> &'a Worker {
-        &self.picture.workers[index]
+        &self.fleet_state.workers[index]
     }
 
     /// Returns the memory of a worker after the decisions so far.
@@ -175,7 +175,7 @@
             .filter(move |replica| matches_version(replica, &key) && !self.is_leaving(replica))
     }
 
-    /// Returns the number of loads of a model and version that the picture does not reflect yet.
+    /// Returns the number of loads of a model and version that the fleet state does not reflect yet.
     #[must_use]
     pub fn pending_loads(&self, key: &ModelVersion) -> u32 {
         let loads = self.pending_loads.iter().filter(|(known, _)| known == key);
@@ -217,7 +217,7 @@
         self.pending_loads.push((key.clone(), worker));
     }
 
-    /// Applies an unload; its memory does not count as free until the picture shows it as free.
+    /// Applies an unload; its memory does not count as free until the fleet state shows it as free.
     pub fn apply_unload(&mut self, replica: &'a Replica) {
         if self.is_leaving(replica) {
             return;
--- a/crates/planner/src/picture.rs
+++ b/crates/planner/src/fleet_state.rs
@@ -10,7 +10,7 @@
 
 /// The state of the fleet at one moment: the committed state and the latest reports.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Picture {
+pub struct FleetState {
     /// The settings in force.
     pub settings: Arc<Fleet>,
     /// Registered workers, sorted by name.
@@ -39,16 +39,18 @@
     /// The number of accelerators.
     pub accelerators: u32,
     /// Whether models may be loaded on it: it is neither leaving nor suspected of having failed.
-    pub open: bool,
+    #[serde(rename = "open")]
+    pub accepts_loads: bool,
     /// Copies of weights on disk and in host memory.
-    pub copies: Vec<Copy>,
+    pub copies: Vec<WeightCopy>,
     /// Models that must not be loaded on it for now, after an order with unknown outcome.
-    pub quiet: Vec<Quiet>,
+    #[serde(rename = "quiet")]
+    pub cooldowns: Vec<LoadCooldown>,
 }
 
 /// A copy of a model's weights on a worker's disk or in its host memory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Copy {
+pub struct WeightCopy {
     /// The model that was copied.
     pub model: ModelId,
     /// Whether the copy is on disk or in host memory.
@@ -57,7 +59,7 @@
 
 /// A model that must not be loaded on a worker before a given time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Quiet {
+pub struct LoadCooldown {
     /// The model that must not be loaded.
     pub model: ModelId,
     /// The time from which it may be loaded again.
@@ -80,15 +82,18 @@
     /// Its lifecycle state.
     pub state: State,
     /// When its load was decided.
-    pub decided: Time,
+    #[serde(rename = "decided")]
+    pub decided_at: Time,
     /// When it was first reported as ready; `None` before that.
-    pub ready: Option<Time>,
+    #[serde(rename = "ready")]
+    pub ready_at: Option<Time>,
     /// Where its weights were loaded from, if known.
     pub from: Stage,
     /// Requests in progress, summed over the entry hosts.
     pub running: u32,
     /// When a request was last in progress on it.
-    pub used: Time,
+    #[serde(rename = "used")]
+    pub last_used: Time,
     /// Adapters that are ready on it.
     pub adapters: Vec<Name>,
 }
--- a/crates/planner/src/hosting.rs
+++ b/crates/planner/src/hosting.rs
@@ -8,7 +8,7 @@
 
 mod mean;
 mod pass;
-mod scene;
+mod service_state;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,10 +16,10 @@
 use cornelhitch_types::target::Stage;
 use strum::Display;
 
-pub use self::mean::{Mean, Rate};
+pub use self::mean::{ArrivalRate, RunningMean};
 use self::pass::{Candidate, HEAVY_OVERLOAD_THRESHOLD, MAX_STORE_LOADS, PlanningPass, cheapest};
-use self::scene::load_per_copy;
-pub use self::scene::{Held, Scene, Wish, Worker};
+use self::service_state::load_per_copy;
+pub use self::service_state::{HeldModel, ModelDemand, ServiceState, Worker};
 
 /// Requests for each copy of a model above which it counts as overloaded, and another copy is wanted.
 const OVERLOAD_THRESHOLD: f64 = 4.0;
@@ -36,7 +36,7 @@
 
 /// An order to one worker, and the figures behind it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Step {
+pub struct PlannedOrder {
     /// The worker that gets the order.
     pub target: TargetId,
     /// The change that is ordered.
@@ -44,7 +44,7 @@
     /// The reason for the order.
     pub reason: Reason,
     /// The demand for the model of the order.
-    pub wish: Wish,
+    pub demand: ModelDemand,
     /// The copies of that model that serve requests or are being loaded.
     pub copies: u32,
 }
@@ -136,31 +136,35 @@
 
     /// Returns the next orders, at most one for each worker.
     #[must_use]
-    pub fn plan(&mut self, scene: &Scene) -> Vec<Step> {
+    pub fn plan(&mut self, service_state: &ServiceState) -> Vec<PlannedOrder> {
         let mut pass = PlanningPass {
-            scene,
-            copies: scene.copies(),
-            free: scene.workers.iter().map(Worker::is_free).collect(),
-            steps: Vec::new(),
-            fetching: scene.fetching,
-            store_open: scene.store_open,
+            service_state,
+            copies: service_state.copies(),
+            free: service_state.workers.iter().map(Worker::is_free).collect(),
+            orders: Vec::new(),
+            store_loads_in_flight: service_state.store_loads_in_flight,
+            store_open: service_state.store_open,
         };
-        let distant = scene.distant();
+        let store_only = service_state.store_only_models();
         self.resume_planned_loads(&mut pass);
-        self.load_waiting(&mut pass, &distant);
+        self.load_waiting(&mut pass, &store_only);
         pass.load_adapters();
         self.scale_out(&mut pass);
-        self.fetch_from_store(&mut pass, &distant);
+        self.fetch_from_store(&mut pass, &store_only);
         self.fill_free_memory(&mut pass);
-        pass.steps
+        pass.orders
     }
 
     /// Continues loads that waited for room.
     fn resume_planned_loads(&mut self, pass: &mut PlanningPass) {
         let plans = std::mem::take(&mut self.planned_loads);
         for (target, plan) in plans {
-            let at = pass.scene.workers.iter().position(|it| it.target == target);
-            let Some(at) = at.filter(|at| pass.scene.workers[*at].open) else {
+            let at = pass
+                .service_state
+                .workers
+                .iter()
+                .position(|it| it.target == target);
+            let Some(at) = at.filter(|at| pass.service_state.workers[*at].open) else {
                 continue;
             };
             if pass.copies(&plan.model) > 0 && plan.reason != Reason::Overloaded {
@@ -177,13 +181,13 @@
     }
 
     /// Places models that requests wait for and no worker holds, if some worker has them near.
-    fn load_waiting(&mut self, pass: &mut PlanningPass, distant: &BTreeSet<&ModelId>) {
-        let wishes = pass.scene.wishes.iter();
-        let wishes = wishes.filter(|(model, wish)| wish.waiting > 0 && pass.copies(model) == 0);
-        let mut wanted: Vec<(&ModelId, &Wish)> = wishes
-            .filter(|(model, _)| !self.is_planned(model) && !distant.contains(model))
+    fn load_waiting(&mut self, pass: &mut PlanningPass, store_only: &BTreeSet<&ModelId>) {
+        let demand = pass.service_state.demand.iter();
+        let demand = demand.filter(|(model, demand)| demand.waiting > 0 && pass.copies(model) == 0);
+        let mut wanted: Vec<(&ModelId, &ModelDemand)> = demand
+            .filter(|(model, _)| !self.is_planned(model) && !store_only.contains(model))
             .collect();
-        wanted.sort_by_key(|(_, wish)| wish.slack);
+        wanted.sort_by_key(|(_, demand)| demand.time_to_deadline);
         for (model, _) in wanted {
             self.place(pass, model);
         }
@@ -193,17 +197,17 @@
     ///
     /// Such a load takes longer than most requests can wait, so it serves future requests: the
     /// order follows the request rate.
-    fn fetch_from_store(&mut self, pass: &mut PlanningPass, distant: &BTreeSet<&ModelId>) {
-        let wishes = distant.iter().filter_map(|model| {
-            let wish = pass.scene.wishes.get(*model)?;
-            Some((*model, wish))
+    fn fetch_from_store(&mut self, pass: &mut PlanningPass, store_only: &BTreeSet<&ModelId>) {
+        let demand = store_only.iter().filter_map(|model| {
+            let demand = pass.service_state.demand.get(*model)?;
+            Some((*model, demand))
         });
-        let mut wanted: Vec<(&ModelId, &Wish)> = wishes
-            .filter(|(model, wish)| wish.rate > MIN_FETCH_RATE && !self.is_planned(model))
+        let mut wanted: Vec<(&ModelId, &ModelDemand)> = demand
+            .filter(|(model, demand)| demand.rate > MIN_FETCH_RATE && !self.is_planned(model))
             .collect();
         wanted.sort_by(|one, other| other.1.rate.total_cmp(&one.1.rate));
         for (model, _) in wanted {
-            if pass.fetching >= MAX_STORE_LOADS || !pass.store_open {
+            if pass.store_loads_in_flight >= MAX_STORE_LOADS || !pass.store_open {
                 return;
             }
             self.place(pass, model);
@@ -227,11 +231,11 @@
 
     /// Adds a copy for each model whose copies have too many requests.
     fn scale_out(&mut self, pass: &mut PlanningPass) {
-        for (model, wish) in &pass.scene.wishes {
+        for (model, demand) in &pass.service_state.demand {
             let copies = pass.copies(model);
-            let copy_load = load_per_copy(wish, copies);
+            let copy_load = load_per_copy(demand, copies);
             // At most as many copies are being loaded as are serving, so that their effect shows.
-            let ramping_up = pass.scene.loading_count(model) * 2 >= copies;
+            let ramping_up = pass.service_state.loading_count(model) * 2 >= copies;
             if ramping_up || copy_load <= OVERLOAD_THRESHOLD || self.is_planned(model) {
                 continue;
             }
@@ -256,13 +260,13 @@
         if with_room.is_empty() {
             return;
         }
-        let near = pass.scene.nearby_counts();
+        let near = pass.service_state.local_copy_counts();
         // A model with waiting requests goes where it is ready first, even if that worker is busy.
         let has_waiting = |model| {
-            let wish = pass.scene.wishes.get(model);
-            pass.copies(model) == 0 && wish.is_some_and(|wish| wish.waiting > 0)
+            let demand = pass.service_state.demand.get(model);
+            pass.copies(model) == 0 && demand.is_some_and(|demand| demand.waiting > 0)
         };
-        let models = pass.scene.models.keys();
+        let models = pass.service_state.models.keys();
         let models = models.filter(|model| !self.is_planned(model) && !has_waiting(model));
         let mut models: Vec<(&ModelId, (u32, usize, u64))> = models
             .map(|model| {
@@ -270,7 +274,11 @@
                 let nearby = near.get(model).copied().unwrap_or(0);
                 (
                     model,
-                    (copies, nearby, pass.scene.request_interval_ms(model)),
+                    (
+                        copies,
+                        nearby,
+                        pass.service_state.request_interval_ms(model),
+                    ),
                 )
             })
             .collect();
@@ -281,7 +289,9 @@
             let Some(candidate) = cheapest(candidates) else {
                 continue;
             };
-            if candidate.from >= Stage::Disk || pass.fetching < MAX_SPECULATIVE_STORE_LOADS {
+            if candidate.from >= Stage::Disk
+                || pass.store_loads_in_flight < MAX_SPECULATIVE_STORE_LOADS
+            {
                 let plan = PlannedLoad {
                     model: model.clone(),
                     reason: Reason::Expected,
@@ -297,14 +307,14 @@
 
     /// Acts on a candidate: loads the model, or unloads another one first.
     fn accept(&mut self, pass: &mut PlanningPass, candidate: Candidate, plan: PlannedLoad) {
-        let target = pass.scene.workers[candidate.at].target.clone();
+        let target = pass.service_state.workers[candidate.at].target.clone();
         if let Some(model) = candidate.victim {
             pass.order(candidate.at, Action::Unload { model }, Reason::Room);
             self.planned_loads.insert(target, plan);
             return;
         }
         if candidate.from < Stage::Disk {
-            pass.fetching += 1;
+            pass.store_loads_in_flight += 1;
             pass.store_open = false;
         }
         let (model, from) = (plan.model, candidate.from);
--- a/crates/planner/src/hosting/mean.rs
+++ b/crates/planner/src/hosting/mean.rs
@@ -4,7 +4,7 @@
 
 /// A running mean of arrivals per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rate {
+pub struct ArrivalRate {
     /// Arrivals at the last update.
     counted: u64,
     /// When the last update took place.
@@ -15,7 +15,7 @@
     per_second: f64,
 }
 
-impl Rate {
+impl ArrivalRate {
     /// Time constant of the mean, in seconds.
     const TIME_CONSTANT_S: f64 = 20.0;
 
@@ -36,7 +36,7 @@
 
     /// Updates the mean with the total of arrivals at `now`; a smaller total than the last one
     /// adds no arrivals and becomes the new base.
-    pub fn count(&mut self, counted: u64, now: Time) {
+    pub fn update(&mut self, counted: u64, now: Time) {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         if passed <= 0.0 {
             return;
@@ -60,12 +60,12 @@
 
 /// A running mean of a level.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Mean {
+pub struct RunningMean {
     value: f64,
     at: Time,
 }
 
-impl Mean {
+impl RunningMean {
     /// Time constant of the mean, in seconds.
     const TIME_CONSTANT_S: f64 = 3.0;
 
@@ -76,7 +76,7 @@
     }
 
     /// Updates the mean with the level at `now`, as if it had held since the last update.
-    pub fn take(&mut self, level: f64, now: Time) {
+    pub fn update(&mut self, level: f64, now: Time) {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         let kept = (-passed / Self::TIME_CONSTANT_S).exp();
         self.value = self.value * kept + level * (1.0 - kept);
--- a/crates/planner/src/hosting/pass.rs
+++ b/crates/planner/src/hosting/pass.rs
@@ -5,8 +5,8 @@
 use cornelhitch_types::id::{ModelId, Name};
 use cornelhitch_types::target::Stage;
 
-use super::scene::{DEMAND_HORIZON_S, Held, Scene, Wish, Worker};
-use super::{Action, Reason, Step};
+use super::service_state::{DEMAND_HORIZON_S, HeldModel, ModelDemand, ServiceState, Worker};
+use super::{Action, PlannedOrder, Reason};
 
 /// Requests for each copy of a model above which it counts as heavily overloaded: another copy is then
 /// fetched even from the weight store.
@@ -54,13 +54,13 @@
 
 /// The state of one planning pass.
 pub(super) struct PlanningPass<'a> {
-    pub(super) scene: &'a Scene<'a>,
+    pub(super) service_state: &'a ServiceState<'a>,
     /// Copies of each model that serve requests or are being loaded.
     pub(super) copies: BTreeMap<&'a ModelId, u32>,
     /// Whether each worker takes an order, by position.
     pub(super) free: Vec<bool>,
-    pub(super) steps: Vec<Step>,
-    pub(super) fetching: u32,
+    pub(super) orders: Vec<PlannedOrder>,
+    pub(super) store_loads_in_flight: u32,
     pub(super) store_open: bool,
 }
 
@@ -72,12 +72,19 @@
 
     /// Returns the workers that take an order now and have room for the smallest model.
     pub(super) fn workers_with_room(&self) -> Vec<usize> {
-        let smallest = self.scene.models.values().map(|model| model.bytes).min();
+        let smallest = self
+            .service_state
+            .models
+            .values()
+            .map(|model| model.bytes)
+            .min();
         let smallest = smallest.unwrap_or(u64::MAX);
         let free = (0..self.free.len()).filter(|at| self.free[*at]);
         let with_room = free.filter(|at| {
-            let used = self.scene.used_bytes(&self.scene.workers[*at]);
-            used.saturating_add(smallest) <= self.scene.engine.memory
+            let used = self
+                .service_state
+                .used_bytes(&self.service_state.workers[*at]);
+            used.saturating_add(smallest) <= self.service_state.engine.memory
         });
         with_room.collect()
     }
@@ -86,10 +93,15 @@
     pub(super) fn order(&mut self, at: usize, action: Action, reason: Reason) {
         self.free[at] = false;
         let model = action.model();
-        self.steps.push(Step {
-            target: self.scene.workers[at].target.clone(),
+        self.orders.push(PlannedOrder {
+            target: self.service_state.workers[at].target.clone(),
             reason,
-            wish: self.scene.wishes.get(model).cloned().unwrap_or_default(),
+            demand: self
+                .service_state
+                .demand
+                .get(model)
+                .cloned()
+                .unwrap_or_default(),
             copies: self.copies(model),
             action,
         });
@@ -108,24 +120,28 @@
 
     /// Returns the cost of loading a model on one worker, or `None` if that is not possible.
     pub(super) fn candidate(&self, at: usize, model: &ModelId) -> Option<Candidate> {
-        let worker = &self.scene.workers[at];
-        let known = self.scene.models.get(model)?;
-        if !worker.open || worker.holds(model) || worker.coming.as_ref() == Some(model) {
+        let worker = &self.service_state.workers[at];
+        let known = self.service_state.models.get(model)?;
+        if !worker.open || worker.holds(model) || worker.loading.as_ref() == Some(model) {
             return None;
         }
-        let wait = worker.free_in?.as_secs_f64();
-        let from = worker.near.get(model).copied().unwrap_or(Stage::Remote);
+        let wait = worker.time_until_free?.as_secs_f64();
+        let from = worker
+            .local_copies
+            .get(model)
+            .copied()
+            .unwrap_or(Stage::Remote);
         let load = match from {
             Stage::Memory => known.from_memory.as_secs_f64(),
             Stage::Disk => known.from_disk.as_secs_f64(),
-            _ if !self.store_open || self.fetching >= MAX_STORE_LOADS => return None,
+            _ if !self.store_open || self.store_loads_in_flight >= MAX_STORE_LOADS => return None,
             _ => known.from_store.as_secs_f64(),
         };
         let room = self
-            .scene
+            .service_state
             .engine
             .memory
-            .saturating_sub(self.scene.used_bytes(worker));
+            .saturating_sub(self.service_state.used_bytes(worker));
         let (victim, loss) = if known.bytes <= room {
             (None, 0.0)
         } else {
@@ -144,7 +160,7 @@
 
     /// Returns the model on a worker that is cheapest to evict for `model`, and its eviction loss.
     fn victim(&self, worker: &Worker, model: &ModelId) -> Option<(ModelId, f64)> {
-        let held = worker.held.iter().filter(|held| !held.leaving);
+        let held = worker.held.iter().filter(|held| !held.unloading);
         let held = held.filter(|held| self.may_evict(&held.model, model));
         let losses = held.map(|held| (held.model.clone(), self.eviction_loss(&held.model)));
         losses.min_by(|one, other| one.1.total_cmp(&other.1))
@@ -156,44 +172,49 @@
     /// if it serves more requests than the other model would: otherwise two models in high demand
     /// would evict each other in turn and spend more time loading than serving.
     fn may_evict(&self, held: &ModelId, model: &ModelId) -> bool {
-        let demand = |model| self.scene.wishes.get(model).map_or(0.0, Wish::demand);
+        let expected_load = |model| {
+            self.service_state
+                .demand
+                .get(model)
+                .map_or(0.0, ModelDemand::expected_load)
+        };
         let copies = self.copies(held);
-        let wish = self.scene.wishes.get(held);
-        let load = wish.map_or(0.0, Wish::current_load);
+        let demand = self.service_state.demand.get(held);
+        let load = demand.map_or(0.0, ModelDemand::current_load);
         if copies > 1 && load / f64::from(copies - 1) <= HEAVY_OVERLOAD_THRESHOLD {
             return true;
         }
-        let lost = demand(held) / f64::from(copies.max(1));
-        lost < demand(model) / f64::from(self.copies(model) + 1)
+        let lost = expected_load(held) / f64::from(copies.max(1));
+        lost < expected_load(model) / f64::from(self.copies(model) + 1)
     }
 
     /// Returns the cost of evicting one copy of a model.
     fn eviction_loss(&self, model: &ModelId) -> f64 {
         let copies = self.copies(model);
-        let Some(wish) = self.scene.wishes.get(model) else {
+        let Some(demand) = self.service_state.demand.get(model) else {
             return REDUNDANT_COPY_COST;
         };
         if copies > 1 {
-            let left = wish.current_load() / f64::from(copies - 1);
+            let left = demand.current_load() / f64::from(copies - 1);
             let crowding = if left > CROWDING_THRESHOLD {
                 CROWDING_COST
             } else {
                 0.0
             };
-            let busy = wish.current_load() / f64::from(copies);
+            let busy = demand.current_load() / f64::from(copies);
             return REDUNDANT_COPY_COST + crowding + BUSY_COST * busy.min(1.0);
         }
-        if wish.waiting > 0 {
+        if demand.waiting > 0 {
             return WAITING_COST;
         }
-        let busy = BUSY_COST * wish.current_load().min(1.0);
-        REDUNDANT_COPY_COST + busy + wish.rate * DEMAND_HORIZON_S * MISS_COST_S
+        let busy = BUSY_COST * demand.current_load().min(1.0);
+        REDUNDANT_COPY_COST + busy + demand.rate * DEMAND_HORIZON_S * MISS_COST_S
     }
 
     /// Loads the adapters that requests wait for.
     pub(super) fn load_adapters(&mut self) {
-        for (model, wish) in &self.scene.wishes {
-            for adapter in &wish.adapters {
+        for (model, demand) in &self.service_state.demand {
+            for adapter in &demand.adapters {
                 self.load_adapter(model, adapter);
             }
         }
@@ -201,8 +222,12 @@
 
     /// Loads one adapter on the free worker that holds its model and has the fewest adapters.
     fn load_adapter(&mut self, model: &ModelId, adapter: &Name) {
-        let has = |held: &Held| held.model == *model && !held.leaving;
-        let mut copies = self.scene.workers.iter().filter(|worker| worker.open);
+        let has = |held: &HeldModel| held.model == *model && !held.unloading;
+        let mut copies = self
+            .service_state
+            .workers
+            .iter()
+            .filter(|worker| worker.open);
         if copies.any(|worker| {
             let mut held = worker.held.iter().filter(|held| has(held));
             held.any(|held| held.adapters.contains(adapter))
@@ -210,15 +235,16 @@
             return;
         }
         let free = (0..self.free.len()).filter(|at| self.free[*at]);
-        let holds = free.filter(|at| self.scene.workers[*at].held.iter().any(has));
-        let Some(at) = holds.min_by_key(|at| self.scene.workers[*at].adapters()) else {
+        let holds = free.filter(|at| self.service_state.workers[*at].held.iter().any(has));
+        let Some(at) = holds.min_by_key(|at| self.service_state.workers[*at].adapters()) else {
             return;
         };
-        let worker = &self.scene.workers[at];
-        let known = self.scene.models.get(model);
+        let worker = &self.service_state.workers[at];
+        let known = self.service_state.models.get(model);
         let bytes = known.map_or(0, |known| known.adapter_bytes);
-        let slot_free = worker.adapters() < self.scene.engine.adapters as usize;
-        let room = self.scene.used_bytes(worker) + bytes <= self.scene.engine.memory;
+        let slot_free = worker.adapters() < self.service_state.engine.adapters as usize;
+        let room =
+            self.service_state.used_bytes(worker) + bytes <= self.service_state.engine.memory;
         let action = if slot_free && room {
             Action::Adapter {
                 model: model.clone(),
@@ -239,9 +265,9 @@
 
     /// Returns the unload of a worker's oldest adapter that no request waits for.
     fn oldest_adapter(&self, worker: &Worker) -> Option<Action> {
-        let wanted = |held: &Held, adapter: &Name| {
-            let wish = self.scene.wishes.get(&held.model);
-            wish.is_some_and(|wish| wish.adapters.contains(adapter))
+        let wanted = |held: &HeldModel, adapter: &Name| {
+            let demand = self.service_state.demand.get(&held.model);
+            demand.is_some_and(|demand| demand.adapters.contains(adapter))
         };
         worker.held.iter().find_map(|held| {
             let mut adapters = held.adapters.iter();
--- a/crates/planner/src/hosting/scene.rs
+++ b/crates/planner/src/hosting/service_state.rs
@@ -18,13 +18,13 @@
     /// The region that it is in.
     pub region: RegionId,
     /// Models in accelerator memory.
-    pub held: Vec<Held>,
+    pub held: Vec<HeldModel>,
     /// Models with a copy nearer than the weight store, and the nearest stage of each.
-    pub near: Arc<BTreeMap<ModelId, Stage>>,
+    pub local_copies: Arc<BTreeMap<ModelId, Stage>>,
     /// The model that it is loading.
-    pub coming: Option<ModelId>,
+    pub loading: Option<ModelId>,
     /// Time until it takes an order; `None` if not known.
-    pub free_in: Option<Time>,
+    pub time_until_free: Option<Time>,
     /// Whether it may be given new work.
     pub open: bool,
 }
@@ -37,7 +37,7 @@
 
     /// Returns whether it takes an order now.
     pub(super) fn is_free(&self) -> bool {
-        self.open && self.free_in == Some(Time::ZERO)
+        self.open && self.time_until_free == Some(Time::ZERO)
     }
 
     /// Returns the number of adapters that it holds.
@@ -48,18 +48,18 @@
 
 /// A model in a worker's accelerator memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldModel {
     /// The model's id.
     pub model: ModelId,
     /// Its adapters, including those being loaded, in order of loading.
     pub adapters: Vec<Name>,
     /// Whether the model is being unloaded.
-    pub leaving: bool,
+    pub unloading: bool,
 }
 
 /// The demand for one model, summed over the entry hosts.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Wish {
+pub struct ModelDemand {
     /// Waiting requests.
     pub waiting: u32,
     /// Requests in progress.
@@ -69,14 +69,14 @@
     /// Arrivals per second.
     pub rate: f64,
     /// Time until the earliest deadline of the waiting requests.
-    pub slack: Time,
+    pub time_to_deadline: Time,
     /// The largest weight of the waiting requests.
     pub weight: u32,
     /// Adapters that waiting requests name.
     pub adapters: Vec<Name>,
 }
 
-impl Wish {
+impl ModelDemand {
     /// Returns the requests that wait or are in progress: the current number or the mean, whichever
     /// is larger.
     ///
@@ -88,14 +88,14 @@
     }
 
     /// Returns the requests that a copy serves: the current ones and those expected soon.
-    pub(super) fn demand(&self) -> f64 {
+    pub(super) fn expected_load(&self) -> f64 {
         self.current_load() + self.rate * DEMAND_HORIZON_S
     }
 }
 
 /// The workers and demand of a service at one moment.
 #[derive(Debug, Clone)]
-pub struct Scene<'a> {
+pub struct ServiceState<'a> {
     /// The capacity of each worker.
     pub engine: &'a Engine,
     /// The models by id.
@@ -103,22 +103,22 @@
     /// The workers, sorted by name.
     pub workers: Vec<Worker>,
     /// The demand by model.
-    pub wishes: BTreeMap<ModelId, Wish>,
+    pub demand: BTreeMap<ModelId, ModelDemand>,
     /// Loads from the weight store in progress.
-    pub fetching: u32,
+    pub store_loads_in_flight: u32,
     /// Whether the weight store allows another load to start now.
     pub store_open: bool,
 }
 
-impl Scene<'_> {
+impl ServiceState<'_> {
     /// Returns the copies of each model that serve requests or are being loaded.
     pub(super) fn copies(&self) -> BTreeMap<&ModelId, u32> {
         let mut copies = BTreeMap::new();
         for worker in self.workers.iter().filter(|worker| worker.open) {
-            let held = worker.held.iter().filter(|held| !held.leaving);
+            let held = worker.held.iter().filter(|held| !held.unloading);
             let models = held.map(|held| &held.model);
-            let coming = worker.coming.iter().filter(|model| !worker.holds(model));
-            for model in models.chain(coming) {
+            let loading = worker.loading.iter().filter(|model| !worker.holds(model));
+            for model in models.chain(loading) {
                 *copies.entry(model).or_default() += 1;
             }
         }
@@ -128,30 +128,30 @@
     /// Returns the models that only the weight store has: no open worker holds them, loads them or
     /// has a copy near.
     #[must_use]
-    pub fn distant(&self) -> BTreeSet<&ModelId> {
-        let mut distant: BTreeSet<&ModelId> = self.models.keys().collect();
+    pub fn store_only_models(&self) -> BTreeSet<&ModelId> {
+        let mut store_only: BTreeSet<&ModelId> = self.models.keys().collect();
         for worker in self.workers.iter().filter(|worker| worker.open) {
             let held = worker.held.iter().map(|held| &held.model);
-            let coming = worker.coming.iter();
-            for model in worker.near.keys().chain(held).chain(coming) {
-                distant.remove(model);
+            let loading = worker.loading.iter();
+            for model in worker.local_copies.keys().chain(held).chain(loading) {
+                store_only.remove(model);
             }
         }
-        distant
+        store_only
     }
 
     /// Returns the number of workers that are loading a model.
     pub(super) fn loading_count(&self, model: &ModelId) -> u32 {
-        let coming = self.workers.iter().filter(|worker| worker.open);
-        let coming = coming.filter(|worker| worker.coming.as_ref() == Some(model));
-        u32::try_from(coming.count()).unwrap_or(u32::MAX)
+        let loading = self.workers.iter().filter(|worker| worker.open);
+        let loading = loading.filter(|worker| worker.loading.as_ref() == Some(model));
+        u32::try_from(loading.count()).unwrap_or(u32::MAX)
     }
 
     /// Returns the number of open workers with a copy of each model nearer than the weight store.
-    pub(super) fn nearby_counts(&self) -> BTreeMap<&ModelId, usize> {
+    pub(super) fn local_copy_counts(&self) -> BTreeMap<&ModelId, usize> {
         let mut nearby = BTreeMap::new();
         let open = self.workers.iter().filter(|worker| worker.open);
-        for model in open.flat_map(|worker| worker.near.keys()) {
+        for model in open.flat_map(|worker| worker.local_copies.keys()) {
             *nearby.entry(model).or_default() += 1;
         }
         nearby
@@ -160,7 +160,7 @@
     /// Returns the mean time between two requests for a model in milliseconds, at most 1,000,000.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub(super) fn request_interval_ms(&self, model: &ModelId) -> u64 {
-        let rate = self.wishes.get(model).map_or(0.0, |wish| wish.rate);
+        let rate = self.demand.get(model).map_or(0.0, |demand| demand.rate);
         (1_000.0 / rate.max(1e-3)) as u64
     }
 
@@ -176,13 +176,13 @@
             let adapters = held.adapters.len() as u64 * model.adapter_bytes;
             model.bytes + adapters
         });
-        let coming = worker.coming.as_ref();
-        let coming = coming.map_or(0, |model| {
+        let loading = worker.loading.as_ref();
+        let loading = loading.map_or(0, |model| {
             self.models
                 .get(model)
                 .map_or(self.largest_model_bytes(), |model| model.bytes)
         });
-        held.sum::<u64>() + coming
+        held.sum::<u64>() + loading
     }
 
     /// Returns the size of the largest model in bytes.
@@ -196,6 +196,6 @@
 }
 
 /// Returns the mean number of requests for each of `copies` copies of a model.
-pub(super) fn load_per_copy(wish: &Wish, copies: u32) -> f64 {
-    wish.load / f64::from(copies.max(1))
+pub(super) fn load_per_copy(demand: &ModelDemand, copies: u32) -> f64 {
+    demand.load / f64::from(copies.max(1))
 }
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decides which models to load, keep and unload, and on which workers.
 //!
 //! The planner is sans-I/O and deterministic: it takes a
-//! [`picture::Picture`] of the fleet and the current time, and returns
+//! [`fleet_state::FleetState`] and the current time, and returns
 //! [`decision::Decision`]s. It sends nothing; the caller commits each decision
 //! before it sends an order to a worker.
 
@@ -13,6 +13,7 @@
 pub mod decision_log;
 pub mod demand;
 pub mod fleet_index;
+pub mod fleet_state;
 pub mod gap;
 pub mod history;
 pub mod hosting;
@@ -20,7 +21,6 @@
 mod load;
 mod pass;
 pub mod pending;
-pub mod picture;
 pub mod placement;
 pub mod policy;
 mod preload;
@@ -31,14 +31,14 @@
 use cornelhitch_types::id::Time;
 
 use crate::decision::Decision;
-use crate::picture::Picture;
+use crate::fleet_state::FleetState;
 
 /// A policy for loading, keeping and unloading models.
 pub trait Planner: Send {
     /// Returns the decisions for the state of the fleet at `now`.
     ///
     /// The same calls in the same order return the same decisions.
-    fn plan(&mut self, picture: &Picture, now: Time) -> Vec<Decision>;
+    fn plan(&mut self, fleet_state: &FleetState, now: Time) -> Vec<Decision>;
 
     /// Returns what the planner knows about a model and its latest decisions on it, one line
     /// each, for operators.
--- a/crates/planner/src/load.rs
+++ b/crates/planner/src/load.rs
@@ -8,9 +8,9 @@
 use crate::catalog::ModelEntry;
 use crate::decision::{Action, Reason};
 use crate::demand::ModelDemand;
+use crate::fleet_state::Replica;
 use crate::pass::PlanningPass;
 use crate::pending::PendingAction;
-use crate::picture::Replica;
 use crate::placement::{Placement, PlacementSearch};
 use crate::policy::{SEARCH_BUDGET, format_seconds};
 use crate::scale::{Supply, additional_replicas};
@@ -57,7 +57,7 @@
             Reason::Waiting
         };
         for _ in 0..missing.min(allowed_more) {
-            let workers = self.fleet.picture.workers.len();
+            let workers = self.fleet.fleet_state.workers.len();
             if self.budget < workers && self.budget < SEARCH_BUDGET {
                 return;
             }
@@ -111,7 +111,7 @@
             }
             supply.loading += 1;
             let whole = store.load_time(replica.bytes, replica.from);
-            let elapsed = self.now.saturating_sub(replica.decided);
+            let elapsed = self.now.saturating_sub(replica.decided_at);
             supply.next_ready = supply.next_ready.min(remaining(whole, elapsed));
         }
         supply
--- a/crates/planner/src/pass.rs
+++ b/crates/planner/src/pass.rs
@@ -10,10 +10,10 @@
 use crate::decision::{Action, Decision, Reason};
 use crate::demand::ModelDemand;
 use crate::fleet_index::FleetIndex;
+use crate::fleet_state::Replica;
 use crate::history::RequestHistory;
 use crate::keep_alive::KeepAliveInputs;
 use crate::pending::PendingAction;
-use crate::picture::Replica;
 use crate::placement::nearest_stage;
 use crate::policy::Policy;
 
@@ -84,8 +84,8 @@
         let from = worker.map_or(Stage::Remote, |worker| {
             nearest_stage(self.fleet.worker(worker), &replica.model)
         });
-        let ready = replica.ready.unwrap_or(replica.decided);
-        let last = replica.used.max(ready);
+        let ready = replica.ready_at.unwrap_or(replica.decided_at);
+        let last = replica.last_used.max(ready);
         KeepAliveInputs {
             history,
             cold_start: self.cold_start_time(entry, history, from),
--- a/crates/planner/src/pending.rs
+++ b/crates/planner/src/pending.rs
@@ -1,7 +1,7 @@
-//! Decisions that the picture of the fleet does not reflect yet.
+//! Decisions that the fleet state does not reflect yet.
 //!
 //! The caller may lose a decision, so none of these counts as carried out. A
-//! decision is not repeated until the picture reflects it or
+//! decision is not repeated until the fleet state reflects it or
 //! [`CONFIRMATION_TIMEOUT`] has passed.
 
 use std::time::Duration;
@@ -12,13 +12,13 @@
 
 use crate::demand::ModelVersion;
 use crate::fleet_index::FleetIndex;
-use crate::picture::Replica;
+use crate::fleet_state::Replica;
 use crate::placement::nearest_stage;
 
-/// How long a decision may take to appear in the picture before it may be repeated.
+/// How long a decision may take to appear in the fleet state before it may be repeated.
 pub const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A pending action, with what is needed to recognise it in the picture.
+/// A pending action, with what is needed to recognise it in the fleet state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PendingAction {
     /// The load of a new replica.
@@ -56,7 +56,7 @@
     pub at: Time,
 }
 
-/// The decisions that the picture does not reflect yet.
+/// The decisions that the fleet state does not reflect yet.
 #[derive(Debug, Default)]
 pub struct PendingDecisions {
     entries: Vec<PendingDecision>,
@@ -68,7 +68,7 @@
         self.entries.push(PendingDecision { action, at });
     }
 
-    /// Removes decisions that the picture reflects and those that have timed out.
+    /// Removes decisions that the fleet state reflects and those that have timed out.
     pub fn remove_confirmed(&mut self, fleet: &FleetIndex, now: Time) {
         self.entries.retain(|entry| {
             let recent = now.saturating_sub(entry.at) < CONFIRMATION_TIMEOUT;
@@ -91,7 +91,7 @@
     }
 }
 
-/// Returns whether the picture reflects an action.
+/// Returns whether the fleet state reflects an action.
 fn is_reflected(action: &PendingAction, fleet: &FleetIndex) -> bool {
     match action {
         PendingAction::Load { key, target, .. } => {
--- a/crates/planner/src/placement.rs
+++ b/crates/planner/src/placement.rs
@@ -9,7 +9,7 @@
 use crate::catalog::{Catalog, ModelEntry};
 use crate::demand::ModelDemand;
 use crate::fleet_index::{FleetIndex, WorkerIndex};
-use crate::picture::{Replica, Worker};
+use crate::fleet_state::{Replica, Worker};
 use crate::weight_store::WeightStore;
 
 /// Assumed time for a worker to free the memory of an idle replica.
@@ -89,7 +89,7 @@
         let zones = self.occupied_zones(demand);
         let times = LoadTimes::new(self.store, entry.model.bytes);
         let holders = self.fleet.workers_holding(&entry.model.name);
-        let workers = self.fleet.picture.workers.iter().enumerate();
+        let workers = self.fleet.fleet_state.workers.iter().enumerate();
         let mut best: Option<Placement<'a>> = None;
         for (index, worker) in workers {
             if holders[index] || !self.accepts(worker, entry) {
@@ -115,10 +115,10 @@
     fn accepts(&self, worker: &Worker, entry: &ModelEntry) -> bool {
         let model = &entry.model;
         let quiet = || {
-            let mut quiet = worker.quiet.iter();
+            let mut quiet = worker.cooldowns.iter();
             quiet.any(|quiet| quiet.model == model.name && self.now < quiet.until)
         };
-        worker.open
+        worker.accepts_loads
             && worker.memory >= model.bytes
             && worker.accelerators >= model.accelerators
             && !quiet()
--- a/crates/planner/src/policy.rs
+++ b/crates/planner/src/policy.rs
@@ -11,11 +11,11 @@
 use crate::decision_log::DecisionLog;
 use crate::demand::{ModelDemand, ModelVersion, aggregate_demand};
 use crate::fleet_index::FleetIndex;
+use crate::fleet_state::FleetState;
 use crate::history::RequestHistory;
 use crate::keep_alive::{CostBased, KeepAlivePolicy};
 use crate::pass::PlanningPass;
 use crate::pending::PendingDecisions;
-use crate::picture::Picture;
 use crate::weight_store::WeightStore;
 
 /// Upper bound on the workers examined for placement in one call; what remains is left for the
@@ -27,11 +27,11 @@
 /// ```
 /// use std::time::Duration;
 /// use cornelhitch_planner::Planner;
-/// use cornelhitch_planner::picture::Picture;
+/// use cornelhitch_planner::fleet_state::FleetState;
 /// use cornelhitch_planner::policy::Policy;
 ///
 /// let mut policy = Policy::default();
-/// let decisions = policy.plan(&Picture::default(), Duration::from_secs(1));
+/// let decisions = policy.plan(&FleetState::default(), Duration::from_secs(1));
 /// assert!(decisions.is_empty());
 /// ```
 pub struct Policy {
@@ -66,11 +66,11 @@
         }
     }
 
-    /// Updates the state kept between calls from the current picture of the fleet.
+    /// Updates the state kept between calls from the current fleet state.
     fn observe(&mut self, fleet: &mut FleetIndex, demands: &[ModelDemand], now: Time) {
         self.pending.remove_confirmed(fleet, now);
         fleet.apply_pending(&self.pending);
-        self.store.observe(fleet.picture, &self.pending, now);
+        self.store.observe(fleet.fleet_state, &self.pending, now);
         let catalog = &self.catalog;
         self.histories
             .retain(|model, _| catalog.get(model).is_some());
@@ -95,10 +95,10 @@
 }
 
 impl Planner for Policy {
-    fn plan(&mut self, picture: &Picture, now: Time) -> Vec<Decision> {
-        self.catalog.refresh(&picture.settings);
-        let demands = aggregate_demand(&picture.demand, &self.catalog);
-        let mut fleet = FleetIndex::new(picture);
+    fn plan(&mut self, fleet_state: &FleetState, now: Time) -> Vec<Decision> {
+        self.catalog.refresh(&fleet_state.settings);
+        let demands = aggregate_demand(&fleet_state.demand, &self.catalog);
+        let mut fleet = FleetIndex::new(fleet_state);
         self.observe(&mut fleet, &demands, now);
         let mut pass = PlanningPass {
             policy: self,
--- a/crates/planner/src/preload.rs
+++ b/crates/planner/src/preload.rs
@@ -65,7 +65,7 @@
             version: entry.model.version.clone(),
         };
         let demand = ModelDemand::expected(key, region);
-        let workers = self.fleet.picture.workers.len();
+        let workers = self.fleet.fleet_state.workers.len();
         if self.budget < workers {
             return;
         }
--- a/crates/planner/src/unload.rs
+++ b/crates/planner/src/unload.rs
@@ -4,16 +4,16 @@
 
 use crate::catalog::ModelEntry;
 use crate::decision::Reason;
+use crate::fleet_state::Replica;
 use crate::history::RequestHistory;
 use crate::pass::PlanningPass;
-use crate::picture::Replica;
 use crate::policy::format_seconds;
 
 impl<'a> PlanningPass<'a> {
     /// Unloads replicas that the settings no longer allow.
     pub fn unload_disallowed(&mut self) {
-        let picture = self.fleet.picture;
-        for replica in &picture.replicas {
+        let fleet_state = self.fleet.fleet_state;
+        for replica in &fleet_state.replicas {
             if self.fleet.is_leaving(replica) || replica.state != State::Ready {
                 continue;
             }
@@ -40,7 +40,7 @@
             return Some((Reason::Settings, "the settings allow fewer replicas"));
         }
         let current = replica.version == entry.model.version;
-        let idle = self.now.saturating_sub(replica.used) >= entry.rules.minimum;
+        let idle = self.now.saturating_sub(replica.last_used) >= entry.rules.minimum;
         if !current && !self.has_demand(replica) && idle && replica.running == 0 {
             return Some((Reason::Version, "another version is in force"));
         }
@@ -55,8 +55,8 @@
 
     /// Unloads idle replicas that cost more than their next cold start.
     pub fn unload_idle(&mut self) {
-        let picture = self.fleet.picture;
-        for replica in &picture.replicas {
+        let fleet_state = self.fleet.fleet_state;
+        for replica in &fleet_state.replicas {
             let idle = replica.state == State::Ready && replica.running == 0;
             if !idle || self.fleet.is_leaving(replica) || self.has_waiting_requests(replica) {
                 continue;
--- a/crates/planner/src/weight_store.rs
+++ b/crates/planner/src/weight_store.rs
@@ -9,8 +9,8 @@
 use cornelhitch_types::view::State;
 
 use crate::convert::{ceil_to_u32, duration_from_secs, gibibytes, to_f64};
+use crate::fleet_state::{FleetState, Replica};
 use crate::pending::{PendingAction, PendingDecisions};
-use crate::picture::{Picture, Replica};
 
 /// Minimum length of the window in which started loads are counted.
 const MIN_START_WINDOW: Duration = Duration::from_secs(1);
@@ -76,23 +76,23 @@
 }
 
 impl WeightStore {
-    /// Updates the limits and load times from the settings and replicas in the picture.
-    pub fn observe(&mut self, picture: &Picture, pending: &PendingDecisions, now: Time) {
-        if self.loading != picture.settings.loading {
-            self.loading = picture.settings.loading.clone();
+    /// Updates the limits and load times from the settings and replicas in the fleet state.
+    pub fn observe(&mut self, fleet_state: &FleetState, pending: &PendingDecisions, now: Time) {
+        if self.loading != fleet_state.settings.loading {
+            self.loading = fleet_state.settings.loading.clone();
             self.learned_speeds.clear();
             self.limit_share = 1.0;
         }
         self.finished.clear();
-        for replica in &picture.replicas {
+        for replica in &fleet_state.replicas {
             self.learn(replica);
         }
-        let loading = picture
+        let loading = fleet_state
             .replicas
             .iter()
             .filter(|replica| replica.state == State::Loading);
         self.loading_replicas = loading.map(|replica| replica.replica).collect();
-        self.count_starts(picture, pending, now);
+        self.count_starts(fleet_state, pending, now);
     }
 
     /// Learns from a replica whose load has ended since the last call.
@@ -103,10 +103,10 @@
         if !self.loading_replicas.contains(&replica.replica) {
             return;
         }
-        let Some(ready) = replica.ready else {
+        let Some(ready) = replica.ready_at else {
             return;
         };
-        let took = ready.saturating_sub(replica.decided);
+        let took = ready.saturating_sub(replica.decided_at);
         self.finished.push(FinishedLoad {
             model: replica.model.clone(),
             took,
@@ -132,22 +132,22 @@
     }
 
     /// Counts the loads from the store that are in flight and those started within the window.
-    fn count_starts(&mut self, picture: &Picture, pending: &PendingDecisions, now: Time) {
+    fn count_starts(&mut self, fleet_state: &FleetState, pending: &PendingDecisions, now: Time) {
         let window = self.window();
         self.recent_starts
             .retain(|start| now.saturating_sub(start.at) < window);
         let mut in_flight = 0;
-        let loading = picture
+        let loading = fleet_state
             .replicas
             .iter()
             .filter(|replica| replica.state == State::Loading && replica.from == Stage::Remote);
         for replica in loading {
             in_flight += 1;
-            if now.saturating_sub(replica.decided) < window && !self.is_counted(replica) {
+            if now.saturating_sub(replica.decided_at) < window && !self.is_counted(replica) {
                 self.recent_starts.push_back(StartedLoad {
                     model: replica.model.clone(),
                     target: replica.target.clone(),
-                    at: replica.decided,
+                    at: replica.decided_at,
                 });
             }
         }
--- a/crates/planner/tests/fake_fleet/check.rs
+++ b/crates/planner/tests/fake_fleet/check.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cornelhitch_planner::decision::{Action, Decision, Reason};
-use cornelhitch_planner::picture::{Quiet, Replica};
+use cornelhitch_planner::fleet_state::{LoadCooldown, Replica};
 use cornelhitch_types::id::ModelId;
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
@@ -41,10 +41,10 @@
             .iter()
             .find(|w| *w.target == *target)
             .expect("worker exists");
-        assert!(worker.open, "{target} accepts no loads");
-        let quiet = |quiet: &Quiet| quiet.model == *model && quiet.until > self.now;
+        assert!(worker.accepts_loads, "{target} accepts no loads");
+        let quiet = |quiet: &LoadCooldown| quiet.model == *model && quiet.until > self.now;
         assert!(
-            !worker.quiet.iter().any(quiet),
+            !worker.cooldowns.iter().any(quiet),
             "{model} must not be loaded on {target} yet"
         );
         let reserved: u64 = self
@@ -109,7 +109,7 @@
         );
         let idle = self
             .now
-            .saturating_sub(replica.used.max(replica.ready.unwrap_or_default()));
+            .saturating_sub(replica.last_used.max(replica.ready_at.unwrap_or_default()));
         if matches!(reason, Reason::Idle | Reason::Surplus) {
             assert!(
                 idle >= self.fleet.rules(&model.name).minimum,
--- a/crates/planner/tests/fake_fleet/mod.rs
+++ b/crates/planner/tests/fake_fleet/mod.rs
@@ -9,7 +9,9 @@
 
 use cornelhitch_planner::Planner;
 use cornelhitch_planner::decision::{Action, Decision};
-use cornelhitch_planner::picture::{Copy, Demand, Picture, Quiet, Replica, Worker};
+use cornelhitch_planner::fleet_state::{
+    Demand, FleetState, LoadCooldown, Replica, WeightCopy, Worker,
+};
 use cornelhitch_settings::fleet::Fleet;
 use cornelhitch_types::id::{ModelId, Time};
 use cornelhitch_types::target::Stage;
@@ -51,7 +53,7 @@
     pub fleet: Fleet,
     pub workers: Vec<Worker>,
     pub replicas: Vec<Replica>,
-    /// Replicas that the picture does not show yet, and the time from which it does.
+    /// Replicas that the fleet state does not show yet, and the time from which it does.
     hidden: Vec<(Time, Replica)>,
     rows: Vec<Row>,
     starts: VecDeque<Time>,
@@ -90,8 +92,8 @@
     /// Applies one step, then calls the planner, and checks and applies its decisions.
     pub fn run_step(&mut self, step: &Step, planner: &mut dyn Planner) {
         self.apply_step(step);
-        let picture = self.picture();
-        let decisions = planner.plan(&picture, self.now);
+        let fleet_state = self.fleet_state();
+        let decisions = planner.plan(&fleet_state, self.now);
         for decision in &decisions {
             self.check(decision);
             if !self.lose_decisions {
@@ -117,11 +119,11 @@
             Step::Dispatch => self.dispatch(),
             Step::EndRequests => self.end_requests(),
             Step::FailWorker { worker } => self.fail_worker(*worker),
-            Step::OpenWorker { worker } => self.workers[*worker].open = true,
-            Step::CloseWorker { worker } => self.workers[*worker].open = false,
+            Step::OpenWorker { worker } => self.workers[*worker].accepts_loads = true,
+            Step::CloseWorker { worker } => self.workers[*worker].accepts_loads = false,
             Step::Quiet { worker, model } => {
                 let until = self.now + Duration::from_secs(20);
-                self.workers[*worker].quiet.push(Quiet {
+                self.workers[*worker].cooldowns.push(LoadCooldown {
                     model: name(*model),
                     until,
                 });
@@ -132,7 +134,7 @@
                 } else {
                     Stage::Memory
                 };
-                self.workers[*worker].copies.push(Copy {
+                self.workers[*worker].copies.push(WeightCopy {
                     model: name(*model),
                     stage,
                 });
@@ -215,7 +217,7 @@
         let loading = |r: &&mut Replica| r.state == State::Loading;
         if let Some(replica) = self.replicas.iter_mut().filter(loading).nth(which) {
             replica.state = State::Ready;
-            replica.ready = Some(now);
+            replica.ready_at = Some(now);
         }
     }
 
@@ -229,7 +231,7 @@
                 if same && room > 0 {
                     let taken = room.min(row.demand.waiting);
                     replica.running += taken;
-                    replica.used = self.now;
+                    replica.last_used = self.now;
                     row.demand.waiting -= taken;
                     row.demand.running += taken;
                 }
@@ -256,7 +258,7 @@
 
     fn fail_worker(&mut self, index: usize) {
         let worker = &mut self.workers[index];
-        worker.open = false;
+        worker.accepts_loads = false;
         worker.free = worker.memory;
         let target = worker.target.clone();
         let before = self.replicas.len() + self.hidden.len();
@@ -265,7 +267,7 @@
         self.lost_replicas += (before - self.replicas.len() - self.hidden.len()) as u64;
     }
 
-    pub fn picture(&mut self) -> Picture {
+    pub fn fleet_state(&mut self) -> FleetState {
         let rows = self.rows.iter_mut();
         let demand = rows.map(|row| {
             let arrivals = std::mem::take(&mut row.new_arrivals);
@@ -274,7 +276,7 @@
                 ..row.demand.clone()
             }
         });
-        Picture {
+        FleetState {
             demand: demand.collect(),
             settings: Arc::new(self.fleet.clone()),
             workers: self.workers.clone(),
@@ -308,11 +310,11 @@
                     target: target.clone(),
                     bytes: *bytes,
                     state: State::Loading,
-                    decided: self.now,
-                    ready: None,
+                    decided_at: self.now,
+                    ready_at: None,
                     from,
                     running: 0,
-                    used: self.now,
+                    last_used: self.now,
                     adapters: Vec::new(),
                 };
                 self.next_id += 1;
@@ -349,8 +351,8 @@
         self.delay_replicas = false;
         self.adapters_in_flight = 0;
         for worker in &mut self.workers {
-            worker.open = true;
-            worker.quiet.clear();
+            worker.accepts_loads = true;
+            worker.cooldowns.clear();
         }
         self.end_requests();
         self.rows.clear();
@@ -381,8 +383,8 @@
         memory: gib * GIB,
         free: gib * GIB,
         accelerators: 2,
-        open: true,
+        accepts_loads: true,
         copies: Vec::new(),
-        quiet: Vec::new(),
+        cooldowns: Vec::new(),
     }
 }
--- a/crates/planner/tests/hosting.rs
+++ b/crates/planner/tests/hosting.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cornelhitch_planner::hosting::{Action, Held, Policy, Rate, Reason, Scene, Step, Wish, Worker};
+use cornelhitch_planner::hosting::{
+    Action, ArrivalRate, HeldModel, ModelDemand, PlannedOrder, Policy, Reason, ServiceState, Worker,
+};
 use cornelhitch_types::id::ModelId;
 use cornelhitch_types::route::{Engine, Model};
 use cornelhitch_types::target::Stage;
@@ -46,74 +48,78 @@
 /// Creates a worker that takes an order now, with the models in its memory and on its disk.
 fn worker(name: &str, held: &[&str], disk: &[&str]) -> Worker {
     let near = disk.iter().map(|model| ((*model).into(), Stage::Disk));
-    let held = held.iter().map(|model| Held {
+    let held = held.iter().map(|model| HeldModel {
         model: (*model).into(),
         adapters: Vec::new(),
-        leaving: false,
+        unloading: false,
     });
     Worker {
         target: name.into(),
         region: "r".into(),
         held: held.collect(),
-        near: Arc::new(near.collect()),
-        coming: None,
-        free_in: Some(Duration::ZERO),
+        local_copies: Arc::new(near.collect()),
+        loading: None,
+        time_until_free: Some(Duration::ZERO),
         open: true,
     }
 }
 
 /// Creates the demand for a model: waiting and running requests, and arrivals per second.
-fn wish(waiting: u32, running: u32, rate: f64) -> Wish {
-    Wish {
+fn model_demand(waiting: u32, running: u32, rate: f64) -> ModelDemand {
+    ModelDemand {
         waiting,
         running,
         load: f64::from(waiting + running),
         rate,
-        slack: Duration::from_secs(4),
-        ..Wish::default()
+        time_to_deadline: Duration::from_secs(4),
+        ..ModelDemand::default()
     }
 }
 
 /// Returns one plan of a new policy, as `worker action model reason` lines.
-fn plan(workers: Vec<Worker>, wishes: &[(&str, Wish)], fetching: u32) -> Vec<String> {
+fn plan(
+    workers: Vec<Worker>,
+    demand: &[(&str, ModelDemand)],
+    store_loads_in_flight: u32,
+) -> Vec<String> {
     let (engine, models) = (engine(), models());
-    let scene = Scene {
+    let service_state = ServiceState {
         engine: &engine,
         models: &models,
         workers,
-        wishes: wishes
+        demand: demand
             .iter()
-            .map(|(model, wish)| ((*model).into(), wish.clone()))
+            .map(|(model, demand)| ((*model).into(), demand.clone()))
             .collect(),
-        fetching,
+        store_loads_in_flight,
         store_open: true,
     };
     Policy::default()
-        .plan(&scene)
+        .plan(&service_state)
         .iter()
-        .map(format_step)
+        .map(format_order)
         .collect()
 }
 
-fn format_step(step: &Step) -> String {
-    let action = match &step.action {
+fn format_order(order: &PlannedOrder) -> String {
+    let action = match &order.action {
         Action::Load { model, from } => format!("load {model} {from:?}"),
         Action::Unload { model } => format!("unload {model}"),
         Action::Adapter { model, adapter } => format!("adapter {model}/{adapter}"),
         Action::DropAdapter { model, adapter } => format!("drop {model}/{adapter}"),
     };
-    format!("{} {action} {}", step.target, step.reason)
+    format!("{} {action} {}", order.target, order.reason)
 }
 
 #[test]
 fn a_waiting_model_evicts_the_least_requested_one() {
     let workers = vec![worker("w1", &["a", "b"], &["a", "b", "c"])];
-    let wishes = [
-        ("a", wish(0, 0, 0.5)),
-        ("b", wish(0, 0, 0.01)),
-        ("c", wish(1, 0, 0.1)),
+    let demand = [
+        ("a", model_demand(0, 0, 0.5)),
+        ("b", model_demand(0, 0, 0.01)),
+        ("c", model_demand(1, 0, 0.1)),
     ];
-    assert_eq!(plan(workers, &wishes, 0), ["w1 unload b room"]);
+    assert_eq!(plan(workers, &demand, 0), ["w1 unload b room"]);
 }
 
 /// Guards against thrashing: two models in high demand evicted each other in turn on the one worker
@@ -121,20 +127,24 @@
 #[test]
 fn a_copy_in_use_is_not_evicted_for_a_model_in_lower_demand() {
     let workers = vec![worker("w1", &["a", "b"], &["a", "b", "c"])];
-    let busy = wish(6, 12, 6.0);
-    let wishes = [("a", busy.clone()), ("b", busy), ("c", wish(1, 0, 0.1))];
-    assert!(plan(workers, &wishes, 0).is_empty());
+    let busy = model_demand(6, 12, 6.0);
+    let demand = [
+        ("a", busy.clone()),
+        ("b", busy),
+        ("c", model_demand(1, 0, 0.1)),
+    ];
+    assert!(plan(workers, &demand, 0).is_empty());
 }
 
 #[test]
 fn a_copy_in_use_is_evicted_for_a_model_in_higher_demand() {
     let workers = vec![worker("w1", &["a", "b"], &["a", "b", "c"])];
-    let wishes = [
-        ("a", wish(0, 1, 0.1)),
-        ("b", wish(0, 2, 0.2)),
-        ("c", wish(20, 0, 5.0)),
+    let demand = [
+        ("a", model_demand(0, 1, 0.1)),
+        ("b", model_demand(0, 2, 0.2)),
+        ("c", model_demand(20, 0, 5.0)),
     ];
-    assert_eq!(plan(workers, &wishes, 0), ["w1 unload a room"]);
+    assert_eq!(plan(workers, &demand, 0), ["w1 unload a room"]);
 }
 
 /// A worker that unloads a copy in use takes no other order until the copy's requests have ended.
@@ -145,24 +155,24 @@
         worker("w2", &["a", "d"], &[]),
         worker("w3", &["a", "e"], &[]),
     ];
-    let wishes = [
-        ("a", wish(0, 6, 2.0)),
-        ("b", wish(0, 0, 0.05)),
-        ("c", wish(1, 0, 0.1)),
+    let demand = [
+        ("a", model_demand(0, 6, 2.0)),
+        ("b", model_demand(0, 0, 0.05)),
+        ("c", model_demand(1, 0, 0.1)),
     ];
-    assert_eq!(plan(workers, &wishes, 0)[0], "w1 unload b room");
+    assert_eq!(plan(workers, &demand, 0)[0], "w1 unload b room");
 }
 
 #[test]
 fn a_new_leader_whose_means_start_at_zero_counts_running_requests() {
     let workers = vec![worker("w1", &["a", "b"], &["c"])];
-    let fresh = |waiting, running| Wish {
+    let fresh = |waiting, running| ModelDemand {
         load: 0.0,
         rate: 0.0,
-        ..wish(waiting, running, 0.0)
+        ..model_demand(waiting, running, 0.0)
     };
-    let wishes = [("a", fresh(0, 7)), ("b", fresh(0, 0)), ("c", fresh(1, 0))];
-    assert_eq!(plan(workers, &wishes, 0), ["w1 unload b room"]);
+    let demand = [("a", fresh(0, 7)), ("b", fresh(0, 0)), ("c", fresh(1, 0))];
+    assert_eq!(plan(workers, &demand, 0), ["w1 unload b room"]);
 }
 
 /// Guards against a model that stays overloaded because no other disk has its weights: 186 requests
@@ -170,8 +180,8 @@
 #[test]
 fn a_heavily_overloaded_model_is_fetched_from_the_store() {
     let workers = || vec![worker("w1", &["a"], &["a"]), worker("w2", &[], &[])];
-    let overloaded = [("a", wish(0, 6, 2.0))];
-    let heavily_overloaded = [("a", wish(0, 40, 9.0))];
+    let overloaded = [("a", model_demand(0, 6, 2.0))];
+    let heavily_overloaded = [("a", model_demand(0, 40, 9.0))];
     assert!(!plan(workers(), &overloaded, 1).contains(&"w2 load a Remote overloaded".to_owned()));
     assert!(
         plan(workers(), &heavily_overloaded, 1).contains(&"w2 load a Remote overloaded".to_owned())
@@ -181,22 +191,25 @@
 #[test]
 fn an_overloaded_model_gets_another_copy_from_a_disk() {
     let workers = vec![worker("w1", &["a"], &["a"]), worker("w2", &["b"], &["a"])];
-    let wishes = [("a", wish(0, 6, 2.0)), ("b", wish(0, 0, 0.1))];
-    assert!(plan(workers, &wishes, 0).contains(&"w2 load a Disk overloaded".to_owned()));
+    let demand = [
+        ("a", model_demand(0, 6, 2.0)),
+        ("b", model_demand(0, 0, 0.1)),
+    ];
+    assert!(plan(workers, &demand, 0).contains(&"w2 load a Disk overloaded".to_owned()));
 }
 
 #[test]
 fn no_more_copies_are_loaded_at_once_than_are_serving() {
-    let mut coming = worker("w2", &[], &["a"]);
-    coming.coming = Some("a".into());
-    coming.free_in = Some(Duration::from_millis(300));
+    let mut loading = worker("w2", &[], &["a"]);
+    loading.loading = Some("a".into());
+    loading.time_until_free = Some(Duration::from_millis(300));
     let workers = vec![
         worker("w1", &["a", "b"], &["a"]),
-        coming,
+        loading,
         worker("w3", &["c", "d"], &["a"]),
     ];
-    let wishes = [("a", wish(0, 30, 9.0))];
-    assert!(plan(workers, &wishes, 0).is_empty());
+    let demand = [("a", model_demand(0, 30, 9.0))];
+    assert!(plan(workers, &demand, 0).is_empty());
 }
 
 #[test]
@@ -208,16 +221,16 @@
             worker("w3", &[], &[]),
         ]
     };
-    let wishes = [
-        ("a", wish(0, 0, 0.1)),
-        ("b", wish(0, 0, 3.0)),
-        ("c", wish(1, 0, 0.5)),
+    let demand = [
+        ("a", model_demand(0, 0, 0.1)),
+        ("b", model_demand(0, 0, 3.0)),
+        ("c", model_demand(1, 0, 0.5)),
     ];
-    let loads = |fetching| {
-        let steps = plan(workers(), &wishes, fetching);
-        steps
+    let loads = |store_loads_in_flight| {
+        let orders = plan(workers(), &demand, store_loads_in_flight);
+        orders
             .iter()
-            .filter(|step| step.contains("Remote"))
+            .filter(|order| order.contains("Remote"))
             .cloned()
             .collect::<Vec<_>>()
     };
@@ -228,34 +241,34 @@
 #[test]
 fn a_model_without_requests_evicts_no_other() {
     let workers = vec![worker("w1", &["a", "b"], &[])];
-    let wishes = [
-        ("a", wish(0, 0, 0.1)),
-        ("b", wish(0, 0, 0.1)),
-        ("c", wish(0, 0, 0.0)),
+    let demand = [
+        ("a", model_demand(0, 0, 0.1)),
+        ("b", model_demand(0, 0, 0.1)),
+        ("c", model_demand(0, 0, 0.0)),
     ];
-    assert!(plan(workers, &wishes, 0).is_empty());
+    assert!(plan(workers, &demand, 0).is_empty());
 }
 
 #[test]
 fn a_model_waits_for_a_busy_worker_that_has_its_weights_near() {
     let mut near = worker("w1", &["a", "b"], &["c"]);
-    near.free_in = Some(Duration::from_millis(200));
+    near.time_until_free = Some(Duration::from_millis(200));
     let workers = vec![near, worker("w2", &["d", "e"], &[])];
-    assert!(plan(workers, &[("c", wish(1, 0, 0.1))], 0).is_empty());
+    assert!(plan(workers, &[("c", model_demand(1, 0, 0.1))], 0).is_empty());
 }
 
 #[test]
 fn a_worker_with_unknown_time_until_free_gets_no_order() {
     let mut unknown = worker("w1", &["a", "b"], &["c"]);
-    unknown.free_in = None;
-    assert!(plan(vec![unknown], &[("c", wish(1, 0, 0.1))], 2).is_empty());
+    unknown.time_until_free = None;
+    assert!(plan(vec![unknown], &[("c", model_demand(1, 0, 0.1))], 2).is_empty());
 }
 
 #[test]
 fn an_adapter_takes_a_free_slot_or_replaces_one_without_waiting_requests() {
-    let wanted = Wish {
+    let wanted = ModelDemand {
         adapters: vec!["a3".into()],
-        ..wish(1, 0, 0.1)
+        ..model_demand(1, 0, 0.1)
     };
     let with = |adapters: &[&str]| {
         let mut it = worker("w1", &["a", "b"], &[]);
@@ -278,34 +291,38 @@
     let mut closed = worker("w2", &["d"], &["e"]);
     closed.open = false;
     let mut loads = worker("w1", &["a"], &["b"]);
-    loads.coming = Some("c".into());
-    let scene = Scene {
+    loads.loading = Some("c".into());
+    let service_state = ServiceState {
         engine: &engine,
         models: &models,
         workers: vec![loads, closed],
-        wishes: BTreeMap::new(),
-        fetching: 0,
+        demand: BTreeMap::new(),
+        store_loads_in_flight: 0,
         store_open: true,
     };
-    let distant: Vec<&str> = scene.distant().into_iter().map(|model| &**model).collect();
-    assert_eq!(distant, ["d", "e", "f"]);
+    let store_only: Vec<&str> = service_state
+        .store_only_models()
+        .into_iter()
+        .map(|model| &**model)
+        .collect();
+    assert_eq!(store_only, ["d", "e", "f"]);
 }
 
 /// A new leader must estimate the rate from the first seconds after its election.
 #[test]
 fn a_rate_is_averaged_over_the_counted_time() {
     let second = Duration::from_secs;
-    let mut rate = Rate::new(0, second(100));
+    let mut rate = ArrivalRate::new(0, second(100));
     for at in 1..=5 {
-        rate.count(at * 4, second(100 + at));
+        rate.update(at * 4, second(100 + at));
     }
     assert!(
         (3.0..5.0).contains(&rate.per_second()),
         "{}",
         rate.per_second()
     );
-    let mut one = Rate::new(0, second(100));
-    one.count(1, second(100) + Duration::from_millis(20));
+    let mut one = ArrivalRate::new(0, second(100));
+    one.update(1, second(100) + Duration::from_millis(20));
     assert!(
         one.per_second() < 0.5,
         "one arrival must not give a high rate: {}",
@@ -336,12 +353,12 @@
         worker("w3", &["d"], &["d"]),
     ];
     // Requests are waiting for the only copies of b and c, on the worker that has a's weights near.
-    let wishes = [
-        ("a", wish(0, 9, 10.0)),
-        ("b", wish(2, 1, 0.2)),
-        ("c", wish(2, 1, 0.2)),
-        ("d", wish(0, 0, 0.1)),
+    let demand = [
+        ("a", model_demand(0, 9, 10.0)),
+        ("b", model_demand(2, 1, 0.2)),
+        ("c", model_demand(2, 1, 0.2)),
+        ("d", model_demand(0, 0, 0.1)),
     ];
-    let plan = plan(workers, &wishes, 0);
+    let plan = plan(workers, &demand, 0);
     assert_eq!(plan, ["w3 load a Remote overloaded"]);
 }
--- a/crates/planner/tests/policy.rs
+++ b/crates/planner/tests/policy.rs
@@ -6,37 +6,37 @@
 use std::time::Duration;
 
 use cornelhitch_planner::Planner;
-use cornelhitch_planner::picture::{Copy, Picture, Quiet};
+use cornelhitch_planner::fleet_state::{FleetState, LoadCooldown, WeightCopy};
 use cornelhitch_planner::policy::Policy;
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
 
-use crate::fixtures::{GIB, NOW, READY, demand, picture, replica, texts, worker};
+use crate::fixtures::{GIB, NOW, READY, demand, fleet_state, replica, texts, worker};
 
 /// An input and the decisions that it must lead to.
 struct Case {
     name: &'static str,
-    picture: Picture,
+    fleet_state: FleetState,
     expected: &'static [&'static str],
 }
 
 fn case(
     name: &'static str,
     expected: &'static [&'static str],
-    picture: Picture,
-    change: impl FnOnce(&mut Picture),
+    fleet_state: FleetState,
+    change: impl FnOnce(&mut FleetState),
 ) -> Case {
-    let mut picture = picture;
-    change(&mut picture);
+    let mut fleet_state = fleet_state;
+    change(&mut fleet_state);
     Case {
         name,
-        picture,
+        fleet_state,
         expected,
     }
 }
 
 fn loading_cases() -> Vec<Case> {
-    let two = || picture(vec![worker("a", 16), worker("b", 16)]);
+    let two = || fleet_state(vec![worker("a", 16), worker("b", 16)]);
     vec![
         case("no waiting requests", &[], two(), |_| {}),
         case("one waiting request", &["load report a"], two(), |p| {
@@ -44,18 +44,18 @@
         }),
         case("a nearer copy", &["load report b"], two(), |p| {
             p.demand = vec![demand("report", 1)];
-            p.workers[1].copies = vec![Copy {
+            p.workers[1].copies = vec![WeightCopy {
                 model: "report".into(),
                 stage: Stage::Memory,
             }];
         }),
         case("a closed worker", &["load report b"], two(), |p| {
             p.demand = vec![demand("report", 1)];
-            p.workers[0].open = false;
+            p.workers[0].accepts_loads = false;
         }),
         case("a worker in cooldown", &["load report b"], two(), |p| {
             p.demand = vec![demand("report", 1)];
-            p.workers[0].quiet = vec![Quiet {
+            p.workers[0].cooldowns = vec![LoadCooldown {
                 model: "report".into(),
                 until: NOW + Duration::from_secs(1),
             }];
@@ -66,7 +66,7 @@
             two(),
             |p| {
                 p.demand = vec![demand("report", 1)];
-                p.workers[0].quiet = vec![Quiet {
+                p.workers[0].cooldowns = vec![LoadCooldown {
                     model: "report".into(),
                     until: NOW,
                 }];
@@ -85,7 +85,7 @@
 }
 
 fn no_load_cases() -> Vec<Case> {
-    let two = || picture(vec![worker("a", 16), worker("b", 16)]);
+    let two = || fleet_state(vec![worker("a", 16), worker("b", 16)]);
     vec![
         case("an unmanaged group", &[], two(), |p| {
             p.demand = vec![demand("legacy", 5)];
@@ -100,7 +100,7 @@
         case("a replica is loading already", &[], two(), |p| {
             p.demand = vec![demand("report", 8)];
             p.replicas = vec![replica(1, "report", "a", State::Loading)];
-            p.replicas[0].decided = NOW;
+            p.replicas[0].decided_at = NOW;
             p.workers[0].free = 6 * GIB;
         }),
         case(
@@ -124,9 +124,9 @@
 
 fn memory_cases() -> Vec<Case> {
     let full = || {
-        let mut picture = picture(vec![worker("a", 6)]);
-        picture.replicas = vec![replica(1, "review", "a", State::Ready)];
-        picture
+        let mut fleet_state = fleet_state(vec![worker("a", 6)]);
+        fleet_state.replicas = vec![replica(1, "review", "a", State::Ready)];
+        fleet_state
     };
     vec![
         case("an idle replica is evicted", &["unload 1"], full(), |p| {
@@ -148,8 +148,8 @@
             p.replicas[0].model = "legacy".into();
         }),
         case("idle beyond the maximum", &["unload 1"], full(), |p| {
-            p.replicas[0].used = Duration::ZERO;
-            p.replicas[0].ready = Some(Duration::ZERO);
+            p.replicas[0].last_used = Duration::ZERO;
+            p.replicas[0].ready_at = Some(Duration::ZERO);
             let mut fleet = (*p.settings).clone();
             fleet.keeping.maximum_s = 900;
             p.settings = Arc::new(fleet);
@@ -178,11 +178,11 @@
 
 fn eviction_cases() -> Vec<Case> {
     let full = || {
-        let mut picture = picture(vec![worker("a", 6)]);
-        picture.replicas = vec![replica(1, "long", "a", State::Ready)];
-        picture.replicas[0].running = 1;
-        picture.demand = vec![demand("report", 1)];
-        picture
+        let mut fleet_state = fleet_state(vec![worker("a", 6)]);
+        fleet_state.replicas = vec![replica(1, "long", "a", State::Ready)];
+        fleet_state.replicas[0].running = 1;
+        fleet_state.demand = vec![demand("report", 1)];
+        fleet_state
     };
     vec![
         case(
@@ -225,13 +225,13 @@
             p.demand.clear();
             p.replicas[0].running = 0;
             p.replicas[0].version = Some("1".into());
-            p.replicas[0].used = READY;
+            p.replicas[0].last_used = READY;
         }),
         case("an old version with waiting requests", &[], full(), |p| {
             p.demand = vec![demand("long", 1)];
             p.demand[0].version = Some("1".into());
             p.replicas[0].version = Some("1".into());
-            p.replicas[0].used = READY;
+            p.replicas[0].last_used = READY;
         }),
     ]
 }
@@ -251,7 +251,7 @@
 fn one_call_makes_the_expected_decisions() {
     for case in cases() {
         let mut policy = Policy::default();
-        let decisions = policy.plan(&case.picture, NOW);
+        let decisions = policy.plan(&case.fleet_state, NOW);
         assert_eq!(texts(&decisions), case.expected, "{}", case.name);
     }
 }
