--- a/crates/planner/src/hosting.rs
+++ b/crates/planner/src/hosting.rs
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Places models that requests wait for and no worker holds, if some worker has them near.
+    /// Places models that requests wait for and no worker holds, if some worker has a local copy.
     fn load_waiting(&mut self, pass: &mut PlanningPass, store_only: &BTreeSet<&ModelId>) {
         let demand = pass.service_state.demand.iter();
         let demand = demand.filter(|(model, demand)| demand.waiting > 0 && pass.copies(model) == 0);
@@ -216,7 +216,7 @@
 
     /// Places a model on the worker with the least cost, provided that it takes an order now.
     ///
-    /// If the cheapest worker is busy but has the weights near, waiting for it is faster than
+    /// If the cheapest worker is busy but has a local copy, waiting for it is faster than
     /// loading the model elsewhere.
     fn place(&mut self, pass: &mut PlanningPass, model: &ModelId) {
         let candidate = pass.best(model).filter(|candidate| pass.free[candidate.at]);
@@ -254,13 +254,13 @@
     }
 
     /// Fills free memory: first with models that no worker holds, then with those that the fewest
-    /// workers have near.
+    /// workers have local copies of.
     fn fill_free_memory(&mut self, pass: &mut PlanningPass) {
         let mut with_room = pass.workers_with_room();
         if with_room.is_empty() {
             return;
         }
-        let near = pass.service_state.local_copy_counts();
+        let local_copies = pass.service_state.local_copy_counts();
         // A model with waiting requests goes where it is ready first, even if that worker is busy.
         let has_waiting = |model| {
             let demand = pass.service_state.demand.get(model);
@@ -271,7 +271,7 @@
         let mut models: Vec<(&ModelId, (u32, usize, u64))> = models
             .map(|model| {
                 let copies = pass.copies(model).min(1);
-                let nearby = near.get(model).copied().unwrap_or(0);
+                let nearby = local_copies.get(model).copied().unwrap_or(0);
                 (
                     model,
                     (
--- a/crates/planner/src/hosting/service_state.rs
+++ b/crates/planner/src/hosting/service_state.rs
@@ -126,7 +126,7 @@
     }
 
     /// Returns the models that only the weight store has: no open worker holds them, loads them or
-    /// has a copy near.
+    /// has a local copy.
     #[must_use]
     pub fn store_only_models(&self) -> BTreeSet<&ModelId> {
         let mut store_only: BTreeSet<&ModelId> = self.models.keys().collect();
--- a/crates/planner/tests/hosting.rs
+++ b/crates/planner/tests/hosting.rs
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn distant_models_are_those_that_no_open_worker_has() {
+fn store_only_models_are_those_that_no_open_worker_has() {
     let (engine, models) = (engine(), models());
     let mut closed = worker("w2", &["d"], &["e"]);
     closed.open = false;
