--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -30,7 +30,7 @@
 use cornelhitch_types::id::{HostId, Incarnation, TargetId, Term, Time, Version};
 use cornelhitch_types::order::{Order, Outcome};
 use cornelhitch_types::target::Inspection;
-use cornelhitch_wire::hello::Peer;
+use cornelhitch_wire::hello::ProcessId;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
@@ -183,7 +183,7 @@
 /// The newest lease renewal of a host.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Renewal {
-    pub peer: Peer,
+    pub peer: ProcessId,
     pub address: SocketAddr,
     pub sequence: u64,
 }
--- a/crates/node/src/datagrams.rs
+++ b/crates/node/src/datagrams.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use cornelhitch_types::id::{HostId, Incarnation};
-use cornelhitch_wire::datagram::{LIMIT, Opener, Sealer};
-use cornelhitch_wire::hello::{Identity, Peer};
+use cornelhitch_wire::datagram::{Authenticator, MAX_DATAGRAM_BYTES, Verifier};
+use cornelhitch_wire::hello::{Identity, ProcessId};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::CancellationToken;
@@ -18,7 +18,7 @@
 /// A datagram to send.
 #[derive(Debug)]
 struct Outgoing {
-    to: Peer,
+    to: ProcessId,
     address: SocketAddr,
     datagram: Datagram,
 }
@@ -26,7 +26,7 @@
 /// A handle to the task that owns the socket.
 #[derive(Debug, Clone)]
 pub struct DatagramSocket {
-    me: Peer,
+    me: ProcessId,
     inbox: Inbox,
     queue: mpsc::UnboundedSender<Outgoing>,
 }
@@ -54,7 +54,7 @@
     pub fn start(setup: Setup) -> Self {
         let me = {
             let identity = setup.identity.borrow();
-            Peer {
+            ProcessId {
                 host: identity.host,
                 incarnation: identity.incarnation,
             }
@@ -66,7 +66,7 @@
     }
 
     /// Sends a datagram, which may be lost; one to this host is delivered directly.
-    pub fn send(&self, to: Peer, address: SocketAddr, datagram: Datagram) {
+    pub fn send(&self, to: ProcessId, address: SocketAddr, datagram: Datagram) {
         if to.host == self.me.host {
             let event = PeerEvent::Datagram(datagram, address);
             self.inbox.deliver(Incoming {
@@ -91,18 +91,18 @@
 
 /// Sends and receives datagrams until the process stops.
 async fn run(setup: Setup, mut queued: mpsc::UnboundedReceiver<Outgoing>) {
-    let mut sealer = Sealer::default();
-    let mut opener = Opener::default();
-    let mut buffer = [0; LIMIT];
+    let mut authenticator = Authenticator::default();
+    let mut verifier = Verifier::default();
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         tokio::select! {
             () = setup.stop.cancelled() => return,
             outgoing = queued.recv() => match outgoing {
-                Some(outgoing) => send(&setup, &mut sealer, &outgoing).await,
+                Some(outgoing) => send(&setup, &mut authenticator, &outgoing).await,
                 None => return,
             },
             received = setup.socket.recv_from(&mut buffer) => match received {
-                Ok((length, from)) => open(&setup, &mut opener, &buffer[..length], from),
+                Ok((length, from)) => receive(&setup, &mut verifier, &buffer[..length], from),
                 Err(error) => tracing::debug!(%error, "cannot receive from the datagram socket"),
             },
         }
@@ -110,13 +110,13 @@
 }
 
 /// Seals and sends a datagram.
-async fn send(setup: &Setup, sealer: &mut Sealer, outgoing: &Outgoing) {
+async fn send(setup: &Setup, authenticator: &mut Authenticator, outgoing: &Outgoing) {
     if setup.cut.borrow().contains(&outgoing.to.host) {
         return;
     }
     let identity = setup.identity.borrow().clone();
     let payload = postcard::to_stdvec(&outgoing.datagram).unwrap_or_default();
-    match sealer.seal(&identity, outgoing.to, &payload) {
+    match authenticator.authenticate(&identity, outgoing.to, &payload) {
         Ok(bytes) => {
             setup.metrics.sent(bytes.len());
             if let Err(error) = setup.socket.send_to(&bytes, outgoing.address).await {
@@ -131,13 +131,13 @@
 }
 
 /// Opens, decodes and delivers a datagram.
-fn open(setup: &Setup, opener: &mut Opener, bytes: &[u8], address: SocketAddr) {
+fn receive(setup: &Setup, verifier: &mut Verifier, bytes: &[u8], address: SocketAddr) {
     let identity = setup.identity.borrow().clone();
     let refused = |error: &dyn std::fmt::Display| {
         setup.metrics.increment(Count::DatagramsRefused);
         tracing::debug!(%address, %error, "refused a datagram: cannot verify or decode it");
     };
-    let (from, payload) = match opener.open(&identity, bytes) {
+    let (from, payload) = match verifier.verify(&identity, bytes) {
         Ok(pair) => pair,
         Err(error) => return refused(&error),
     };
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use cornelhitch_settings::process;
 use cornelhitch_types::id::HostId;
-use cornelhitch_wire::hello::{Identity, Peer};
+use cornelhitch_wire::hello::{Identity, ProcessId};
 use cornelhitch_wire::link::{self, Link};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
@@ -94,7 +94,7 @@
 /// The state that all clones of [`Links`] and the link tasks share.
 #[derive(Debug)]
 struct Shared {
-    me: Peer,
+    me: ProcessId,
     inbox: Inbox,
     identity: watch::Receiver<Identity>,
     metrics: Metrics,
@@ -144,7 +144,7 @@
     pub fn start(setup: Setup) -> Self {
         let me = {
             let identity = setup.identity.borrow();
-            Peer {
+            ProcessId {
                 host: identity.host,
                 incarnation: identity.incarnation,
             }
@@ -312,7 +312,7 @@
     }
 
     /// Decodes a message from a peer and delivers it.
-    fn deliver(&self, from: Peer, bytes: &Bytes) {
+    fn deliver(&self, from: ProcessId, bytes: &Bytes) {
         self.metrics.received(bytes.len());
         match postcard::from_bytes::<Message>(bytes) {
             Ok(message) => self.inbox.deliver(Incoming {
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -9,7 +9,7 @@
 use cornelhitch_types::id::{HostId, Incarnation, TargetId, Term, Time, Version};
 use cornelhitch_types::target::{Announcement, Heartbeat, Presence};
 use cornelhitch_types::view::View;
-use cornelhitch_wire::hello::Peer;
+use cornelhitch_wire::hello::ProcessId;
 use serde::{Deserialize, Serialize};
 
 /// A message over a link, encoded with postcard.
@@ -104,7 +104,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Membership {
     /// Add a host as a learner, which replicates the log without a vote.
-    Add(Peer),
+    Add(ProcessId),
     /// Promote a learner to voter.
     Promote(HostId),
     /// Remove a voter or learner.
@@ -114,7 +114,7 @@
         /// The voter to remove.
         old: HostId,
         /// The host to add, with its disk's incarnation.
-        new: Peer,
+        new: ProcessId,
     },
 }
 
@@ -188,7 +188,7 @@
 #[derive(Debug)]
 pub struct Incoming {
     /// The peer.
-    pub from: Peer,
+    pub from: ProcessId,
     /// What happened.
     pub event: PeerEvent,
 }
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -9,7 +9,7 @@
 use cornelhitch_control::command::{Command, Reply};
 use cornelhitch_types::id::{HostId, Incarnation, Version};
 use cornelhitch_types::refusal::{Reason, Refusal};
-use cornelhitch_wire::hello::Peer;
+use cornelhitch_wire::hello::ProcessId;
 use http::header::AUTHORIZATION;
 use http::request::Parts;
 use http::{Method, Request, Response, StatusCode};
@@ -313,8 +313,8 @@
 
 /// Parses the membership change in a query.
 fn membership(parts: &Parts) -> Result<Membership, Refusal> {
-    let peer = || -> Result<Peer, Refusal> {
-        Ok(Peer {
+    let peer = || -> Result<ProcessId, Refusal> {
+        Ok(ProcessId {
             host: query(parts, "host")?,
             incarnation: query(parts, "incarnation")?,
         })
--- a/crates/node/src/session.rs
+++ b/crates/node/src/session.rs
@@ -10,7 +10,7 @@
 use cornelhitch_types::entry::Host;
 use cornelhitch_types::id::{HostId, Term, Version};
 use cornelhitch_types::view::View;
-use cornelhitch_wire::hello::Peer;
+use cornelhitch_wire::hello::ProcessId;
 use serde::Serialize;
 use snafu::Snafu;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -183,7 +183,7 @@
     term: Term,
     view: u64,
     last_subscribe: Instant,
-    peers: HashMap<HostId, Peer>,
+    peers: HashMap<HostId, ProcessId>,
     renewals: BTreeMap<u64, Instant>,
     sequence: u64,
     last_renewal: Option<Instant>,
@@ -310,7 +310,7 @@
     }
 
     /// Handles a message from a voter.
-    fn downward(&mut self, from: Peer, downward: Downward) {
+    fn downward(&mut self, from: ProcessId, downward: Downward) {
         match downward {
             Downward::NotLeader { leader, .. } => {
                 if self.candidates.accepts_hint(from.host, leader.is_some()) {
@@ -344,7 +344,7 @@
     }
 
     /// Delivers the answer to a call.
-    fn answer(&mut self, from: Peer, call: u64, answer: Bytes) {
+    fn answer(&mut self, from: ProcessId, call: u64, answer: Bytes) {
         self.leader_spoke(from);
         if let Some(call) = self.calls.remove(&call) {
             let _ = call.answer.send(Ok(answer));
@@ -352,7 +352,7 @@
     }
 
     /// Handles a lease grant; subscribes again if the view has fallen behind.
-    fn lease_granted(&mut self, from: Peer, datagram: &Datagram) {
+    fn lease_granted(&mut self, from: ProcessId, datagram: &Datagram) {
         let Datagram::Lease {
             sequence,
             length,
@@ -377,7 +377,7 @@
     }
 
     /// Notes that the current leader is alive, if the peer is that leader.
-    fn leader_spoke(&mut self, from: Peer) {
+    fn leader_spoke(&mut self, from: ProcessId) {
         if self.candidates.leader_spoke(from.host) {
             self.last_heard = Instant::now();
         }
@@ -456,12 +456,12 @@
     }
 
     /// Returns the leader's identity and address, once both are known.
-    fn known_leader(&self) -> Option<(Peer, SocketAddr)> {
+    fn known_leader(&self) -> Option<(ProcessId, SocketAddr)> {
         let voter = self.candidates.leader()?;
         if voter.host == self.setup.me {
             let incarnation = self.setup.datagrams.incarnation();
             let host = voter.host;
-            return Some((Peer { host, incarnation }, voter.address));
+            return Some((ProcessId { host, incarnation }, voter.address));
         }
         let peer = self.peers.get(&voter.host)?;
         Some((*peer, voter.address))
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -19,7 +19,7 @@
 use cornelhitch_settings::process::{Process, Role};
 use cornelhitch_types::entry::Host;
 use cornelhitch_types::id::{HostId, Incarnation};
-use cornelhitch_wire::hello::{Identity, cluster};
+use cornelhitch_wire::hello::{Identity, cluster_id};
 use snafu::{OptionExt, ResultExt};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, watch};
@@ -78,7 +78,7 @@
     ) -> Result<Self, Error> {
         let incarnation = incarnation();
         let (identity, identities) = watch::channel(Identity {
-            cluster: cluster(&process.cluster),
+            cluster: cluster_id(&process.cluster),
             host: process.host,
             incarnation,
             address: process
@@ -170,7 +170,7 @@
         let disk = DiskStore::open(
             folder,
             ExpectedIdentity {
-                cluster: cluster(&self.process.cluster),
+                cluster: cluster_id(&self.process.cluster),
                 group: 0,
                 member: self.process.host,
                 incarnation: self.incarnation,
--- a/crates/node/src/upward.rs
+++ b/crates/node/src/upward.rs
@@ -9,7 +9,7 @@
 use cornelhitch_quorum::id::Peer as Member;
 use cornelhitch_types::entry::Host;
 use cornelhitch_types::id::HostId;
-use cornelhitch_wire::hello::Peer;
+use cornelhitch_wire::hello::ProcessId;
 use serde::Serialize;
 
 use crate::control::{Control, Renewal};
@@ -25,7 +25,7 @@
 
 impl Control {
     /// Handles a message to the leader; names the leader if this host does not lead.
-    pub(crate) fn upward(&mut self, from: Peer, upward: Upward) {
+    pub(crate) fn upward(&mut self, from: ProcessId, upward: Upward) {
         if !self.leading {
             let call = match upward {
                 Upward::Propose { call, .. } | Upward::Ask { call, .. } => Some(call),
@@ -141,7 +141,7 @@
 }
 
 /// Converts a peer to a member of the log's group.
-fn member(peer: Peer) -> Member {
+fn member(peer: ProcessId) -> Member {
     Member {
         id: peer.host,
         incarnation: peer.incarnation,
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -9,7 +9,7 @@
 use cornelhitch_node::message::{Downward, Incoming, Message, PeerEvent};
 use cornelhitch_node::metrics::Metrics;
 use cornelhitch_settings::process::Peer;
-use cornelhitch_wire::hello::{Identity, cluster};
+use cornelhitch_wire::hello::{Identity, cluster_id};
 use tokio::io::copy_bidirectional;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
@@ -29,7 +29,7 @@
     voters: Vec<Peer>,
 ) -> (Links, mpsc::UnboundedReceiver<Incoming>) {
     let identity = Identity {
-        cluster: cluster("test"),
+        cluster: cluster_id("test"),
         host,
         incarnation: 1,
         address: listener.local_addr().expect("an address"),
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -11,12 +11,12 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-use crate::hello::{Identity, Peer, VERSION};
+use crate::hello::{Identity, ProcessId, VERSION};
 use crate::key::MAC_BYTES;
 use crate::window::ReplayWindow;
 
 /// Maximum datagram size in bytes; fits into one Ethernet frame.
-pub const LIMIT: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 /// The header that precedes the payload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,9 +28,9 @@
     /// ID of the key used for the message authentication code.
     pub key: u32,
     /// The sending process.
-    pub from: Peer,
+    pub from: ProcessId,
     /// The receiving process.
-    pub to: Peer,
+    pub to: ProcessId,
     /// Sequence number of the datagram within the sender's incarnation and for this receiver, from
     /// 1.
     pub counter: u64,
@@ -40,7 +40,9 @@
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum Error {
     /// The datagram is too long to send.
-    #[snafu(display("a datagram of {length} bytes exceeds the limit of {LIMIT} bytes"))]
+    #[snafu(display(
+        "a datagram of {length} bytes exceeds the limit of {MAX_DATAGRAM_BYTES} bytes"
+    ))]
     TooLong {
         /// Length of the datagram in bytes.
         length: usize,
@@ -61,40 +63,45 @@
     #[snafu(display("host {} uses a key that is not in the key file", from.host))]
     UnknownKey {
         /// The claimed sender, not authenticated.
-        from: Peer,
+        from: ProcessId,
     },
     /// The message authentication code is wrong.
     #[snafu(display("a datagram claimed to be from host {} has a wrong authentication code", from.host))]
     InvalidMac {
         /// The claimed sender, not authenticated.
-        from: Peer,
+        from: ProcessId,
     },
     /// The datagram is addressed to another host or to another incarnation of this one.
     #[snafu(display("a datagram from host {} for another host or incarnation", from.host))]
     WrongReceiver {
         /// The sending process.
-        from: Peer,
+        from: ProcessId,
     },
     /// The datagram was received before or is too old, or its sender has restarted since.
     #[snafu(display("a datagram from host {} is replayed or too old", from.host))]
     Replayed {
         /// The sending process.
-        from: Peer,
+        from: ProcessId,
     },
 }
 
 /// Creates authenticated datagrams.
 #[derive(Debug, Default)]
-pub struct Sealer {
+pub struct Authenticator {
     counters: HashMap<HostId, u64>,
 }
 
-impl Sealer {
+impl Authenticator {
     /// Creates a datagram with `payload` for a peer.
     ///
     /// # Errors
-    /// [`Error::TooLong`] if the datagram would exceed [`LIMIT`].
-    pub fn seal(&mut self, identity: &Identity, to: Peer, payload: &[u8]) -> Result<Bytes, Error> {
+    /// [`Error::TooLong`] if the datagram would exceed [`MAX_DATAGRAM_BYTES`].
+    pub fn authenticate(
+        &mut self,
+        identity: &Identity,
+        to: ProcessId,
+        payload: &[u8],
+    ) -> Result<Bytes, Error> {
         let counter = self.counters.entry(to.host).or_insert(0);
         *counter += 1;
         let key = identity.keys.sending_key();
@@ -102,7 +109,7 @@
             version: VERSION,
             cluster: identity.cluster,
             key: key.id,
-            from: Peer {
+            from: ProcessId {
                 host: identity.host,
                 incarnation: identity.incarnation,
             },
@@ -114,14 +121,14 @@
         let mac = key.mac(&[&out]);
         out.put_slice(&mac);
         let length = out.len();
-        ensure!(length <= LIMIT, TooLongSnafu { length });
+        ensure!(length <= MAX_DATAGRAM_BYTES, TooLongSnafu { length });
         Ok(out.freeze())
     }
 }
 
 /// Verifies received datagrams.
 #[derive(Debug, Default)]
-pub struct Opener {
+pub struct Verifier {
     senders: HashMap<HostId, Sender>,
 }
 
@@ -132,13 +139,17 @@
     window: ReplayWindow,
 }
 
-impl Opener {
+impl Verifier {
     /// Verifies a datagram and returns its sender and payload.
     ///
     /// # Errors
     /// Fails unless the datagram is authentic, not a replay, and addressed to this incarnation of
     /// this host.
-    pub fn open(&mut self, identity: &Identity, datagram: &[u8]) -> Result<(Peer, Bytes), Error> {
+    pub fn verify(
+        &mut self,
+        identity: &Identity,
+        datagram: &[u8],
+    ) -> Result<(ProcessId, Bytes), Error> {
         let end = datagram
             .len()
             .checked_sub(MAC_BYTES)
@@ -154,7 +165,7 @@
             .find(header.key)
             .context(UnknownKeySnafu { from })?;
         ensure!(key.verify(&[authenticated], mac), InvalidMacSnafu { from });
-        let me = Peer {
+        let me = ProcessId {
             host: identity.host,
             incarnation: identity.incarnation,
         };
--- a/crates/wire/src/hello.rs
+++ b/crates/wire/src/hello.rs
@@ -13,7 +13,7 @@
 /// The identity of this process towards its peers.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// The cluster ID, see [`cluster`].
+    /// The cluster ID, see [`cluster_id`].
     pub cluster: u64,
     /// The host ID.
     pub host: HostId,
@@ -28,12 +28,12 @@
 /// Derives a cluster ID from the cluster's name.
 ///
 /// ```
-/// use cornelhitch_wire::hello::cluster;
+/// use cornelhitch_wire::hello::cluster_id;
 ///
-/// assert_ne!(cluster("co-op"), cluster("office"));
+/// assert_ne!(cluster_id("co-op"), cluster_id("office"));
 /// ```
 #[must_use]
-pub fn cluster(name: &str) -> u64 {
+pub fn cluster_id(name: &str) -> u64 {
     let digest = blake3::hash(name.as_bytes());
     let mut number = [0; 8];
     number.copy_from_slice(&digest.as_bytes()[..8]);
@@ -42,7 +42,7 @@
 
 /// A process of the cluster: host and incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Peer {
+pub struct ProcessId {
     /// The host ID.
     pub host: HostId,
     /// The incarnation of the process.
@@ -57,7 +57,7 @@
     /// The sender's cluster.
     pub cluster: u64,
     /// The sender.
-    pub peer: Peer,
+    pub peer: ProcessId,
     /// The address at which peers reach the sender; the IP address may be unspecified.
     pub address: SocketAddr,
     /// ID of the key that the sender uses.
@@ -73,7 +73,7 @@
         Self {
             version: VERSION,
             cluster: identity.cluster,
-            peer: Peer {
+            peer: ProcessId {
                 host: identity.host,
                 incarnation: identity.incarnation,
             },
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -12,7 +12,7 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 
 use crate::frame::{self, Codec};
-use crate::hello::{Hello, Identity, Peer, VERSION};
+use crate::hello::{Hello, Identity, ProcessId, VERSION};
 
 /// Time limit for connecting, and again for the handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
@@ -69,19 +69,19 @@
     #[snafu(display("host {} belongs to another cluster", peer.host))]
     WrongCluster {
         /// The claimed peer, not authenticated.
-        peer: Peer,
+        peer: ProcessId,
     },
     /// The peer uses a key that is not in this process's keyring.
     #[snafu(display("host {} uses a key that is not in the key file", peer.host))]
     UnknownKey {
         /// The claimed peer, not authenticated.
-        peer: Peer,
+        peer: ProcessId,
     },
     /// The peer did not prove that it holds the key.
     #[snafu(display("host {} did not prove that it holds the key", peer.host))]
     ProofFailed {
         /// The claimed peer, not authenticated.
-        peer: Peer,
+        peer: ProcessId,
     },
 }
 
@@ -89,7 +89,7 @@
 #[derive(Debug)]
 pub struct Link {
     /// The peer.
-    pub peer: Peer,
+    pub peer: ProcessId,
     /// The address at which the peer is reached, authenticated as part of the handshake.
     pub address: SocketAddr,
     /// The sending half.
--- a/crates/wire/tests/datagram.rs
+++ b/crates/wire/tests/datagram.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use cornelhitch_wire::datagram::{Error, Opener, Sealer};
-use cornelhitch_wire::hello::{Identity, Peer, cluster};
+use cornelhitch_wire::datagram::{Authenticator, Error, Verifier};
+use cornelhitch_wire::hello::{Identity, ProcessId, cluster_id};
 use proptest::prelude::*;
 
 /// An identity with the given cluster name and keys.
 fn identity(host: u64, incarnation: u64, name: &str, keys: &str) -> Identity {
     Identity {
-        cluster: cluster(name),
+        cluster: cluster_id(name),
         host,
         incarnation,
         address: SocketAddr::from(([127, 0, 0, 1], 7_000)),
@@ -28,7 +28,7 @@
     cluster: &'static str,
     sender: &'static str,
     receiver: &'static str,
-    to: Peer,
+    to: ProcessId,
     /// Index of the byte altered in transit.
     changed: Option<usize>,
     /// Number of bytes removed from the end.
@@ -41,7 +41,7 @@
     cluster: "co-op",
     sender: OLD,
     receiver: OLD,
-    to: Peer {
+    to: ProcessId {
         host: 2,
         incarnation: 5,
     },
@@ -52,11 +52,11 @@
 
 #[test]
 fn only_authentic_datagrams_for_this_incarnation_are_accepted() {
-    let earlier = Peer {
+    let earlier = ProcessId {
         host: 2,
         incarnation: 4,
     };
-    let other = Peer {
+    let other = ProcessId {
         host: 3,
         incarnation: 5,
     };
@@ -78,14 +78,19 @@
         let from = identity(1, 9, case.cluster, case.sender);
         let to = identity(2, 5, "co-op", case.receiver);
         let payload = [7; 64];
-        let sealed = Sealer::default().seal(&from, case.to, &payload);
-        let mut datagram = sealed.expect("seal").to_vec();
+        let authenticated = Authenticator::default().authenticate(&from, case.to, &payload);
+        let mut datagram = authenticated.expect("authenticate").to_vec();
         if let Some(position) = case.changed {
             datagram[position] ^= 1;
         }
         datagram.truncate(datagram.len() - case.truncated_by);
-        let opened = Opener::default().open(&to, &datagram);
-        assert_eq!(opened.is_ok(), case.accepted, "{}: {opened:?}", case.name);
+        let verified = Verifier::default().verify(&to, &datagram);
+        assert_eq!(
+            verified.is_ok(),
+            case.accepted,
+            "{}: {verified:?}",
+            case.name
+        );
     }
 }
 
@@ -93,16 +98,16 @@
 fn replayed_datagrams_and_earlier_incarnations_are_rejected() {
     let to = identity(2, 5, "co-op", OLD);
     let peer = VALID.to;
-    let mut opener = Opener::default();
-    let old = Sealer::default()
-        .seal(&identity(1, 8, "co-op", OLD), peer, b"old")
-        .expect("seal");
-    let new = Sealer::default()
-        .seal(&identity(1, 9, "co-op", OLD), peer, b"new")
-        .expect("seal");
-    assert!(opener.open(&to, &new).is_ok());
+    let mut verifier = Verifier::default();
+    let old = Authenticator::default()
+        .authenticate(&identity(1, 8, "co-op", OLD), peer, b"old")
+        .expect("authenticate");
+    let new = Authenticator::default()
+        .authenticate(&identity(1, 9, "co-op", OLD), peer, b"new")
+        .expect("authenticate");
+    assert!(verifier.verify(&to, &new).is_ok());
     for datagram in [new, old] {
-        let result = opener.open(&to, &datagram);
+        let result = verifier.verify(&to, &datagram);
         assert!(matches!(result, Err(Error::Replayed { .. })), "{result:?}");
     }
 }
@@ -110,8 +115,8 @@
 #[test]
 fn oversized_payload_is_rejected() {
     let from = identity(1, 9, "co-op", OLD);
-    let sealed = Sealer::default().seal(&from, VALID.to, &[0; 1_400]);
-    assert!(matches!(sealed, Err(Error::TooLong { .. })));
+    let authenticated = Authenticator::default().authenticate(&from, VALID.to, &[0; 1_400]);
+    assert!(matches!(authenticated, Err(Error::TooLong { .. })));
 }
 
 proptest! {
@@ -119,7 +124,7 @@
     #[test]
     fn arbitrary_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..2_000)) {
         let to = identity(2, 5, "co-op", OLD);
-        prop_assert!(Opener::default().open(&to, &bytes).is_err());
+        prop_assert!(Verifier::default().verify(&to, &bytes).is_err());
     }
 
     /// In any order and with any repetitions, each datagram is accepted exactly once.
@@ -127,14 +132,14 @@
     fn each_datagram_is_accepted_once(order in proptest::collection::vec(0..20_usize, 0..60)) {
         let from = identity(1, 9, "co-op", OLD);
         let to = identity(2, 5, "co-op", OLD);
-        let mut sealer = Sealer::default();
-        let sealed: Vec<Bytes> = (0..20_u8)
-            .map(|n| sealer.seal(&from, VALID.to, &[n]).expect("seal"))
+        let mut authenticator = Authenticator::default();
+        let authenticated: Vec<Bytes> = (0..20_u8)
+            .map(|n| authenticator.authenticate(&from, VALID.to, &[n]).expect("authenticate"))
             .collect();
-        let mut opener = Opener::default();
+        let mut verifier = Verifier::default();
         let mut seen = std::collections::BTreeSet::new();
         for index in order {
-            let result = opener.open(&to, &sealed[index]);
+            let result = verifier.verify(&to, &authenticated[index]);
             prop_assert_eq!(result.is_ok(), seen.insert(index));
         }
     }
--- a/crates/wire/tests/hello.rs
+++ b/crates/wire/tests/hello.rs
@@ -2,14 +2,14 @@
 
 use std::net::SocketAddr;
 
-use cornelhitch_wire::hello::{Hello, Identity, cluster};
+use cornelhitch_wire::hello::{Hello, Identity, cluster_id};
 use cornelhitch_wire::link;
 use tokio::net::{TcpListener, TcpStream};
 
 /// An identity that advertises the given address.
 fn identity(host: u64, address: &str) -> Identity {
     Identity {
-        cluster: cluster("co-op"),
+        cluster: cluster_id("co-op"),
         host,
         incarnation: 1,
         address: address.parse().expect("an address"),
--- a/crates/wire/tests/link.rs
+++ b/crates/wire/tests/link.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use cornelhitch_wire::frame::Codec;
-use cornelhitch_wire::hello::{Identity, cluster};
+use cornelhitch_wire::hello::{Identity, cluster_id};
 use cornelhitch_wire::key::Key;
 use cornelhitch_wire::link::{self, Link};
 use proptest::prelude::*;
@@ -15,7 +15,7 @@
 /// An identity with the given cluster name and keys.
 fn identity(host: u64, name: &str, keys: &str) -> Identity {
     Identity {
-        cluster: cluster(name),
+        cluster: cluster_id(name),
         host,
         incarnation: 1,
         address: SocketAddr::from(([127, 0, 0, 1], 7_000)),
