--- a/crates/control/src/claim.rs
+++ b/crates/control/src/claim.rs
@@ -57,7 +57,7 @@
 
 /// The result of a command about a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum ClaimResult {
     /// The holder may send the request, once.
     Granted,
     /// It was claimed before and is in progress.
--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -11,9 +11,9 @@
 use cornelhitch_types::id::{HostId, Incarnation, Time};
 use serde::{Deserialize, Serialize, Serializer};
 
-pub use crate::claim::{Answer, Claim, Finish, Holder, Key, MAX_KEY_BYTES, Refusal};
+pub use crate::claim::{Claim, ClaimResult, Finish, Holder, Key, MAX_KEY_BYTES, Refusal};
 use crate::mutation::{self, Mutation};
-pub use crate::outcome::{BODY, MAX_CONTENT_TYPE_BYTES, Outcome};
+pub use crate::outcome::{MAX_BODY_BYTES, MAX_CONTENT_TYPE_BYTES, Outcome};
 use crate::tombstones::Tombstones;
 
 /// The size limits of the claims table; beyond them the oldest outcomes lose data.
@@ -151,20 +151,20 @@
     }
 
     /// Grants a key that was not claimed before, or returns its outcome.
-    pub(crate) fn claim(&mut self, claim: &Claim, limits: &Limits) -> Answer {
+    pub(crate) fn claim(&mut self, claim: &Claim, limits: &Limits) -> ClaimResult {
         if !claim.key.is_valid() {
-            return Answer::Refused(Refusal::Malformed);
+            return ClaimResult::Refused(Refusal::Malformed);
         }
         if let Some(record) = self.records.get(&claim.key) {
             return record.answer(claim);
         }
         let is_expired = claim.issued.is_some_and(|issued| issued < self.watermark);
         if is_expired || self.tombstones.contains(&claim.key) {
-            return Answer::Forgotten;
+            return ClaimResult::Forgotten;
         }
         let capacity = limits.records + limits.tombstones;
         if self.records.len() + self.tombstones.len() >= capacity {
-            return Answer::Refused(Refusal::Full);
+            return ClaimResult::Refused(Refusal::Full);
         }
         let record = Record {
             digest: claim.digest,
@@ -175,16 +175,16 @@
         self.records.insert(claim.key.clone(), record);
         self.add_running(claim.holder, &claim.key);
         self.enforce_limits(limits);
-        Answer::Granted
+        ClaimResult::Granted
     }
 
     /// Records an outcome; the holder may replace an unknown one.
-    pub(crate) fn finish(&mut self, finish: Finish, limits: &Limits, now: Time) -> Answer {
+    pub(crate) fn finish(&mut self, finish: Finish, limits: &Limits, now: Time) -> ClaimResult {
         let Some(record) = self.records.get_mut(&finish.key) else {
-            return Answer::Refused(Refusal::Absent);
+            return ClaimResult::Refused(Refusal::Absent);
         };
         if !record.is_held(finish.holder, finish.call) {
-            return Answer::Refused(Refusal::Holder);
+            return ClaimResult::Refused(Refusal::Holder);
         }
         let outcome = finish.outcome.with_bounded_body();
         match &record.outcome {
@@ -192,35 +192,35 @@
                 // The claim keeps its position in `ended`, which may be among those that have lost
                 // their bodies, so only the short form is kept.
                 record.outcome = Some(outcome.without_body());
-                return Answer::Done;
+                return ClaimResult::Done;
             }
-            Some(_) => return Answer::Refused(Refusal::Ended),
+            Some(_) => return ClaimResult::Refused(Refusal::Ended),
             None => {}
         }
         self.bodies += outcome.body_bytes();
         record.outcome = Some(outcome);
         self.end(finish.holder, finish.key, now);
         self.enforce_limits(limits);
-        Answer::Done
+        ClaimResult::Done
     }
 
     /// Frees a claim whose request was not sent.
     ///
     /// The call number is checked too: a delayed duplicate of an earlier call's abandonment must
     /// not free a later claim of the same holder.
-    pub(crate) fn abandon(&mut self, key: &Key, holder: Holder, call: u64) -> Answer {
+    pub(crate) fn abandon(&mut self, key: &Key, holder: Holder, call: u64) -> ClaimResult {
         let Some(record) = self.records.get(key) else {
-            return Answer::Refused(Refusal::Absent);
+            return ClaimResult::Refused(Refusal::Absent);
         };
         if !record.is_held(holder, call) {
-            return Answer::Refused(Refusal::Holder);
+            return ClaimResult::Refused(Refusal::Holder);
         }
         if record.outcome.is_some() {
-            return Answer::Refused(Refusal::Ended);
+            return ClaimResult::Refused(Refusal::Ended);
         }
         self.records.remove(key);
         self.remove_running(holder, key);
-        Answer::Done
+        ClaimResult::Done
     }
 
     /// Marks the claims held by the ended incarnations of a host as unknown.
@@ -230,7 +230,7 @@
         newest: Incarnation,
         limits: &Limits,
         now: Time,
-    ) -> Answer {
+    ) -> ClaimResult {
         let first = Holder {
             host,
             incarnation: 0,
@@ -257,7 +257,7 @@
             }
         }
         self.enforce_limits(limits);
-        Answer::Done
+        ClaimResult::Done
     }
 
     /// Drops records and tombstones that ended before the retention time.
@@ -330,14 +330,14 @@
     }
 
     /// Returns the answer to a resend; the holder's own repeat is granted again.
-    fn answer(&self, claim: &Claim) -> Answer {
+    fn answer(&self, claim: &Claim) -> ClaimResult {
         if self.digest != claim.digest {
-            return Answer::Mismatch;
+            return ClaimResult::Mismatch;
         }
         match &self.outcome {
-            Some(outcome) => Answer::Recorded(outcome.clone()),
-            None if self.is_held(claim.holder, claim.call) => Answer::Granted,
-            None => Answer::InProgress,
+            Some(outcome) => ClaimResult::Recorded(outcome.clone()),
+            None if self.is_held(claim.holder, claim.call) => ClaimResult::Granted,
+            None => ClaimResult::InProgress,
         }
     }
 }
--- a/crates/control/src/claims/tests.rs
+++ b/crates/control/src/claims/tests.rs
@@ -109,7 +109,7 @@
             Step::Abandon { key, host, late } => {
                 let (holder, call) = self.caller(key, host, true);
                 let call = call.saturating_sub(u64::from(late));
-                if self.claims.abandon(&Self::key(key), holder, call) == Answer::Done {
+                if self.claims.abandon(&Self::key(key), holder, call) == ClaimResult::Done {
                     let grant = self.grants.remove(&key);
                     let held = grant.is_some_and(|it| it.holder == holder && it.ended.is_none());
                     let held = held && !late;
@@ -163,28 +163,30 @@
             .get(&key)
             .filter(|it| !it.ended.is_some_and(over));
         let right = match (&answer, old) {
-            (Answer::Granted | Answer::Refused(Refusal::Full), None) => true,
-            (Answer::InProgress, Some(old)) => {
+            (ClaimResult::Granted | ClaimResult::Refused(Refusal::Full), None) => true,
+            (ClaimResult::InProgress, Some(old)) => {
                 old.ended.is_none() && old.digest == digest && old.call != call
             }
-            (Answer::Granted, Some(old)) => {
+            (ClaimResult::Granted, Some(old)) => {
                 old.ended.is_none() && (old.holder, old.call, old.digest) == (holder, call, digest)
             }
-            (Answer::Recorded(outcome), Some(old)) => {
+            (ClaimResult::Recorded(outcome), Some(old)) => {
                 let first = old.outcome.as_ref();
                 let kept = first.is_some_and(|it| outcome == it || *outcome == it.without_body());
                 kept && old.digest == digest
             }
-            (Answer::Mismatch, Some(old)) => old.digest != digest,
-            (Answer::Forgotten, Some(old)) => old.ended.is_some(),
-            (Answer::Forgotten, None) => claim.issued.is_some_and(|it| it < self.claims.watermark),
+            (ClaimResult::Mismatch, Some(old)) => old.digest != digest,
+            (ClaimResult::Forgotten, Some(old)) => old.ended.is_some(),
+            (ClaimResult::Forgotten, None) => {
+                claim.issued.is_some_and(|it| it < self.claims.watermark)
+            }
             _ => false,
         };
         if !right {
             return Err(format!("{claim:?} got {answer:?}, last grant {old:?}"));
         }
-        self.forgotten += usize::from(answer == Answer::Forgotten);
-        if answer == Answer::Granted {
+        self.forgotten += usize::from(answer == ClaimResult::Forgotten);
+        if answer == ClaimResult::Granted {
             self.granted += 1;
             let (outcome, ended) = (None, None);
             self.grants.insert(
@@ -216,7 +218,7 @@
             call,
             outcome: outcome.clone(),
         };
-        if self.claims.finish(finish, &SMALL, self.now) == Answer::Done
+        if self.claims.finish(finish, &SMALL, self.now) == ClaimResult::Done
             && let Some(grant) = self.grants.get_mut(&key)
         {
             grant.outcome = Some(outcome);
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -8,9 +8,9 @@
 use snafu::{ResultExt, ensure};
 use strum::{Display, EnumDiscriminants};
 
-use crate::catalogue::{self, Apply};
 use crate::claims::{self, Claim, Finish, Holder, Key};
-use crate::document::{self, Publish};
+use crate::current_settings::{self, Apply};
+use crate::current_table::{self, SubmittedTable};
 use crate::error::{
     CommandKindSnafu, Error, FormatVersionSnafu, MalformedSnafu, TrailingBytesSnafu,
 };
@@ -44,13 +44,17 @@
 #[strum_discriminants(strum(serialize_all = "kebab-case"))]
 pub enum Command {
     /// No operation; a new leader commits one to learn what is committed.
-    Nothing,
+    #[serde(rename = "Nothing")]
+    #[strum_discriminants(strum(serialize = "nothing"))]
+    Noop,
     /// Brings a settings text into force.
     Apply(Apply),
     /// Registers a target and ends its earlier incarnation.
     Register(Announcement),
     /// Removes a target.
-    Dismiss {
+    #[serde(rename = "Dismiss")]
+    #[strum_discriminants(strum(serialize = "dismiss"))]
+    Deregister {
         /// The target to remove.
         target: TargetId,
         /// Its incarnation.
@@ -59,7 +63,9 @@
         attested: bool,
     },
     /// Records that a target has been silent for long, or is heard again.
-    Silence {
+    #[serde(rename = "Silence")]
+    #[strum_discriminants(strum(serialize = "silence"))]
+    RecordSilence {
         /// The target concerned.
         target: TargetId,
         /// Its incarnation.
@@ -113,19 +119,25 @@
     /// Records that a target was lost with requests in progress.
     Strike(Strike),
     /// Clears the strikes of a request.
-    Pardon {
+    #[serde(rename = "Pardon")]
+    #[strum_discriminants(strum(serialize = "pardon"))]
+    ClearStrikes {
         /// The fingerprint of the request.
         fingerprint: u64,
     },
     /// Records that a target is leaving and gets no new work in this incarnation.
-    Leave {
+    #[serde(rename = "Leave")]
+    #[strum_discriminants(strum(serialize = "leave"))]
+    RecordLeaving {
         /// The target that leaves.
         target: TargetId,
         /// Its incarnation.
         incarnation: Incarnation,
     },
     /// Records which models a worker that counts its orders holds.
-    Hold {
+    #[serde(rename = "Hold")]
+    #[strum_discriminants(strum(serialize = "hold"))]
+    RecordHeld {
         /// The worker concerned.
         target: TargetId,
         /// Its incarnation.
@@ -134,7 +146,9 @@
         models: Vec<Reference>,
     },
     /// Brings a route table into force.
-    Publish(Publish),
+    #[serde(rename = "Publish")]
+    #[strum_discriminants(strum(serialize = "publish"))]
+    PublishTable(SubmittedTable),
     /// Several commands in one entry, applied in order.
     ///
     /// Nested batches are flattened by the encoding.
@@ -148,20 +162,20 @@
     /// No result.
     Nothing,
     /// The result of [`Command::Apply`].
-    Settings(catalogue::Answer),
-    /// The result of [`Command::Register`], [`Command::Dismiss`], [`Command::Silence`],
-    /// [`Command::Leave`] and [`Command::Hold`].
+    Settings(current_settings::ApplyResult),
+    /// The result of [`Command::Register`], [`Command::Deregister`], [`Command::RecordSilence`],
+    /// [`Command::RecordLeaving`] and [`Command::RecordHeld`].
     Target(fleet::Answer),
     /// The result of [`Command::Decide`], [`Command::Ready`], [`Command::Retire`] and
     /// [`Command::Release`].
     Replica(replicas::Answer),
     /// The result of [`Command::Claim`], [`Command::Finish`], [`Command::Abandon`] and
     /// [`Command::HostEnded`].
-    Claim(claims::Answer),
-    /// The result of [`Command::Strike`] and [`Command::Pardon`].
+    Claim(claims::ClaimResult),
+    /// The result of [`Command::Strike`] and [`Command::ClearStrikes`].
     Strike(strikes::Answer),
-    /// The result of [`Command::Publish`].
-    Document(document::Answer),
+    /// The result of [`Command::PublishTable`].
+    Document(current_table::Answer),
     /// The results of [`Command::Batch`], one for each command.
     #[serde(skip)]
     Batch(Vec<Reply>),
@@ -173,7 +187,7 @@
     /// ```
     /// use cornelhitch_control::command::Command;
     ///
-    /// let command = Command::Batch(vec![Command::Nothing, Command::Retire { replica: 7 }]);
+    /// let command = Command::Batch(vec![Command::Noop, Command::Retire { replica: 7 }]);
     /// assert_eq!(Command::decode(&command.encode())?, command);
     /// # Ok::<(), cornelhitch_control::error::Error>(())
     /// ```
--- a/crates/control/src/catalogue.rs
+++ b/crates/control/src/current_settings.rs
@@ -35,7 +35,7 @@
 
 /// The result of a request to apply settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum ApplyResult {
     /// The text was accepted.
     Accepted {
         /// Its version.
@@ -61,19 +61,19 @@
     operator: Name,
     request: Name,
     digest: [u8; 32],
-    answer: Answer,
+    answer: ApplyResult,
 }
 
 /// The settings in force, none before the first accepted text, and the answers kept for resends.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Catalogue {
+pub struct CurrentSettings {
     version: Version,
     text: Name,
     fleet: Arc<Fleet>,
     kept: VecDeque<KeptAnswer>,
 }
 
-/// A catalogue as stored in a snapshot.
+/// The settings in force as stored in a snapshot.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Image {
     version: Version,
@@ -81,7 +81,7 @@
     kept: VecDeque<KeptAnswer>,
 }
 
-impl Catalogue {
+impl CurrentSettings {
     /// Returns the version in force; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> Version {
@@ -102,13 +102,13 @@
 
     /// Answers a request; brings its text into force if it is valid and based on the current
     /// version.
-    pub(crate) fn apply(&mut self, apply: Apply) -> Answer {
+    pub(crate) fn apply(&mut self, apply: Apply) -> ApplyResult {
         let digest = digest(&apply);
         let same =
             |kept: &&KeptAnswer| kept.operator == apply.operator && kept.request == apply.request;
         if let Some(kept) = self.kept.iter().find(same) {
             if kept.digest != digest {
-                return Answer::Reused;
+                return ApplyResult::Reused;
             }
             return kept.answer.clone();
         }
@@ -123,12 +123,12 @@
     }
 
     /// Answers a request that was not seen before.
-    fn decide(&mut self, apply: &Apply) -> Answer {
+    fn decide(&mut self, apply: &Apply) -> ApplyResult {
         if let Some(faults) = size_fault(apply) {
-            return Answer::Faulty { faults };
+            return ApplyResult::Faulty { faults };
         }
         if apply.base != self.version && !mutation::is(Mutation::NoBaseCheck) {
-            return Answer::Conflict {
+            return ApplyResult::Conflict {
                 version: self.version,
             };
         }
@@ -137,11 +137,11 @@
                 self.version += 1;
                 self.text = apply.text.clone();
                 self.fleet = Arc::new(fleet);
-                Answer::Accepted {
+                ApplyResult::Accepted {
                     version: self.version,
                 }
             }
-            Err(error) => Answer::Faulty {
+            Err(error) => ApplyResult::Faulty {
                 faults: error.to_string().into(),
             },
         }
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Restores the catalogue of a snapshot.
+    /// Restores the settings in force from a snapshot.
     pub(crate) fn from_image(image: Image) -> Result<Self, Error> {
         let fleet = match image.version {
             0 => Fleet::default(),
--- a/crates/control/src/document.rs
+++ b/crates/control/src/current_table.rs
@@ -9,7 +9,7 @@
 
 /// A route table submitted by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Publish {
+pub struct SubmittedTable {
     /// The parsed and validated table.
     pub table: Arc<Table>,
     /// The text it was parsed from, returned to operators unchanged.
@@ -32,23 +32,23 @@
 ///
 /// ```
 /// use std::sync::Arc;
-/// use cornelhitch_control::document::{Answer, Document, Publish};
+/// use cornelhitch_control::current_table::{Answer, CurrentTable, SubmittedTable};
 /// use cornelhitch_types::route::Table;
 ///
-/// let publish = |version| Publish {
+/// let publish = |version| SubmittedTable {
 ///     table: Arc::new(Table { version, ..Table::default() }),
 ///     text: Default::default(),
 /// };
-/// let mut document = Document::default();
-/// assert_eq!(document.publish(publish(7)), Answer::Accepted);
-/// assert_eq!(document.publish(publish(5)), Answer::Kept { version: 7 });
+/// let mut current = CurrentTable::default();
+/// assert_eq!(current.publish(publish(7)), Answer::Accepted);
+/// assert_eq!(current.publish(publish(5)), Answer::Kept { version: 7 });
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Document {
-    newest: Option<Publish>,
+pub struct CurrentTable {
+    newest: Option<SubmittedTable>,
 }
 
-impl Document {
+impl CurrentTable {
     /// Returns the version in force; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> Version {
@@ -70,14 +70,14 @@
     }
 
     /// Accepts a table if its version is higher than the one in force.
-    pub fn publish(&mut self, publish: Publish) -> Answer {
+    pub fn publish(&mut self, submitted: SubmittedTable) -> Answer {
         if let Some(newest) = &self.newest
-            && publish.table.version <= newest.table.version
+            && submitted.table.version <= newest.table.version
         {
             let version = newest.table.version;
             return Answer::Kept { version };
         }
-        self.newest = Some(publish);
+        self.newest = Some(submitted);
         Answer::Accepted
     }
 }
--- a/crates/control/src/dump.rs
+++ b/crates/control/src/dump.rs
@@ -75,7 +75,7 @@
 impl Dump {
     /// Collects the soft state of a term.
     pub(crate) fn new(term_state: &TermState, state: &State, now: Time) -> Self {
-        let version = state.catalogue().version();
+        let version = state.current_settings().version();
         Self {
             term: term_state.term,
             age: now.saturating_sub(term_state.since),
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -91,14 +91,14 @@
 
     /// Returns a target if it is registered with this incarnation.
     #[must_use]
-    pub fn alive(&self, target: &str, incarnation: Incarnation) -> Option<&Target> {
+    pub fn get_incarnation(&self, target: &str, incarnation: Incarnation) -> Option<&Target> {
         self.get(target)
             .filter(|known| known.announcement.incarnation == incarnation)
     }
 
     /// Returns whether an incarnation has ended or left and will not be registered again.
     #[must_use]
-    pub fn is_over(&self, target: &str, incarnation: Incarnation) -> bool {
+    pub fn has_ended(&self, target: &str, incarnation: Incarnation) -> bool {
         let newer = self
             .get(target)
             .is_some_and(|known| incarnation < known.announcement.incarnation);
@@ -142,7 +142,7 @@
     }
 
     /// Removes a target; on [`Answer::Done`] the caller ends its reservations.
-    pub(crate) fn dismiss(
+    pub(crate) fn deregister(
         &mut self,
         target: &TargetId,
         incarnation: Incarnation,
@@ -198,7 +198,7 @@
             let incarnation = self
                 .get(&target)
                 .map_or(0, |it| it.announcement.incarnation);
-            self.dismiss(&target, incarnation, true, false);
+            self.deregister(&target, incarnation, true, false);
         }
     }
 
--- a/crates/control/src/heartbeats.rs
+++ b/crates/control/src/heartbeats.rs
@@ -26,7 +26,7 @@
         let ended = ctx
             .state
             .fleet()
-            .is_over(&announcement.target, announcement.incarnation);
+            .has_ended(&announcement.target, announcement.incarnation);
         if !ended {
             self.pending.propose(Command::Register(announcement), ctx);
         }
@@ -44,7 +44,12 @@
         let target = announcement.target.clone();
         let incarnation = announcement.incarnation;
         self.on_announcement(announcement, ctx);
-        if ctx.state.fleet().alive(&target, incarnation).is_some() {
+        if ctx
+            .state
+            .fleet()
+            .get_incarnation(&target, incarnation)
+            .is_some()
+        {
             self.on_heartbeat(heartbeat, ctx);
         } else {
             self.pending_heartbeats.insert(target, heartbeat);
@@ -56,11 +61,11 @@
         let target = heartbeat.target.clone();
         let cache = std::mem::take(&mut heartbeat.cache);
         let Some(worker) = self.workers.get_mut(&target) else {
-            ctx.out.push(Output::Ask { target });
+            ctx.out.push(Output::RequestAnnouncement { target });
             return;
         };
         if heartbeat.incarnation > worker.incarnation {
-            ctx.out.push(Output::Ask { target });
+            ctx.out.push(Output::RequestAnnouncement { target });
             return;
         }
         let late = worker.last_heartbeat.is_some() && heartbeat.sequence <= worker.sequence();
@@ -98,7 +103,7 @@
     fn propose_heard(&mut self, target: &TargetId, ctx: &mut Context) {
         let known = ctx.state.fleet().get(target);
         if let Some(known) = known.filter(|known| known.silent) {
-            let command = Command::Silence {
+            let command = Command::RecordSilence {
                 target: target.clone(),
                 incarnation: known.announcement.incarnation,
                 silent: false,
@@ -114,7 +119,7 @@
         for replica in &replicas {
             self.reconcile_replica(replica, ctx);
         }
-        let settings = state.catalogue().fleet();
+        let settings = state.current_settings().fleet();
         let Some(worker) = self.workers.get_mut(target) else {
             return;
         };
@@ -228,7 +233,7 @@
     /// change from unmanaged to managed ends no request; other copies are unloaded. Copies in
     /// unmanaged groups, and of models that the settings do not list, are left alone.
     fn handle_orphan(&mut self, target: &TargetId, orphan: &Orphan, ctx: &mut Context) {
-        let settings = ctx.state.catalogue().fleet();
+        let settings = ctx.state.current_settings().fleet();
         let model = settings.model(&orphan.model.model);
         let Some(model) = model.filter(|model| settings.managed(model)) else {
             return;
@@ -377,14 +382,14 @@
         let target = target.clone();
         let incarnation = known.announcement.incarnation;
         if !known.silent {
-            let command = Command::Silence {
+            let command = Command::RecordSilence {
                 target,
                 incarnation,
                 silent: true,
             };
             self.pending.propose(command, ctx);
         } else if dismissible && ctx.state.replicas().reserved(&target) == 0 {
-            let command = Command::Dismiss {
+            let command = Command::Deregister {
                 target,
                 incarnation,
                 attested: false,
--- a/crates/control/src/hosting.rs
+++ b/crates/control/src/hosting.rs
@@ -249,7 +249,7 @@
             .filter(|it| it.stage == Stage::Ready);
         let models: Vec<Reference> = ready.map(|holding| holding.model.clone()).collect();
         if models != known.held {
-            let command = Command::Hold {
+            let command = Command::RecordHeld {
                 target: target.clone(),
                 incarnation: known.announcement.incarnation,
                 models,
@@ -279,7 +279,7 @@
 
     /// Sends the orders that are due, and inspects workers whose state is unknown.
     pub(crate) fn plan_hosted(&mut self, ctx: &mut Context) {
-        let Some(table) = ctx.state.document().table().cloned() else {
+        let Some(table) = ctx.state.current_table().table().cloned() else {
             return;
         };
         if !self.hosting.plan_requested || ctx.now < self.hosting.last_plan + MIN_PLAN_INTERVAL {
@@ -386,7 +386,7 @@
         let fleet = ctx.state.fleet();
         let workers = self.hosting.workers.iter();
         let workers = workers.filter_map(|(target, worker_orders)| {
-            let known = fleet.alive(target, worker_orders.incarnation)?;
+            let known = fleet.get_incarnation(target, worker_orders.incarnation)?;
             let announcement = &known.announcement;
             let worker = self.workers.get(target)?;
             let last_heartbeat = worker.last_heartbeat.as_ref()?;
@@ -451,7 +451,7 @@
             after: worker_orders.accepted,
             action,
         };
-        ctx.out.push(Output::Decided(step.clone()));
+        ctx.out.push(Output::PlacementStep(step.clone()));
         if matches!(step.action, Action::Load { .. } | Action::Adapter { .. }) {
             // Counts as held from now on: whether the order arrived is known only later.
             worker_orders.record(&step.action, false, now);
--- a/crates/control/src/input.rs
+++ b/crates/control/src/input.rs
@@ -17,7 +17,7 @@
         term: Term,
     },
     /// This host no longer leads.
-    Deposed,
+    LeadershipLost,
     /// A committed command was applied to the state that is passed with this input.
     Applied {
         /// The command that was applied.
@@ -52,7 +52,7 @@
         inspection: Option<Inspection>,
     },
     /// An entry host lost its connections to a target.
-    Lost {
+    ConnectionLost {
         /// The target that was lost.
         target: TargetId,
         /// Its incarnation.
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -95,7 +95,7 @@
         };
         match input {
             Input::Elected { term } => self.term_state = Some(TermState::new(term, &ctx)),
-            Input::Deposed => self.term_state = None,
+            Input::LeadershipLost => self.term_state = None,
             input => {
                 if let Some(term_state) = &mut self.term_state {
                     term_state.handle(input, self.planner.as_mut(), &mut ctx);
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -70,7 +70,7 @@
     /// ones is not extended. The leader counts the lease on the newer ones from now on, since the
     /// host may fetch them as soon as it hears of them.
     pub(crate) fn renew(&mut self, host: entry::Host, ctx: &mut Context) -> bool {
-        let version = ctx.state.catalogue().version();
+        let version = ctx.state.current_settings().version();
         let old = self.hosts.remove(&host.host);
         if let Some(newer) = old
             .as_ref()
@@ -135,7 +135,7 @@
 
     /// Reports once that the settings are in force.
     pub(crate) fn announce(&mut self, ctx: &mut Context) {
-        let version = ctx.state.catalogue().version();
+        let version = ctx.state.current_settings().version();
         if version > self.announced && self.in_force(version, ctx.now) {
             self.announced = version;
             ctx.out.push(Output::InForce { version });
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -18,20 +18,20 @@
 //!     text: "models: [{ name: report, bytes: 1000 }]".into(),
 //! };
 //! state.apply(&entry, Command::Apply(apply));
-//! assert_eq!(state.catalogue().version(), 1);
+//! assert_eq!(state.current_settings().version(), 1);
 //!
 //! let copy = State::restore(&state.snapshot())?;
 //! assert_eq!(copy.digest(), state.digest());
 //! # Ok::<(), cornelhitch_control::error::Error>(())
 //! ```
 
-pub mod catalogue;
 mod claim;
 pub mod claims;
 pub mod command;
 mod context;
+pub mod current_settings;
+pub mod current_table;
 mod demand;
-pub mod document;
 pub mod dump;
 pub mod error;
 mod feed;
--- a/crates/control/src/mutation.rs
+++ b/crates/control/src/mutation.rs
@@ -15,7 +15,8 @@
     /// A decision ignores the model's limit.
     NoLimitCheck,
     /// The leader ignores copies that belong to no decided replica.
-    NoStrangers,
+    #[strum(serialize = "no-strangers")]
+    NoOrphans,
     /// Any inventory without the replica releases it.
     EarlyRelease,
     /// No inventory ever releases a replica.
--- a/crates/control/src/outcome.rs
+++ b/crates/control/src/outcome.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The largest response body that is kept, in bytes.
-pub const BODY: usize = 16 << 10;
+pub const MAX_BODY_BYTES: usize = 16 << 10;
 
 /// The longest content type that is kept, in bytes.
 pub const MAX_CONTENT_TYPE_BYTES: usize = 256;
@@ -19,7 +19,7 @@
         status: u16,
         /// The content type.
         content: Name,
-        /// The body, of at most [`BODY`] bytes.
+        /// The body, of at most [`MAX_BODY_BYTES`] bytes.
         body: Bytes,
     },
     /// It was answered, but the body is not kept.
@@ -52,7 +52,7 @@
     pub(crate) fn with_bounded_body(self) -> Self {
         match &self {
             Self::Answered { content, body, .. }
-                if body.len() > BODY || content.len() > MAX_CONTENT_TYPE_BYTES =>
+                if body.len() > MAX_BODY_BYTES || content.len() > MAX_CONTENT_TYPE_BYTES =>
             {
                 self.without_body()
             }
--- a/crates/control/src/output.rs
+++ b/crates/control/src/output.rs
@@ -56,7 +56,7 @@
         version: Version,
     },
     /// A placement step was decided, for the log; its order follows separately.
-    Decided(PlannedOrder),
+    PlacementStep(PlannedOrder),
     /// Inspect a worker: ask how many orders it has accepted and what it holds.
     Inspect {
         /// The worker to inspect.
@@ -65,7 +65,7 @@
         incarnation: Incarnation,
     },
     /// Ask a target to announce itself, because its incarnation is not registered.
-    Ask {
+    RequestAnnouncement {
         /// The target to ask.
         target: TargetId,
     },
--- a/crates/control/src/pending.rs
+++ b/crates/control/src/pending.rs
@@ -12,9 +12,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum ProposalSubject {
     Register(TargetId),
-    Silence(TargetId),
-    Hold(TargetId),
-    Dismiss(TargetId),
+    RecordSilence(TargetId),
+    RecordHeld(TargetId),
+    Deregister(TargetId),
     Decide(TargetId, ModelId),
     Ready(ReplicaId),
     Retire(ReplicaId),
@@ -27,9 +27,9 @@
     fn of(command: &Command) -> Option<Self> {
         let subject = match command {
             Command::Register(announcement) => Self::Register(announcement.target.clone()),
-            Command::Silence { target, .. } => Self::Silence(target.clone()),
-            Command::Hold { target, .. } => Self::Hold(target.clone()),
-            Command::Dismiss { target, .. } => Self::Dismiss(target.clone()),
+            Command::RecordSilence { target, .. } => Self::RecordSilence(target.clone()),
+            Command::RecordHeld { target, .. } => Self::RecordHeld(target.clone()),
+            Command::Deregister { target, .. } => Self::Deregister(target.clone()),
             Command::Decide(it) => Self::Decide(it.target.clone(), it.model.clone()),
             Command::Ready { replica, .. } => Self::Ready(*replica),
             Command::Retire { replica } => Self::Retire(*replica),
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -24,7 +24,7 @@
     /// Runs the planner, if it is due.
     pub(crate) fn run_planner(&mut self, planner: &mut dyn Planner, ctx: &mut Context) {
         // Models of engines that count their orders are placed by `hosting`.
-        let managed = !ctx.state.catalogue().fleet().models.is_empty();
+        let managed = !ctx.state.current_settings().fleet().models.is_empty();
         if !managed || !self.is_plan_due(ctx) {
             return;
         }
--- a/crates/control/src/planner_input.rs
+++ b/crates/control/src/planner_input.rs
@@ -41,7 +41,7 @@
         adapters: u32,
         ctx: &Context,
     ) -> &FleetState {
-        self.fleet_state.settings = ctx.state.catalogue().fleet().clone();
+        self.fleet_state.settings = ctx.state.current_settings().fleet().clone();
         for target in std::mem::take(&mut self.stale_workers) {
             self.refresh_worker(&target, workers, ctx);
         }
--- a/crates/control/src/prelude.rs
+++ b/crates/control/src/prelude.rs
@@ -1,7 +1,7 @@
 //! The common types, for a glob import.
 
-pub use crate::catalogue::Apply;
 pub use crate::command::{Command, Entry, Reply};
+pub use crate::current_settings::Apply;
 pub use crate::input::Input;
 pub use crate::leader::Leader;
 pub use crate::output::{Audience, Output};
--- a/crates/control/src/replicas.rs
+++ b/crates/control/src/replicas.rs
@@ -328,7 +328,7 @@
         let Some(replica) = self.standing.get(&id) else {
             return Answer::Refused(Refusal::Replica);
         };
-        let alive = fleet.alive(&replica.target, replica.incarnation);
+        let alive = fleet.get_incarnation(&replica.target, replica.incarnation);
         let shown = match evidence {
             Evidence::Inventory { sequence } => replica.is_proven_absent(sequence),
             Evidence::Ended => alive.is_none(),
--- a/crates/control/src/rules.rs
+++ b/crates/control/src/rules.rs
@@ -52,7 +52,7 @@
 
 /// Returns whether a replica counts against its model's limit.
 fn counts(replica: &Replica, fleet: &Fleet) -> bool {
-    let target = fleet.alive(&replica.target, replica.incarnation);
+    let target = fleet.get_incarnation(&replica.target, replica.incarnation);
     target.is_some_and(|target| !target.silent)
 }
 
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -8,10 +8,10 @@
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, ensure};
 
-use crate::catalogue::{self, Catalogue};
 use crate::claims::{Claims, LIMITS};
 use crate::command::{Command, Entry, Reply};
-use crate::document::Document;
+use crate::current_settings::{self, CurrentSettings};
+use crate::current_table::CurrentTable;
 use crate::error::{Error, FormatVersionSnafu, MalformedSnafu, TrailingBytesSnafu};
 use crate::fleet::{self, Fleet};
 use crate::replicas::{Answer, Decide, Replicas};
@@ -27,36 +27,40 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct State {
     entry: Entry,
-    catalogue: Catalogue,
+    current_settings: CurrentSettings,
     fleet: Fleet,
     replicas: Replicas,
     claims: Claims,
     strikes: Strikes,
-    document: Document,
+    current_table: CurrentTable,
 }
 
 /// The state as decoded from a snapshot.
 #[derive(Debug, Deserialize)]
 struct Image {
     entry: Entry,
-    catalogue: catalogue::Image,
+    #[serde(rename = "catalogue")]
+    current_settings: current_settings::Image,
     fleet: Fleet,
     replicas: Replicas,
     claims: Claims,
     strikes: Strikes,
-    document: Document,
+    #[serde(rename = "document")]
+    current_table: CurrentTable,
 }
 
 /// The state as encoded into a snapshot, with the layout of [`Image`].
 #[derive(Serialize)]
 struct ImageRef<'a> {
     entry: Entry,
-    catalogue: catalogue::Image,
+    #[serde(rename = "catalogue")]
+    current_settings: current_settings::Image,
     fleet: &'a Fleet,
     replicas: &'a Replicas,
     claims: &'a Claims,
     strikes: &'a Strikes,
-    document: &'a Document,
+    #[serde(rename = "document")]
+    current_table: &'a CurrentTable,
 }
 
 /// The state as shown to operators.
@@ -86,8 +90,8 @@
     pub fn dump(&self) -> Dump<'_> {
         Dump {
             entry: self.entry,
-            settings: self.catalogue.version(),
-            table: self.document.version(),
+            settings: self.current_settings.version(),
+            table: self.current_table.version(),
             fleet: &self.fleet,
             replicas: &self.replicas,
             claims: self.claims.len(),
@@ -104,14 +108,14 @@
 
     /// Returns the settings and the answers kept for resends.
     #[must_use]
-    pub fn catalogue(&self) -> &Catalogue {
-        &self.catalogue
+    pub fn current_settings(&self) -> &CurrentSettings {
+        &self.current_settings
     }
 
     /// Returns the route table and its text.
     #[must_use]
-    pub fn document(&self) -> &Document {
-        &self.document
+    pub fn current_table(&self) -> &CurrentTable {
+        &self.current_table
     }
 
     /// Returns the registered targets.
@@ -154,29 +158,31 @@
     fn run(&mut self, command: Command) -> Reply {
         let now = self.entry.time;
         match command {
-            Command::Nothing => Reply::Nothing,
-            Command::Apply(apply) => Reply::Settings(self.catalogue.apply(apply)),
+            Command::Noop => Reply::Nothing,
+            Command::Apply(apply) => Reply::Settings(self.current_settings.apply(apply)),
             Command::Register(announcement) => Reply::Target(self.register(announcement, now)),
-            Command::Dismiss {
+            Command::Deregister {
                 target,
                 incarnation,
                 attested,
-            } => Reply::Target(self.dismiss(&target, incarnation, attested)),
-            Command::Silence {
+            } => Reply::Target(self.deregister(&target, incarnation, attested)),
+            Command::RecordSilence {
                 target,
                 incarnation,
                 silent,
             } => Reply::Target(self.fleet.record_silence(&target, incarnation, silent)),
-            Command::Leave {
+            Command::RecordLeaving {
                 target,
                 incarnation,
             } => Reply::Target(self.fleet.record_leaving(&target, incarnation)),
-            Command::Hold {
+            Command::RecordHeld {
                 target,
                 incarnation,
                 models,
             } => Reply::Target(self.fleet.record_held(&target, incarnation, models)),
-            Command::Publish(publish) => Reply::Document(self.document.publish(publish)),
+            Command::PublishTable(submitted) => {
+                Reply::Document(self.current_table.publish(submitted))
+            }
             Command::Batch(commands) => {
                 Reply::Batch(commands.into_iter().map(|it| self.run(it)).collect())
             }
@@ -206,7 +212,7 @@
                 self.strikes.expire(now);
                 Reply::Strike(self.strikes.strike(strike, quarantine, now))
             }
-            Command::Pardon { fingerprint } => Reply::Strike(self.strikes.pardon(fingerprint)),
+            Command::ClearStrikes { fingerprint } => Reply::Strike(self.strikes.clear(fingerprint)),
             command => self.run_claim_command(command, now),
         }
     }
@@ -228,7 +234,7 @@
 
     /// Decides a replica under the current settings and fleet.
     fn decide(&mut self, decide: Decide) -> Answer {
-        let settings = self.catalogue.fleet();
+        let settings = self.current_settings.fleet();
         self.replicas
             .decide(decide, settings, &self.fleet, &self.entry)
     }
@@ -244,9 +250,11 @@
     }
 
     /// Removes a target and ends its reservations.
-    fn dismiss(&mut self, target: &TargetId, incarnation: u64, attested: bool) -> fleet::Answer {
+    fn deregister(&mut self, target: &TargetId, incarnation: u64, attested: bool) -> fleet::Answer {
         let reserved = self.replicas.reserved(target) > 0;
-        let answer = self.fleet.dismiss(target, incarnation, attested, reserved);
+        let answer = self
+            .fleet
+            .deregister(target, incarnation, attested, reserved);
         if answer == fleet::Answer::Done {
             self.replicas.release_all(target);
         }
@@ -255,12 +263,12 @@
 
     /// Returns how long outcomes of claims are kept.
     fn retention(&self) -> Duration {
-        Duration::from_secs(self.catalogue.fleet().refusing.claims_s)
+        Duration::from_secs(self.current_settings.fleet().refusing.claims_s)
     }
 
     /// Returns how long a fingerprint with too many strikes is refused.
     fn quarantine(&self) -> Duration {
-        Duration::from_secs(self.catalogue.fleet().refusing.quarantine_s)
+        Duration::from_secs(self.current_settings.fleet().refusing.quarantine_s)
     }
 
     /// Encodes the whole state.
@@ -268,12 +276,12 @@
     pub fn snapshot(&self) -> Bytes {
         let image = ImageRef {
             entry: self.entry,
-            catalogue: self.catalogue.image(),
+            current_settings: self.current_settings.image(),
             fleet: &self.fleet,
             replicas: &self.replicas,
             claims: &self.claims,
             strikes: &self.strikes,
-            document: &self.document,
+            current_table: &self.current_table,
         };
         let mut bytes = vec![FORMAT_VERSION];
         bytes.extend(postcard::to_stdvec(&image).unwrap_or_default());
@@ -310,12 +318,12 @@
         );
         Ok(Self {
             entry: image.entry,
-            catalogue: Catalogue::from_image(image.catalogue)?,
+            current_settings: CurrentSettings::from_image(image.current_settings)?,
             fleet: image.fleet,
             replicas: image.replicas,
             claims: image.claims,
             strikes: image.strikes,
-            document: image.document,
+            current_table: image.current_table,
         })
     }
 
--- a/crates/control/src/strikes.rs
+++ b/crates/control/src/strikes.rs
@@ -23,7 +23,7 @@
     pub incarnation: Incarnation,
 }
 
-/// The result of a strike or a pardon.
+/// The result of a strike or of clearing strikes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// The counts of every fingerprint in the command.
@@ -109,7 +109,7 @@
     }
 
     /// Clears a fingerprint's strikes.
-    pub(crate) fn pardon(&mut self, fingerprint: u64) -> Answer {
+    pub(crate) fn clear(&mut self, fingerprint: u64) -> Answer {
         self.suspects.remove(&fingerprint);
         self.answer(vec![fingerprint])
     }
--- a/crates/control/src/term_state.rs
+++ b/crates/control/src/term_state.rs
@@ -7,11 +7,11 @@
 use cornelhitch_types::target::{Heartbeat, Holding};
 use cornelhitch_types::view::{self, Change};
 
-use crate::catalogue;
 use crate::command::{Command, Reply};
 use crate::context::Context;
+use crate::current_settings;
+use crate::current_table;
 use crate::demand::DemandTracker;
-use crate::document;
 use crate::feed::Feed;
 use crate::fleet;
 use crate::hosting::Hosting;
@@ -131,7 +131,7 @@
     /// Handles one input and publishes what is due.
     pub(crate) fn handle(&mut self, input: Input, planner: &mut dyn Planner, ctx: &mut Context) {
         match input {
-            Input::Elected { .. } | Input::Deposed => {}
+            Input::Elected { .. } | Input::LeadershipLost => {}
             Input::Applied { command, reply } => self.on_applied(command, reply, ctx),
             Input::Announcement(announcement) => self.on_announcement(announcement, ctx),
             Input::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat, ctx),
@@ -157,7 +157,7 @@
                 incarnation,
                 inspection,
             } => self.on_inspected(&target, incarnation, inspection.as_ref(), ctx),
-            Input::Lost {
+            Input::ConnectionLost {
                 target,
                 incarnation,
             } => self.on_connection_lost(&target, incarnation, ctx),
@@ -221,7 +221,7 @@
                     self.on_applied(command, reply, ctx);
                 }
             }
-            (_, Reply::Settings(catalogue::Answer::Accepted { .. })) => {
+            (_, Reply::Settings(current_settings::ApplyResult::Accepted { .. })) => {
                 let settings = self.view_builder(ctx.state, ctx.now).settings();
                 if let Some(change) = settings {
                     self.feed.push(change, true);
@@ -231,22 +231,22 @@
             (Command::Register(announcement), Reply::Target(answer)) => {
                 self.on_registered(&announcement.target, answer, ctx);
             }
-            (Command::Leave { target, .. }, Reply::Target(fleet::Answer::Done)) => {
+            (Command::RecordLeaving { target, .. }, Reply::Target(fleet::Answer::Done)) => {
                 self.on_leave(&target, ctx);
             }
-            (_, Reply::Document(document::Answer::Accepted)) => {
+            (_, Reply::Document(current_table::Answer::Accepted)) => {
                 if let Some(change) = self.view_builder(ctx.state, ctx.now).table() {
                     self.feed.push(change, true);
                 }
                 self.plan_requested = true;
             }
-            (Command::Dismiss { target, .. }, Reply::Target(fleet::Answer::Done)) => {
+            (Command::Deregister { target, .. }, Reply::Target(fleet::Answer::Done)) => {
                 self.publish_observed_gone(&target);
                 self.hosting.forget(&target);
                 self.workers.remove(&target);
                 self.forget_released_replicas(&target, ctx);
             }
-            (Command::Silence { target, .. }, Reply::Target(_)) => {
+            (Command::RecordSilence { target, .. }, Reply::Target(_)) => {
                 for replica in ctx.state.replicas().on_target(&target) {
                     self.planner_input.mark_replica(replica.id, &target);
                 }
--- a/crates/control/src/view_builder.rs
+++ b/crates/control/src/view_builder.rs
@@ -77,7 +77,7 @@
         if replica.state != view::State::Loading {
             return 0;
         }
-        let ms_per_gib = ms_per_gib(&self.state.catalogue().fleet().loading, from);
+        let ms_per_gib = ms_per_gib(&self.state.current_settings().fleet().loading, from);
         let length = replica
             .bytes
             .div_ceil(BYTES_PER_GIB)
@@ -96,14 +96,14 @@
 
     /// Returns the settings, if there are any.
     pub(crate) fn settings(&self) -> Option<Change> {
-        let catalogue = self.state.catalogue();
-        let version = catalogue.version();
-        (version > 0).then(|| Change::Settings(version, catalogue.text().clone()))
+        let current_settings = self.state.current_settings();
+        let version = current_settings.version();
+        (version > 0).then(|| Change::Settings(version, current_settings.text().clone()))
     }
 
     /// Returns the route table, if there is one.
     pub(crate) fn table(&self) -> Option<Change> {
-        let table = self.state.document().table()?;
+        let table = self.state.current_table().table()?;
         Some(Change::Table(table.clone()))
     }
 
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -162,7 +162,7 @@
 
     /// Returns the accelerator memory of copies that belong to no decided replica, in bytes.
     pub(crate) fn orphan_bytes(&self) -> u64 {
-        if mutation::is(Mutation::NoStrangers) {
+        if mutation::is(Mutation::NoOrphans) {
             return 0;
         }
         let bytes = self.orphans.iter().map(|orphan| orphan.bytes);
@@ -181,7 +181,7 @@
     /// Returns whether the target holds a copy of a model that belongs to no decided replica.
     pub(crate) fn has_orphan_of(&self, model: &str) -> bool {
         let mut orphans = self.orphans.iter();
-        orphans.any(|it| &*it.model.model == model) && !mutation::is(Mutation::NoStrangers)
+        orphans.any(|it| &*it.model.model == model) && !mutation::is(Mutation::NoOrphans)
     }
 
     /// Returns whether a model must not be loaded here now.
--- a/crates/control/tests/bytes.rs
+++ b/crates/control/tests/bytes.rs
@@ -48,10 +48,10 @@
         Command::Abandon { key: bid, holder, call: 1 },
         Command::HostEnded { host: 1, incarnation },
         Command::Strike(Strike { fingerprints: vec![7, 8], target: "w1".into(), incarnation }),
-        Command::Pardon { fingerprint: 7 },
-        Command::Silence { target: "w1".into(), incarnation, silent: true },
-        Command::Dismiss { target, incarnation, attested: true },
-        Command::Nothing,
+        Command::ClearStrikes { fingerprint: 7 },
+        Command::RecordSilence { target: "w1".into(), incarnation, silent: true },
+        Command::Deregister { target, incarnation, attested: true },
+        Command::Noop,
     ]
 }
 
@@ -75,12 +75,12 @@
 
 #[test]
 fn nested_batches_are_flattened() {
-    let mut nested = Command::Batch(vec![Command::Nothing]);
+    let mut nested = Command::Batch(vec![Command::Noop]);
     for _ in 0..100 {
         nested = Command::Batch(vec![nested]);
     }
     let decoded = Command::decode(&nested.encode()).expect("a command is readable");
-    assert_eq!(decoded, Command::Batch(vec![Command::Nothing]));
+    assert_eq!(decoded, Command::Batch(vec![Command::Noop]));
 }
 
 #[test]
--- a/crates/control/tests/claim_calls.rs
+++ b/crates/control/tests/claim_calls.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cornelhitch_control::claims::{Answer, Claim, Finish, Outcome, Refusal};
+use cornelhitch_control::claims::{Claim, ClaimResult, Finish, Outcome, Refusal};
 use cornelhitch_control::prelude::*;
 
 /// A command about one key.
@@ -18,22 +18,22 @@
 #[test]
 fn repeated_proposal_is_told_from_a_resend() {
     use Step::{Abandon, Claim, Finish};
-    let unknown = || Answer::Recorded(Outcome::Unknown);
-    let holder = Answer::Refused(Refusal::Holder);
-    let absent = Answer::Refused(Refusal::Absent);
+    let unknown = || ClaimResult::Recorded(Outcome::Unknown);
+    let holder = ClaimResult::Refused(Refusal::Holder);
+    let absent = ClaimResult::Refused(Refusal::Absent);
     #[rustfmt::skip]
     let rows = [
-        ("the proposal is repeated", vec![(Claim(1, 7, 1), Answer::Granted), (Claim(1, 7, 1), Answer::Granted)]),
-        ("the caller resends to the same host", vec![(Claim(1, 7, 1), Answer::Granted), (Claim(2, 7, 1), Answer::InProgress)]),
-        ("the caller resends to another host", vec![(Claim(1, 7, 1), Answer::Granted), (Claim(1, 7, 2), Answer::InProgress)]),
-        ("the repeat comes after the end", vec![(Claim(1, 7, 1), Answer::Granted), (Finish(1), Answer::Done), (Claim(1, 7, 1), unknown())]),
+        ("the proposal is repeated", vec![(Claim(1, 7, 1), ClaimResult::Granted), (Claim(1, 7, 1), ClaimResult::Granted)]),
+        ("the caller resends to the same host", vec![(Claim(1, 7, 1), ClaimResult::Granted), (Claim(2, 7, 1), ClaimResult::InProgress)]),
+        ("the caller resends to another host", vec![(Claim(1, 7, 1), ClaimResult::Granted), (Claim(1, 7, 2), ClaimResult::InProgress)]),
+        ("the repeat comes after the end", vec![(Claim(1, 7, 1), ClaimResult::Granted), (Finish(1), ClaimResult::Done), (Claim(1, 7, 1), unknown())]),
         ("a late abandonment of an earlier claim", vec![
-            (Claim(1, 7, 1), Answer::Granted), (Abandon(1), Answer::Done), (Claim(2, 7, 1), Answer::Granted),
-            (Abandon(1), holder.clone()), (Claim(3, 7, 1), Answer::InProgress),
+            (Claim(1, 7, 1), ClaimResult::Granted), (Abandon(1), ClaimResult::Done), (Claim(2, 7, 1), ClaimResult::Granted),
+            (Abandon(1), holder.clone()), (Claim(3, 7, 1), ClaimResult::InProgress),
         ]),
         ("a late end of an earlier claim", vec![
-            (Claim(1, 7, 1), Answer::Granted), (Abandon(1), Answer::Done), (Claim(2, 7, 1), Answer::Granted),
-            (Finish(1), holder), (Claim(3, 7, 1), Answer::InProgress),
+            (Claim(1, 7, 1), ClaimResult::Granted), (Abandon(1), ClaimResult::Done), (Claim(2, 7, 1), ClaimResult::Granted),
+            (Finish(1), holder), (Claim(3, 7, 1), ClaimResult::InProgress),
         ]),
         ("nothing to give back", vec![(Abandon(1), absent)]),
     ];
--- a/crates/control/tests/common/simulation.rs
+++ b/crates/control/tests/common/simulation.rs
@@ -220,7 +220,7 @@
                 let announcement = &self.workers[worker].announcement;
                 let target = announcement.target.clone();
                 let incarnation = announcement.incarnation;
-                self.handle(Input::Lost {
+                self.handle(Input::ConnectionLost {
                     target,
                     incarnation,
                 });
@@ -317,7 +317,7 @@
             match output {
                 Output::Propose(command) => self.proposals.push(command),
                 Output::Order(order) => self.send(order),
-                Output::Ask { target } => {
+                Output::RequestAnnouncement { target } => {
                     let mut workers = self.workers.iter();
                     let fake = workers.find(|it| it.announcement.target == target);
                     let announcement = fake.map(|it| it.announcement.clone());
@@ -405,7 +405,7 @@
                 let counted = standing.filter(|it| heard(&it.target)).count();
                 let limit = self
                     .state
-                    .catalogue()
+                    .current_settings()
                     .fleet()
                     .rules(&replica.model)
                     .replicas;
--- a/crates/control/tests/end_to_end.rs
+++ b/crates/control/tests/end_to_end.rs
@@ -4,7 +4,7 @@
 
 use common::{Bench, MODELS, heartbeat, holding, report, worker};
 use cornelhitch_control::prelude::*;
-use cornelhitch_control::{catalogue, claims};
+use cornelhitch_control::{claims, current_settings};
 use cornelhitch_types::order::{Action, Outcome, Reply as Answer};
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::{Change, State as ReplicaState};
@@ -43,7 +43,7 @@
     let first = bench.apply_settings(MODELS);
     assert_eq!(
         first,
-        Reply::Settings(catalogue::Answer::Accepted { version: 1 })
+        Reply::Settings(current_settings::ApplyResult::Accepted { version: 1 })
     );
     bench.restart();
     assert_eq!(bench.apply_settings(MODELS), first);
@@ -53,10 +53,10 @@
 fn claim_is_granted_once_across_a_restart() {
     let mut bench = Bench::new();
     let claim = common::claim("bid-1", 7, 1);
-    let granted = Reply::Claim(claims::Answer::Granted);
+    let granted = Reply::Claim(claims::ClaimResult::Granted);
     assert_eq!(bench.commit(&Command::Claim(claim.clone())), granted);
     bench.restart();
-    let progress = Reply::Claim(claims::Answer::InProgress);
+    let progress = Reply::Claim(claims::ClaimResult::InProgress);
     let resend = claims::Claim { call: 2, ..claim };
     assert_eq!(bench.commit(&Command::Claim(resend)), progress);
 }
--- a/crates/control/tests/faults.rs
+++ b/crates/control/tests/faults.rs
@@ -202,7 +202,7 @@
         match stop {
             Stop::Leaving => bench.handle(Input::Heartbeat(leaving)),
             Stop::Silent => {}
-            Stop::ConnectionLost => bench.handle(Input::Lost {
+            Stop::ConnectionLost => bench.handle(Input::ConnectionLost {
                 target,
                 incarnation,
             }),
--- a/crates/control/tests/hosting/main.rs
+++ b/crates/control/tests/hosting/main.rs
@@ -47,7 +47,7 @@
 /// A leader with a table and one worker that holds `a` and `b` and has all models on its disk.
 fn bench() -> (Bench, SimulatedWorker) {
     let mut bench = Bench::new();
-    bench.commit(&Command::Publish(table()));
+    bench.commit(&Command::PublishTable(table()));
     let disk: Vec<String> = MODELS.iter().map(|model| id(model)).collect();
     let disk: Vec<&str> = disk.iter().map(String::as_str).collect();
     let mut worker = SimulatedWorker::new("w1", 1_000, &disk);
@@ -207,7 +207,7 @@
 #[test]
 fn leaving_worker_stays_closed_under_later_leaders() {
     let (mut bench, mut worker) = bench();
-    bench.commit(&Command::Leave {
+    bench.commit(&Command::RecordLeaving {
         target: "w1".into(),
         incarnation: 1_000,
     });
@@ -244,7 +244,7 @@
 fn incarnation_that_left_unregistered_is_never_registered() {
     let (mut bench, _) = bench();
     for (name, left, again) in [("x1", 1_500, 1_501), ("w1", 2_000, 2_001)] {
-        bench.commit(&Command::Leave {
+        bench.commit(&Command::RecordLeaving {
             target: name.into(),
             incarnation: left,
         });
@@ -267,7 +267,7 @@
 #[test]
 fn worker_is_closed_when_a_newer_incarnation_leaves() {
     let (mut bench, _) = bench();
-    bench.commit(&Command::Leave {
+    bench.commit(&Command::RecordLeaving {
         target: "w1".into(),
         incarnation: 2_000,
     });
@@ -384,7 +384,7 @@
 #[test]
 fn store_only_models_are_published_with_their_load_time() {
     let mut bench = Bench::new();
-    bench.commit(&Command::Publish(table()));
+    bench.commit(&Command::PublishTable(table()));
     let mut worker = SimulatedWorker::new("w1", 1_000, &[&id("a")]);
     worker.held.insert(id("b"), BTreeSet::new());
     worker.held.insert(id("c"), BTreeSet::new());
@@ -406,7 +406,7 @@
 #[test]
 fn load_from_the_store_is_published_with_its_remaining_time() {
     let mut bench = Bench::new();
-    bench.commit(&Command::Publish(table()));
+    bench.commit(&Command::PublishTable(table()));
     let mut worker = SimulatedWorker::new("w1", 1_000, &[]);
     bench.handle(Input::Presence(Box::new(worker.presence(false))));
     step(&mut bench, Duration::from_millis(300));
--- a/crates/control/tests/hosting/schedule.rs
+++ b/crates/control/tests/hosting/schedule.rs
@@ -39,7 +39,7 @@
     /// Creates two workers with five of the models on each disk.
     fn new(seed: u64) -> Self {
         let mut bench = Bench::new();
-        bench.commit(&Command::Publish(table()));
+        bench.commit(&Command::PublishTable(table()));
         let disk: Vec<String> = MODELS.iter().map(|model| id(model)).collect();
         let disk: Vec<&str> = disk.iter().map(String::as_str).collect();
         let workers = ["w1", "w2"];
--- a/crates/control/tests/hosting/worker.rs
+++ b/crates/control/tests/hosting/worker.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cornelhitch_control::document::Publish;
+use cornelhitch_control::current_table::SubmittedTable;
 use cornelhitch_types::id::{Name, Time};
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::order::{Action, Order, Outcome, Reply as Answer};
@@ -25,7 +25,7 @@
 /// The time of a load from the weight store.
 pub const FROM_STORE: Time = Duration::from_secs(6);
 
-pub fn table() -> Publish {
+pub fn table() -> SubmittedTable {
     let model = |name: &&str| Model {
         name: (*name).into(),
         bytes: 100,
@@ -55,7 +55,7 @@
         services: vec![service],
         ..Table::default()
     };
-    Publish {
+    SubmittedTable {
         table: Arc::new(table),
         text: Bytes::new(),
     }
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -6,7 +6,7 @@
 use cornelhitch_control::claims::Outcome;
 use cornelhitch_control::prelude::*;
 use cornelhitch_control::strikes::Strike;
-use cornelhitch_control::{catalogue, claims};
+use cornelhitch_control::{claims, current_settings};
 use cornelhitch_types::order::Action;
 use cornelhitch_types::target::{Heartbeat, Holding, Load, Stage};
 use cornelhitch_types::view::{Change, View};
@@ -98,7 +98,7 @@
     }));
     assert_eq!(
         reply,
-        Reply::Settings(catalogue::Answer::Accepted { version: 2 })
+        Reply::Settings(current_settings::ApplyResult::Accepted { version: 2 })
     );
     run_seconds(&mut bench, 8, 1, &held, 1);
     bench.handle(Input::Report(report(2, 1, &[("script", 0, 1)])));
@@ -139,7 +139,7 @@
     let mut closed = 0;
     for sequence in 3..20 {
         let (target, incarnation) = ("w1".into(), 1);
-        bench.handle(Input::Lost {
+        bench.handle(Input::ConnectionLost {
             target,
             incarnation,
         });
@@ -171,7 +171,7 @@
                 }));
             }
             bench.advance(1);
-            acts_on = bench.state.catalogue().version();
+            acts_on = bench.state.current_settings().version();
         }
         let announced = bench.outputs.contains(&Output::InForce { version: 2 });
         assert!(announced, "{isolated} hosts out of contact");
@@ -198,11 +198,11 @@
 fn claims_of_an_ended_host_have_unknown_outcomes() {
     // The incarnation that renews its lease after the claim, if any, and the final answer to a
     // resend.
-    let unknown = claims::Answer::Recorded(Outcome::Unknown);
+    let unknown = claims::ClaimResult::Recorded(Outcome::Unknown);
     for (incarnation, expected) in [
         (None, unknown.clone()),
         (Some(2), unknown),
-        (Some(1), claims::Answer::InProgress),
+        (Some(1), claims::ClaimResult::InProgress),
     ] {
         let mut bench = bench();
         bench.commit(&Command::Claim(common::claim("bid-1", 7, 5)));
@@ -231,7 +231,7 @@
     for left in [false, true] {
         let mut bench = bench();
         if left {
-            bench.commit(&Command::Leave {
+            bench.commit(&Command::RecordLeaving {
                 target: "w1".into(),
                 incarnation: 1,
             });
--- a/crates/control/tests/rules.rs
+++ b/crates/control/tests/rules.rs
@@ -72,7 +72,7 @@
         let mut bench = bench();
         bench.apply(&Command::Register(worker("w4", 2, 100, false)));
         let (target, incarnation) = ("w3".into(), 2);
-        bench.apply(&Command::Silence {
+        bench.apply(&Command::RecordSilence {
             target,
             incarnation,
             silent: true,
@@ -159,7 +159,7 @@
         zone: "a2".into(),
         ..worker("w1", 2, 100, false)
     };
-    let dismiss = |target: &str, incarnation, attested| Command::Dismiss {
+    let deregister = |target: &str, incarnation, attested| Command::Deregister {
         target: target.into(),
         incarnation,
         attested,
@@ -176,10 +176,10 @@
         (vec![register(2, 30, false)], fleet::Answer::Inconsistent, 40),
         (vec![register(2, 100, true)], fleet::Answer::Inconsistent, 40),
         (vec![register(3, 30, true)], fleet::Answer::Registered, 0),
-        (vec![dismiss("w1", 2, false)], fleet::Answer::Reserved, 40),
-        (vec![dismiss("w1", 1, true)], fleet::Answer::Ended { next: 2 }, 40),
-        (vec![dismiss("w1", 2, true), register(2, 100, false)], fleet::Answer::Ended { next: 3 }, 0),
-        (vec![dismiss("w1", 2, true), register(3, 100, false)], fleet::Answer::Registered, 0),
+        (vec![deregister("w1", 2, false)], fleet::Answer::Reserved, 40),
+        (vec![deregister("w1", 1, true)], fleet::Answer::Ended { next: 2 }, 40),
+        (vec![deregister("w1", 2, true), register(2, 100, false)], fleet::Answer::Ended { next: 3 }, 0),
+        (vec![deregister("w1", 2, true), register(3, 100, false)], fleet::Answer::Registered, 0),
     ];
     for (commands, answer, reserved) in rows {
         let mut bench = bench();
@@ -223,7 +223,7 @@
             (lost, refused),
             "{incarnations:?}"
         );
-        bench.apply(&Command::Pardon { fingerprint: 7 });
+        bench.apply(&Command::ClearStrikes { fingerprint: 7 });
         assert_eq!(bench.state.strikes().count(7).lost, 0);
     }
 }
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -100,7 +100,7 @@
         Mutation::EarlyOrder,
         Mutation::NoMemoryCheck,
         Mutation::NoLimitCheck,
-        Mutation::NoStrangers,
+        Mutation::NoOrphans,
         Mutation::EarlyRelease,
         Mutation::NoRelease,
         Mutation::BlindResend,
--- a/crates/control/tests/settings.rs
+++ b/crates/control/tests/settings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{DemandPlanner, entry_host};
-use cornelhitch_control::catalogue::Answer;
+use cornelhitch_control::current_settings::ApplyResult;
 use cornelhitch_control::mutation::{self, Mutation};
 use cornelhitch_control::prelude::*;
 use proptest::collection::vec;
@@ -202,7 +202,7 @@
     }
 
     fn apply(&mut self, operator: u8, request: u8, behind: u64, ok: bool) -> Result<(), String> {
-        let version = self.state.catalogue().version();
+        let version = self.state.current_settings().version();
         let text = if ok { common::MODELS } else { "models: 7" };
         let fresh = Apply {
             operator: format!("o{operator}").into(),
@@ -231,7 +231,7 @@
                 .ok_or(format!("resend got {reply:?}, first answer was {first:?}"));
         }
         if reply
-            == Reply::Settings(Answer::Accepted {
+            == Reply::Settings(ApplyResult::Accepted {
                 version: version + 1,
             })
         {
@@ -245,7 +245,7 @@
     }
 
     fn check(&mut self) -> Result<(), String> {
-        let version = self.state.catalogue().version();
+        let version = self.state.current_settings().version();
         if version < self.newest || version != self.accepted {
             return Err(format!("version {version}, previously {}", self.newest));
         }
--- a/crates/node/src/claim_outcome.rs
+++ b/crates/node/src/claim_outcome.rs
@@ -13,12 +13,12 @@
         return claim::Reply::Unavailable;
     };
     match answer {
-        claims::Answer::Granted => claim::Reply::Granted,
-        claims::Answer::InProgress => claim::Reply::InProgress,
-        claims::Answer::Recorded(outcome) => recorded(outcome),
-        claims::Answer::Mismatch => claim::Reply::Mismatch,
-        claims::Answer::Forgotten => claim::Reply::Forgotten,
-        claims::Answer::Done | claims::Answer::Refused(_) => claim::Reply::Unavailable,
+        claims::ClaimResult::Granted => claim::Reply::Granted,
+        claims::ClaimResult::InProgress => claim::Reply::InProgress,
+        claims::ClaimResult::Recorded(outcome) => recorded(outcome),
+        claims::ClaimResult::Mismatch => claim::Reply::Mismatch,
+        claims::ClaimResult::Forgotten => claim::Reply::Forgotten,
+        claims::ClaimResult::Done | claims::ClaimResult::Refused(_) => claim::Reply::Unavailable,
     }
 }
 
@@ -43,7 +43,7 @@
 
 impl From<Recorded> for claims::Outcome {
     fn from(recorded: Recorded) -> Self {
-        if recorded.body.len() > claims::BODY {
+        if recorded.body.len() > claims::MAX_BODY_BYTES {
             return Self::Completed {
                 status: recorded.status,
             };
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use cornelhitch_control::command::{Command, Entry, Reply};
-use cornelhitch_control::document::Publish;
+use cornelhitch_control::current_table::SubmittedTable;
 use cornelhitch_control::input::Input;
 use cornelhitch_control::leader::Leader;
 use cornelhitch_control::state::State;
@@ -67,7 +67,7 @@
     /// A message from a target, answered once it is handled or committed.
     Target(Box<inbound::Message>, Answer<()>),
     /// A route table from an operator, answered once it is committed.
-    Publish(Publish, Answer<()>),
+    Publish(SubmittedTable, Answer<()>),
     /// A request for the text of the route table in force.
     Read(Answer<Option<Bytes>>),
 }
@@ -299,10 +299,10 @@
                 let _ = answer.send(self.dump());
             }
             TaskMessage::Target(message, answer) => self.target_message(*message, answer),
-            TaskMessage::Publish(publish, answer) => {
-                let version = publish.table.version;
+            TaskMessage::Publish(submitted, answer) => {
+                let version = submitted.table.version;
                 tracing::info!(version, "operator submitted a route table; committing it");
-                self.commit(&Command::Publish(publish), answer);
+                self.commit(&Command::PublishTable(submitted), answer);
             }
             TaskMessage::Read(answer) => self.read_table(answer),
         }
@@ -363,7 +363,7 @@
             Some(Waiter::Host { host, call }) => self.send_committed(host, call, &reply),
             Some(Waiter::Local(answer)) => {
                 let (index, term) = (entry.index, entry.term);
-                if let Command::Leave { target, .. } = &command {
+                if let Command::RecordLeaving { target, .. } = &command {
                     tracing::info!(
                         target = &**target,
                         index,
--- a/crates/node/src/control/leading.rs
+++ b/crates/node/src/control/leading.rs
@@ -42,7 +42,7 @@
                 self.announce_leader(self.setup.me);
             }
             Some(Waiter::Read(answer)) => {
-                let text = self.state.document().text().cloned();
+                let text = self.state.current_table().text().cloned();
                 let _ = answer.send(Ok(text));
             }
             _ => {}
@@ -51,7 +51,7 @@
 
     /// Proposes the first fleet settings if the cluster has none.
     pub(super) fn propose_initial_settings(&mut self) {
-        if self.state.catalogue().version() == 0
+        if self.state.current_settings().version() == 0
             && let Some(command) = self.setup.initial_settings.clone()
         {
             self.propose(command, None);
@@ -67,7 +67,7 @@
         self.known_leader = leader;
         self.leading = false;
         if was_leading {
-            self.handle(Input::Deposed);
+            self.handle(Input::LeadershipLost);
             self.reservations = Reservations::default();
             self.subscribers.clear();
         }
@@ -115,7 +115,7 @@
                 length,
                 version,
             } => self.grant_lease(host, incarnation, length, version),
-            Output::Decided(step) => tracing::info!(
+            Output::PlacementStep(step) => tracing::info!(
                 target = &*step.target, action = ?step.action, reason = %step.reason,
                 waiting = step.demand.waiting, running = step.demand.running,
                 rate = step.demand.rate, copies = step.copies, "decided on an order"
@@ -125,7 +125,7 @@
                 incarnation,
             } => self.inspect(target, incarnation),
             Output::InForce { version } => self.in_force = version,
-            Output::Ask { target } => tracing::debug!(
+            Output::RequestAnnouncement { target } => tracing::debug!(
                 target = &*target,
                 "message from a target incarnation that has not announced itself"
             ),
@@ -155,7 +155,7 @@
 
     /// Asks a worker about its orders from its own task.
     pub(super) fn inspect(&self, target: TargetId, incarnation: Incarnation) {
-        let known = self.state.fleet().alive(&target, incarnation);
+        let known = self.state.fleet().get_incarnation(&target, incarnation);
         let Some(known) = known.map(|known| &known.announcement) else {
             return;
         };
@@ -186,7 +186,7 @@
         target: &TargetId,
         incarnation: Incarnation,
     ) -> Option<SocketAddr> {
-        let target = self.state.fleet().alive(target, incarnation)?;
+        let target = self.state.fleet().get_incarnation(target, incarnation)?;
         Some(target.announcement.address)
     }
 
--- a/crates/node/src/control/requests.rs
+++ b/crates/node/src/control/requests.rs
@@ -55,7 +55,7 @@
         let fleet = self.state.fleet();
         let known = fleet.get(&target);
         let current = known.map(|known| known.announcement.incarnation);
-        let over = given.is_some_and(|given| fleet.is_over(&target, given));
+        let over = given.is_some_and(|given| fleet.has_ended(&target, given));
         let left = known.is_some_and(|known| known.leaving);
         if over || left && given.is_none_or(|given| Some(given) == current) {
             // Already committed, so every later leader knows it too.
@@ -65,14 +65,14 @@
         let Some(incarnation) = given.or(current) else {
             // There is no incarnation to record. Committing an empty command proves that this host
             // still leads, and so that no other host knows the target.
-            return self.commit(&Command::Nothing, answer);
+            return self.commit(&Command::Noop, answer);
         };
         tracing::info!(
             target = &*target,
             incarnation,
             "committing that a target leaves"
         );
-        let command = Command::Leave {
+        let command = Command::RecordLeaving {
             target,
             incarnation,
         };
--- a/crates/node/src/datagrams.rs
+++ b/crates/node/src/datagrams.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// Opens, decodes and delivers a datagram.
+/// Verifies, decodes and delivers a datagram.
 fn receive(setup: &Setup, verifier: &mut Verifier, bytes: &[u8], address: SocketAddr) {
     let identity = setup.identity.borrow().clone();
     let refused = |error: &dyn std::fmt::Display| {
--- a/crates/node/src/entry/background.rs
+++ b/crates/node/src/entry/background.rs
@@ -37,7 +37,7 @@
         receipt: oneshot::Sender<Receipt>,
     ) {
         let session = self.setup.session.clone();
-        let leave = Command::Leave {
+        let leave = Command::RecordLeaving {
             target,
             incarnation,
         };
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cornelhitch_control::catalogue::{Answer, Apply};
 use cornelhitch_control::command::{Command, Reply};
+use cornelhitch_control::current_settings::{Apply, ApplyResult};
 use cornelhitch_types::id::{HostId, Incarnation, Version};
 use cornelhitch_types::refusal::{Reason, Refusal};
 use cornelhitch_wire::hello::ProcessId;
@@ -95,15 +95,15 @@
     Reused,
 }
 
-impl From<Answer> for ApplyOutcome {
-    fn from(answer: Answer) -> Self {
+impl From<ApplyResult> for ApplyOutcome {
+    fn from(answer: ApplyResult) -> Self {
         match answer {
-            Answer::Accepted { version } => Self::Accepted { version },
-            Answer::Conflict { version } => Self::Conflict { version },
-            Answer::Faulty { faults } => Self::Faulty {
+            ApplyResult::Accepted { version } => Self::Accepted { version },
+            ApplyResult::Conflict { version } => Self::Conflict { version },
+            ApplyResult::Faulty { faults } => Self::Faulty {
                 faults: faults.lines().map(str::to_owned).collect(),
             },
-            Answer::Reused => Self::Reused,
+            ApplyResult::Reused => Self::Reused,
         }
     }
 }
@@ -200,11 +200,11 @@
             Endpoint::Drain => Ok(self.drain()),
             Endpoint::Pardon => {
                 let fingerprint = query(parts, "fingerprint")?;
-                self.commit(Command::Pardon { fingerprint }).await
+                self.commit(Command::ClearStrikes { fingerprint }).await
             }
             Endpoint::Dismiss => {
                 let target: String = query(parts, "target")?;
-                self.commit(Command::Dismiss {
+                self.commit(Command::Deregister {
                     target: target.into(),
                     incarnation: query(parts, "incarnation")?,
                     attested: true,
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cornelhitch_control::document::Publish;
+use cornelhitch_control::current_table::SubmittedTable;
 use cornelhitch_settings::process::Zone;
 use cornelhitch_target::inbound::{Message, Protocol, Receipt};
 use cornelhitch_types::route::Table;
@@ -134,9 +134,9 @@
                     return Outcome::Faulty(fault.to_string());
                 }
                 let table = Arc::new(table);
-                let publish = Publish { table, text };
+                let submitted = SubmittedTable { table, text };
                 let taken = self
-                    .ask_control(|answer| TaskMessage::Publish(publish, answer))
+                    .ask_control(|answer| TaskMessage::Publish(submitted, answer))
                     .await;
                 taken.map_or_else(|| self.redirect(), |()| Outcome::Accepted)
             }
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -5,8 +5,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use cornelhitch_control::catalogue::Apply;
 use cornelhitch_control::command::Command;
+use cornelhitch_control::current_settings::Apply;
 use cornelhitch_control::leader::Leader;
 use cornelhitch_entry::config::Config;
 use cornelhitch_entry::core::Core;
--- a/crates/node/src/upward.rs
+++ b/crates/node/src/upward.rs
@@ -56,7 +56,7 @@
                 target,
                 incarnation,
             } => {
-                let leave = Command::Leave {
+                let leave = Command::RecordLeaving {
                     target,
                     incarnation,
                 };
@@ -65,7 +65,7 @@
             Upward::Lost {
                 target,
                 incarnation,
-            } => self.handle(Input::Lost {
+            } => self.handle(Input::ConnectionLost {
                 target,
                 incarnation,
             }),
@@ -94,9 +94,9 @@
         let json = match question {
             Question::InForce(version) => json(&(self.in_force >= version)),
             Question::Settings => json(&Settings {
-                version: self.state.catalogue().version(),
+                version: self.state.current_settings().version(),
                 in_force: self.in_force,
-                text: self.state.catalogue().text(),
+                text: self.state.current_settings().text(),
             }),
             Question::Status => json(&self.dump()),
             Question::Explain(model) => json(&self.setup.leader.explain(&model, self.unix_time())),
@@ -131,7 +131,7 @@
         serde_json::json!({
             "quorum": self.setup.core.status(),
             "leading": self.leading,
-            "settings_version": self.state.catalogue().version(),
+            "settings_version": self.state.current_settings().version(),
             "in_force": self.in_force,
             "digest": hex(&self.state.digest()),
             "state": self.state.dump(),
