--- a/crates/entry/examples/policy/bench.rs
+++ b/crates/entry/examples/policy/bench.rs
@@ -273,7 +273,11 @@
             poison: first && self.setup.poison,
             bytes: 200_000,
         };
-        let mut request = Request::new(id, "caller", What::Model(Reference::base("report")));
+        let mut request = Request::new(
+            id,
+            "caller",
+            RequestedResource::Model(Reference::base("report")),
+        );
         request.class = Some(class.into());
         request.bytes = info.bytes;
         if group > 0 {
--- a/crates/entry/examples/policy/cost.rs
+++ b/crates/entry/examples/policy/cost.rs
@@ -62,7 +62,7 @@
     Request::new(
         id,
         format!("caller-{}", id % 100),
-        What::Model(Reference::base(model)),
+        RequestedResource::Model(Reference::base(model)),
     )
 }
 
@@ -96,8 +96,8 @@
             let attempt = 1;
             core.handle(Event::Arrived(request), now);
             core.handle(Event::Sent { id, attempt }, now);
-            core.handle(Event::Begun { id, attempt }, now);
-            core.handle(Event::Ended { id, attempt }, now);
+            core.handle(Event::ResponseStarted { id, attempt }, now);
+            core.handle(Event::ResponseEnded { id, attempt }, now);
         }
         assert_eq!(core.load(), 0);
         let each = start.elapsed().as_nanos() / u128::from(count);
--- a/crates/entry/examples/policy/engine.rs
+++ b/crates/entry/examples/policy/engine.rs
@@ -194,11 +194,11 @@
         }
         self.schedule(
             back,
-            ScheduledEvent::Event(job.core, Event::Begun { id, attempt }),
+            ScheduledEvent::Event(job.core, Event::ResponseStarted { id, attempt }),
         );
         self.schedule(
             back,
-            ScheduledEvent::Event(job.core, Event::Ended { id, attempt }),
+            ScheduledEvent::Event(job.core, Event::ResponseEnded { id, attempt }),
         );
         self.start(engine);
     }
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -11,7 +11,7 @@
 use crate::config::Guard;
 use crate::core::Core;
 use crate::estimate::{self, Supply};
-use crate::event::{CallId, Request, What};
+use crate::event::{CallId, Request, RequestedResource};
 use crate::fault::Fault;
 use crate::finish::Rejection;
 use crate::queue::{QueueKey, Rank};
@@ -39,7 +39,7 @@
             return;
         }
         let id = request.id;
-        if let What::Model(reference) = &request.what
+        if let RequestedResource::Model(reference) = &request.what
             && self.catalogue.models.contains_key(&reference.model)
         {
             let arrivals = self.arrivals.entry(reference.model.clone()).or_default();
@@ -116,13 +116,13 @@
     /// it.
     pub(crate) fn is_known(&self, request: &Request) -> bool {
         let routed = request.terms.is_some();
-        let service = matches!(request.what, What::Service { .. });
+        let service = matches!(request.what, RequestedResource::Service { .. });
         routed && service || self.catalogue.contains(&request.what)
     }
 
     /// Returns why no replica will ever be able to serve a request, however long it waits.
-    fn unservable_rejection(&self, what: &What) -> Option<Rejection> {
-        let What::Model(reference) = what else {
+    fn unservable_rejection(&self, what: &RequestedResource) -> Option<Rejection> {
+        let RequestedResource::Model(reference) = what else {
             return None;
         };
         let model = self.catalogue.models.get(&reference.model)?;
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -10,7 +10,7 @@
 use crate::claim::Outcome;
 use crate::config::Guard;
 use crate::core::Core;
-use crate::event::{Attempt, CallId, Failure, What};
+use crate::event::{Attempt, CallId, Failure, RequestedResource};
 use crate::fault::Fault;
 use crate::finish::Rejection;
 use crate::queue::{QueueKey, RESUME_WEIGHT};
@@ -59,12 +59,12 @@
         call.sends += 1;
         call.runs += 1;
         let service = call.key.service();
-        let tally = self.tallies.of(&service);
+        let counters = self.counters.of(&service);
         if call.sends == 1 {
-            tally.requests += 1;
+            counters.requests += 1;
             self.budget.record_first_send(&service, now);
         } else {
-            tally.repeats += 1;
+            counters.repeats += 1;
             self.budget.spend_reserved(&service, now);
         }
         let (begun, deadline) = (call.progress == Progress::Begun, call.deadline);
@@ -152,8 +152,8 @@
             .is_none_or(|replica| self.fleet_view.is_ready(replica))
     }
 
-    /// Handles `Begun`: the response started.
-    pub(crate) fn on_begun(&mut self, id: CallId, attempt: Attempt) {
+    /// Handles `ResponseStarted`: the response started.
+    pub(crate) fn on_response_started(&mut self, id: CallId, attempt: Attempt) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -210,8 +210,8 @@
         self.set_timer(id, at);
     }
 
-    /// Handles `Ended`: the terminator of the response arrived.
-    pub(crate) fn on_ended(&mut self, id: CallId, attempt: Attempt) {
+    /// Handles `ResponseEnded`: the terminator of the response arrived.
+    pub(crate) fn on_response_ended(&mut self, id: CallId, attempt: Attempt) {
         let attempt = self.effective_attempt(id, attempt);
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -267,15 +267,15 @@
         }
         // Targets behind routes guarantee that a request that they decline was not run.
         let promised = call.request.terms.is_some();
-        let declined = matches!(failure, Failure::Refused | Failure::Absent);
+        let declined = matches!(failure, Failure::Refused | Failure::WrongTarget);
         if promised && declined && run.progress == Progress::Sent {
             call.undo_run();
         }
         let (repeatable, progress) = (call.repeatable, call.progress);
-        let service = matches!(call.request.what, What::Service { .. });
+        let service = matches!(call.request.what, RequestedResource::Service { .. });
         let (answered, fingerprint) = (call.answered, call.request.fingerprint);
         self.record_failure(&run, fingerprint, failure);
-        if failure == Failure::Absent {
+        if failure == Failure::WrongTarget {
             self.remove_missing_place(&run);
         }
         self.release_attempt(id);
--- a/crates/entry/src/catalogue.rs
+++ b/crates/entry/src/catalogue.rs
@@ -8,7 +8,7 @@
 use cornelhitch_types::id::{ClassId, ModelId, Name, RegionId, Version};
 use cornelhitch_types::route::{self, Table};
 
-use crate::event::What;
+use crate::event::RequestedResource;
 
 /// Bytes in a gibibyte.
 const GIB: f64 = 1_073_741_824.0;
@@ -124,22 +124,24 @@
 
     /// Whether the requested model, with its adapter, or service exists.
     #[must_use]
-    pub fn contains(&self, what: &What) -> bool {
+    pub fn contains(&self, what: &RequestedResource) -> bool {
         match what {
-            What::Model(reference) => self.models.get(&reference.model).is_some_and(|model| {
-                let adapter = reference.adapter.as_ref();
-                adapter.is_none_or(|adapter| model.adapters.contains(adapter))
-            }),
-            What::Service { name, .. } => self.services.contains_key(name),
+            RequestedResource::Model(reference) => {
+                self.models.get(&reference.model).is_some_and(|model| {
+                    let adapter = reference.adapter.as_ref();
+                    adapter.is_none_or(|adapter| model.adapters.contains(adapter))
+                })
+            }
+            RequestedResource::Service { name, .. } => self.services.contains_key(name),
         }
     }
 
     /// Whether the settings allow the call to be repeated.
     #[must_use]
-    pub fn repeatable(&self, what: &What) -> bool {
+    pub fn repeatable(&self, what: &RequestedResource) -> bool {
         match what {
-            What::Model(_) => true,
-            What::Service { name, method } => self
+            RequestedResource::Model(_) => true,
+            RequestedResource::Service { name, method } => self
                 .services
                 .get(name)
                 .is_some_and(|service| service.repeatable.contains(method)),
@@ -148,10 +150,12 @@
 
     /// Returns the class of requests for this model or service that name none.
     #[must_use]
-    pub fn default_class(&self, what: &What) -> Option<&ClassId> {
+    pub fn default_class(&self, what: &RequestedResource) -> Option<&ClassId> {
         match what {
-            What::Model(reference) => self.models.get(&reference.model)?.class.as_ref(),
-            What::Service { name, .. } => self.services.get(name)?.class.as_ref(),
+            RequestedResource::Model(reference) => {
+                self.models.get(&reference.model)?.class.as_ref()
+            }
+            RequestedResource::Service { name, .. } => self.services.get(name)?.class.as_ref(),
         }
     }
 
@@ -164,12 +168,12 @@
     /// Returns how long a request waits that gives no deadline: as its class says, else its model,
     /// else the general setting.
     #[must_use]
-    pub fn deadline(&self, what: &What, class: Option<&Class>) -> Duration {
+    pub fn deadline(&self, what: &RequestedResource, class: Option<&Class>) -> Duration {
         let of_class = class.and_then(|class| class.deadline_ms);
         let general = Duration::from_millis(self.fleet.refusing.deadline_ms);
         let of_what = match what {
-            What::Model(reference) => self.models.get(&reference.model),
-            What::Service { .. } => None,
+            RequestedResource::Model(reference) => self.models.get(&reference.model),
+            RequestedResource::Service { .. } => None,
         };
         let otherwise = of_what.map_or(general, |model| model.rules.deadline);
         of_class.map_or(otherwise, Duration::from_millis)
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -18,10 +18,11 @@
 use crate::catalogue::Catalogue;
 use crate::claim::OrphanedClaims;
 use crate::config::{Config, Guard};
+use crate::counters::Counters;
 use crate::drain::Drain;
 use crate::dump::Dump;
 use crate::ejection::Ejections;
-use crate::entries::{self, Entries, Whence};
+use crate::entries::{self, CallerLocation, EntryHosts};
 use crate::estimate::Latencies;
 use crate::event::{CallId, Event};
 use crate::fault::Fault;
@@ -34,7 +35,6 @@
 use crate::request::{Call, Progress, Stage};
 use crate::route::Place;
 use crate::share::Shares;
-use crate::tally::Tallies;
 
 /// Interval at which the queue is searched for requests that can no longer meet their deadline.
 const SWEEP_INTERVAL: Time = Time::from_millis(100);
@@ -81,7 +81,7 @@
     pub(crate) quarantine: Quarantine,
     pub(crate) cancelled: CancelledAttempts,
     pub(crate) budget: Budget,
-    pub(crate) tallies: Tallies,
+    pub(crate) counters: Counters,
     pub(crate) orphaned_claims: OrphanedClaims,
     /// In-flight requests by place.
     pub(crate) in_flight: BTreeMap<Place, u32>,
@@ -128,7 +128,7 @@
             quarantine: Quarantine::default(),
             cancelled: CancelledAttempts::default(),
             budget,
-            tallies: Tallies::default(),
+            counters: Counters::default(),
             orphaned_claims: OrphanedClaims::default(),
             in_flight: BTreeMap::new(),
             in_flight_fingerprints: HashMap::new(),
@@ -158,24 +158,24 @@
             Event::Claimed { id, reply } => self.on_claimed(id, reply),
             Event::Recorded { id } => self.on_recorded(id),
             Event::Sent { id, attempt } => self.on_sent(id, attempt),
-            Event::Begun { id, attempt } => self.on_begun(id, attempt),
-            Event::Answered {
+            Event::ResponseStarted { id, attempt } => self.on_response_started(id, attempt),
+            Event::ResponseHead {
                 target,
                 incarnation,
                 error,
-            } => self.on_answered(&target, incarnation, error),
+            } => self.on_response_head(&target, incarnation, error),
             Event::Progress {
                 id,
                 attempt,
                 offset,
             } => self.on_progress(id, attempt, offset),
-            Event::Ended { id, attempt } => self.on_ended(id, attempt),
+            Event::ResponseEnded { id, attempt } => self.on_response_ended(id, attempt),
             Event::Failed {
                 id,
                 attempt,
                 failure,
             } => self.on_failed(id, attempt, failure),
-            Event::CallerLeft { id } => self.on_caller_left(id),
+            Event::CallerDisconnected { id } => self.on_caller_disconnected(id),
             Event::Reserved {
                 target,
                 incarnation,
@@ -218,7 +218,7 @@
 
     /// Returns the current demand by model and version. Each call increments the report's sequence
     /// number.
-    pub fn report(&mut self) -> demand::Report {
+    pub fn demand_report(&mut self) -> demand::Report {
         self.report_count += 1;
         let mut rows: BTreeMap<(ModelId, Option<Name>), demand::Demand> = BTreeMap::new();
         let recent = self
@@ -247,7 +247,7 @@
     }
 
     /// Returns the entry hosts that a caller at this location should connect to.
-    pub fn entries(&mut self, location: &Whence) -> Entries {
+    pub fn entry_hosts(&mut self, location: &CallerLocation) -> EntryHosts {
         let load = self.load();
         let draining = self.drain.is_leaving();
         if let Some(own) = self.fleet_view.hosts.get_mut(&self.config.host) {
@@ -262,7 +262,7 @@
     /// Returns the nearest entry hosts, for a caller that may connect to any of the addresses
     /// given.
     #[must_use]
-    pub fn nearest(&self, location: &Whence) -> Entries {
+    pub fn nearest_entry_hosts(&self, location: &CallerLocation) -> EntryHosts {
         let own = self.config.host;
         let leaves = self.drain.is_leaving();
         let open = self.fleet_view.hosts.values();
@@ -274,13 +274,13 @@
     /// Whether this host accepts requests: it has a route table and a view of the fleet, and is not
     /// shutting down.
     #[must_use]
-    pub fn takes_requests(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         !self.drain.is_leaving() && self.catalogue.table.is_some() && self.fleet_view.sequence > 0
     }
 
     /// Returns the term of the fleet view and the sequence number up to which it has been applied.
     #[must_use]
-    pub fn seen(&self) -> (u64, u64) {
+    pub fn view_position(&self) -> (u64, u64) {
         (self.fleet_view.term, self.fleet_view.sequence)
     }
 
@@ -297,14 +297,14 @@
 
     /// Whether control has published this incarnation of a target, or a later one.
     #[must_use]
-    pub fn knows(&self, target: &str, incarnation: u64) -> bool {
+    pub fn knows_incarnation(&self, target: &str, incarnation: u64) -> bool {
         let known = self.fleet_view.targets.get(target);
         known.is_some_and(|known| known.view.incarnation >= incarnation)
     }
 
     /// Returns the incarnation of a target that control last published.
     #[must_use]
-    pub fn life(&self, target: &str) -> Option<Incarnation> {
+    pub fn target_incarnation(&self, target: &str) -> Option<Incarnation> {
         let known = self.fleet_view.targets.get(target);
         known.map(|known| known.view.incarnation)
     }
@@ -323,14 +323,14 @@
 
     /// Returns the version of the settings in force on this host, 0 before there are any.
     #[must_use]
-    pub fn settings(&self) -> cornelhitch_types::id::Version {
+    pub fn settings_version(&self) -> cornelhitch_types::id::Version {
         self.catalogue.version
     }
 
     /// Returns the request and retry counters by service.
     #[must_use]
-    pub fn tallies(&self) -> &Tallies {
-        &self.tallies
+    pub fn counters(&self) -> &Counters {
+        &self.counters
     }
 
     /// Returns a snapshot of the state for operators.
@@ -464,7 +464,7 @@
             row.waiting += 1;
             row.slack = row.slack.min(call.deadline.saturating_sub(now));
             row.weight = row.weight.max(call.weight);
-            if let crate::event::What::Model(reference) = &call.request.what
+            if let crate::event::RequestedResource::Model(reference) = &call.request.what
                 && let Some(adapter) = &reference.adapter
                 && !row.adapters.contains(adapter)
             {
--- a/crates/entry/src/tally.rs
+++ b/crates/entry/src/counters.rs
@@ -8,7 +8,7 @@
 
 /// Counters of one service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub struct Tally {
+pub struct ServiceCounters {
     /// Requests whose first byte was handed to a connection.
     pub requests: u64,
     /// Sends beyond the first one of a request.
@@ -20,25 +20,25 @@
 /// Counters of all services that were sent to.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
-pub struct Tallies(BTreeMap<Name, Tally>);
+pub struct Counters(BTreeMap<Name, ServiceCounters>);
 
-impl Tallies {
+impl Counters {
     /// Returns the mutable counters of a service, which start at zero.
     ///
     /// ```
-    /// use cornelhitch_entry::tally::Tallies;
+    /// use cornelhitch_entry::counters::Counters;
     ///
-    /// let mut tallies = Tallies::default();
-    /// tallies.of(&"auction".into()).repeats += 1;
-    /// assert_eq!(tallies["auction"].repeats, 1);
+    /// let mut counters = Counters::default();
+    /// counters.of(&"auction".into()).repeats += 1;
+    /// assert_eq!(counters["auction"].repeats, 1);
     /// ```
-    pub fn of(&mut self, service: &Name) -> &mut Tally {
+    pub fn of(&mut self, service: &Name) -> &mut ServiceCounters {
         self.0.entry(service.clone()).or_default()
     }
 }
 
-impl Deref for Tallies {
-    type Target = BTreeMap<Name, Tally>;
+impl Deref for Counters {
+    type Target = BTreeMap<Name, ServiceCounters>;
 
     fn deref(&self) -> &Self::Target {
         &self.0
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -9,7 +9,7 @@
 use crate::config::Guard;
 use crate::core::Core;
 use crate::estimate::Supply;
-use crate::event::{CallId, What};
+use crate::event::{CallId, RequestedResource};
 use crate::fault::Fault;
 use crate::finish::Rejection;
 use crate::fleet_view::Target;
@@ -252,7 +252,7 @@
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
-        let What::Model(reference) = &call.request.what else {
+        let RequestedResource::Model(reference) = &call.request.what else {
             return false;
         };
         let Some(adapter) = &reference.adapter else {
@@ -315,7 +315,7 @@
     /// caller more than the wait.
     fn hold_back(&mut self, id: CallId, service: &Name) {
         self.budget_retry_at = Some(self.now + BUDGET_RETRY_INTERVAL);
-        self.tallies.of(service).held_back += 1;
+        self.counters.of(service).held_back += 1;
         let others = self.calls.values().filter(|call| {
             let before = call.request.id < id && call.is_waiting() && call.sends > 0;
             before && call.key.service() == *service
@@ -356,7 +356,7 @@
     /// Whether a place has the adapter that a request needs, and the strike limit allows the
     /// request's fingerprint to run there.
     pub(crate) fn fits(&self, call: &Call, option: &Choice) -> bool {
-        if let What::Model(reference) = &call.request.what
+        if let RequestedResource::Model(reference) = &call.request.what
             && let Some(adapter) = &reference.adapter
             && !option.adapters.contains(adapter)
         {
@@ -413,7 +413,7 @@
             self.catalogue
                 .distance_and_price(&self.config.region, &candidate.region, bytes);
         candidate.price = price;
-        if let What::Model(reference) = &call.request.what
+        if let RequestedResource::Model(reference) = &call.request.what
             && !call.request.prefixes.is_empty()
         {
             let target = &candidate.place.target;
@@ -453,7 +453,7 @@
         *self.in_flight.entry(candidate.place.clone()).or_default() += 1;
         let targets = self.in_flight_fingerprints.entry(fingerprint).or_default();
         *targets.entry(instance.0).or_default() += 1;
-        if let What::Model(reference) = &call.request.what
+        if let RequestedResource::Model(reference) = &call.request.what
             && !call.request.prefixes.is_empty()
         {
             let prefixes = &call.request.prefixes;
--- a/crates/entry/src/dump.rs
+++ b/crates/entry/src/dump.rs
@@ -7,12 +7,12 @@
 
 use crate::budget::Budget;
 use crate::core::Core;
+use crate::counters::Counters;
 use crate::drain::Drain;
 use crate::event::{Attempt, CallId};
 use crate::queue::QueueKey;
 use crate::request::{Call, Claim, Progress};
 use crate::route::Place;
-use crate::tally::Tallies;
 
 /// A snapshot of a core's state.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -38,7 +38,7 @@
     /// Fingerprints with strikes.
     pub strikes: Vec<Strike>,
     /// Request and retry counters by service.
-    pub services: Tallies,
+    pub services: Counters,
     /// The state of the retry budget.
     pub budget: Budget,
     /// All requests.
@@ -125,7 +125,7 @@
             places: places.collect(),
             ejected: core.ejections.targets(),
             strikes: core.quarantine.list(),
-            services: core.tallies.clone(),
+            services: core.counters.clone(),
             budget: core.budget.clone(),
             calls,
         }
--- a/crates/entry/src/entries.rs
+++ b/crates/entry/src/entries.rs
@@ -22,7 +22,7 @@
 
 /// The entry hosts for a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Entries {
+pub struct EntryHosts {
     /// Addresses to connect to, the best one first; the others are for failover.
     pub addresses: Vec<SocketAddr>,
     /// How long the caller may cache this answer.
@@ -31,7 +31,7 @@
 
 /// The location of a caller, as far as the caller or its host reports it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Whence {
+pub struct CallerLocation {
     /// The caller's region, or empty if unknown.
     pub region: RegionId,
     /// The caller's availability zone, or empty if unknown.
@@ -45,20 +45,20 @@
 /// same host while the load figures are stale.
 ///
 /// ```
-/// use cornelhitch_entry::entries::{Whence, answer};
+/// use cornelhitch_entry::entries::{CallerLocation, answer};
 /// use rand::{SeedableRng, rngs::SmallRng};
 ///
 /// let max_age = std::time::Duration::from_secs(10);
-/// let none = answer(&[], &Whence::default(), max_age, &mut SmallRng::seed_from_u64(1));
+/// let none = answer(&[], &CallerLocation::default(), max_age, &mut SmallRng::seed_from_u64(1));
 /// assert!(none.addresses.is_empty());
 /// ```
 #[must_use]
 pub fn answer(
     hosts: &[&Host],
-    location: &Whence,
+    location: &CallerLocation,
     max_age: Duration,
     random: &mut SmallRng,
-) -> Entries {
+) -> EntryHosts {
     let open = hosts.iter().filter(|host| !host.draining);
     let mut ranked: Vec<(bool, u32, u64, SocketAddr)> = open
         .map(|host| {
@@ -72,7 +72,7 @@
     put_less_busy_first(&mut ranked);
     let addresses = ranked.into_iter().map(|(_, _, _, address)| address);
     let spread = 1.0 - MAX_AGE_JITTER * random.random::<f64>();
-    Entries {
+    EntryHosts {
         addresses: addresses.take(MAX_ADDRESSES).collect(),
         max_age: max_age.mul_f64(spread),
     }
@@ -91,7 +91,7 @@
 
 /// Returns the hosts nearest to a caller: those of its zone, else of its region, else all.
 #[must_use]
-pub fn nearest(hosts: &[&Host], location: &Whence, max_age: Duration) -> Entries {
+pub fn nearest(hosts: &[&Host], location: &CallerLocation, max_age: Duration) -> EntryHosts {
     let tiers: [&dyn Fn(&Host) -> bool; 3] = [
         &|host| host.zone == location.zone,
         &|host| host.region == location.region,
@@ -102,7 +102,7 @@
         near.map(|host| host.address).collect::<Vec<_>>()
     });
     let addresses = tiers.find(|tier| !tier.is_empty());
-    Entries {
+    EntryHosts {
         addresses: addresses.unwrap_or_default(),
         max_age,
     }
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -23,7 +23,7 @@
 
 /// The model or service that a request is for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum RequestedResource {
     /// A model, with its version and adapter if the request names them.
     Model(Reference),
     /// A service that does not run models.
@@ -35,7 +35,7 @@
     },
 }
 
-impl fmt::Display for What {
+impl fmt::Display for RequestedResource {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Model(reference) => write!(f, "model {reference}"),
@@ -52,7 +52,7 @@
     /// The caller that sent the request.
     pub caller: CallerId,
     /// The model or service that it is for.
-    pub what: What,
+    pub what: RequestedResource,
     /// The class that the request names; `None` for the default class of the model or service.
     pub class: Option<ClassId>,
     /// How long the caller waits, counted from arrival; `None` for the default from the settings.
@@ -71,13 +71,13 @@
     pub streaming: bool,
     /// Size of the body in bytes.
     pub bytes: u64,
-    /// The terms of the request's route, or `None` if it did not come through one.
-    pub terms: Option<Box<Terms>>,
+    /// The limits of the request's route, or `None` if it did not come through one.
+    pub terms: Option<Box<RouteLimits>>,
 }
 
-/// The terms under which a route's requests run.
+/// The limits under which a route's requests run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct RouteLimits {
     /// Maximum number of targets that may run one request.
     pub attempts: Attempt,
     /// Time from arrival by which the response must end, even if it has begun.
@@ -90,7 +90,7 @@
     pub sizes: Vec<u32>,
 }
 
-impl Terms {
+impl RouteLimits {
     /// Returns the queueing weight of the rank: 32 times that of the next lower rank, at least 1.
     #[must_use]
     pub fn weight(&self) -> u32 {
@@ -106,14 +106,14 @@
     /// Creates a request with defaults for all that is optional; the fingerprint is the id.
     ///
     /// ```
-    /// use cornelhitch_entry::event::{Request, What};
+    /// use cornelhitch_entry::event::{Request, RequestedResource};
     /// use cornelhitch_types::model::Reference;
     ///
-    /// let request = Request::new(7, "dealer", What::Model(Reference::base("report")));
+    /// let request = Request::new(7, "dealer", RequestedResource::Model(Reference::base("report")));
     /// assert!(request.repeatable);
     /// ```
     #[must_use]
-    pub fn new(id: CallId, caller: impl Into<CallerId>, what: What) -> Self {
+    pub fn new(id: CallId, caller: impl Into<CallerId>, what: RequestedResource) -> Self {
         Self {
             id,
             caller: caller.into(),
@@ -133,7 +133,7 @@
 
     /// Subtracts time that passed before the request came in from the caller's deadline and the
     /// route's limit.
-    pub fn spend(&mut self, time: Duration) {
+    pub fn deduct_elapsed(&mut self, time: Duration) {
         self.deadline = self.deadline.map(|left| left.saturating_sub(time));
         if let Some(terms) = &mut self.terms {
             terms.limit = terms.limit.saturating_sub(time);
@@ -164,11 +164,15 @@
     /// The target declined the request.
     Refused,
     /// The target is not the expected one, or does not hold the requested model or service.
-    Absent,
+    #[serde(rename = "absent")]
+    #[strum(serialize = "absent")]
+    WrongTarget,
     /// The connection broke before the response began.
     Broken,
     /// The response carried another request's id.
-    Crossed,
+    #[serde(rename = "crossed")]
+    #[strum(serialize = "crossed")]
+    MismatchedId,
     /// The response ended without its terminator.
     Truncated,
     /// The target answered with a server error.
@@ -211,14 +215,16 @@
         attempt: Attempt,
     },
     /// The response began, and the owner waits for `Deliver`.
-    Begun {
+    #[serde(rename = "Begun")]
+    ResponseStarted {
         /// The request of the attempt.
         id: CallId,
         /// The attempt's number.
         attempt: Attempt,
     },
     /// The head of a response arrived.
-    Answered {
+    #[serde(rename = "Answered")]
+    ResponseHead {
         /// The target that sent it.
         target: TargetId,
         /// The incarnation of the target.
@@ -236,7 +242,8 @@
         offset: u64,
     },
     /// The terminator of the response arrived, and the owner waits for `Finish`.
-    Ended {
+    #[serde(rename = "Ended")]
+    ResponseEnded {
         /// The request of the attempt.
         id: CallId,
         /// The attempt's number.
@@ -252,7 +259,8 @@
         failure: Failure,
     },
     /// The caller closed its connection.
-    CallerLeft {
+    #[serde(rename = "CallerLeft")]
+    CallerDisconnected {
         /// The request of the caller.
         id: CallId,
     },
--- a/crates/entry/src/fingerprint.rs
+++ b/crates/entry/src/fingerprint.rs
@@ -1,20 +1,20 @@
 //! Identifies requests that are the same to an engine, whoever sends them.
 
-use crate::event::{Digest, What};
+use crate::event::{Digest, RequestedResource};
 
 /// Returns a 64-bit digest of what the request is for and its body, independent of the caller.
 ///
 /// ```
-/// use cornelhitch_entry::event::What;
+/// use cornelhitch_entry::event::RequestedResource;
 /// use cornelhitch_entry::fingerprint;
 /// use cornelhitch_types::model::Reference;
 ///
-/// let what = What::Model(Reference::base("report"));
+/// let what = RequestedResource::Model(Reference::base("report"));
 /// assert_eq!(fingerprint::of(&what, b"car"), fingerprint::of(&what, b"car"));
 /// assert_ne!(fingerprint::of(&what, b"car"), fingerprint::of(&what, b"van"));
 /// ```
 #[must_use]
-pub fn of(what: &What, body: &[u8]) -> u64 {
+pub fn of(what: &RequestedResource, body: &[u8]) -> u64 {
     let digest = digest(what, body);
     let mut first = [0; 8];
     first.copy_from_slice(&digest[..8]);
@@ -23,7 +23,7 @@
 
 /// Returns the full digest, which claims carry to detect a different body under the same key.
 #[must_use]
-pub fn digest(what: &What, body: &[u8]) -> Digest {
+pub fn digest(what: &RequestedResource, body: &[u8]) -> Digest {
     let mut hasher = blake3::Hasher::new();
     hasher.update(what.to_string().as_bytes());
     hasher.update(&[0]);
--- a/crates/entry/src/finish.rs
+++ b/crates/entry/src/finish.rs
@@ -98,7 +98,7 @@
     }
 
     /// Ends a request whose caller disconnected.
-    pub(crate) fn on_caller_left(&mut self, id: CallId) {
+    pub(crate) fn on_caller_disconnected(&mut self, id: CallId) {
         let known = self.calls.get(&id);
         if known.is_some_and(|call| !call.answered) {
             self.finish_for_caller(id);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -6,10 +6,10 @@
 //!
 //! 1. `Send` names a target. The owner connects, reports `Sent`, and writes the first byte only
 //!    after `Proceed`, so that a refusal marked "not run" is always true.
-//! 2. The owner reports `Begun` when the response starts and forwards it only after `Deliver`, so
-//!    that a response that arrives too late is never forwarded.
-//! 3. The owner reports `Ended` when it has read the terminator and completes the response only
-//!    after `Finish`, so that a truncated response is never taken for a complete one.
+//! 2. The owner reports `ResponseStarted` when the response starts and forwards it only after
+//!    `Deliver`, so that a response that arrives too late is never forwarded.
+//! 3. The owner reports `ResponseEnded` when it has read the terminator and completes the response
+//!    only after `Finish`, so that a truncated response is never taken for a complete one.
 //! ```
 //! use cornelhitch_entry::config::Config;
 //! use cornelhitch_entry::core::Core;
@@ -18,7 +18,7 @@
 //!
 //! let mut core = Core::new(Config::new(1), Duration::ZERO);
 //! assert!(core.handle(Event::Tick, Duration::from_secs(1)).is_empty());
-//! assert_eq!(core.report().host, 1);
+//! assert_eq!(core.demand_report().host, 1);
 //! ```
 
 pub mod action;
@@ -29,6 +29,7 @@
 pub mod claim;
 pub mod config;
 pub mod core;
+pub mod counters;
 pub mod drain;
 pub mod dump;
 pub mod ejection;
@@ -48,7 +49,6 @@
 pub mod route;
 pub mod share;
 pub mod sliding_counter;
-pub mod tally;
 
 mod admit;
 mod attempt;
--- a/crates/entry/src/prelude.rs
+++ b/crates/entry/src/prelude.rs
@@ -3,4 +3,4 @@
 pub use crate::action::Action;
 pub use crate::config::Config;
 pub use crate::core::Core;
-pub use crate::event::{CallId, Event, Request, What};
+pub use crate::event::{CallId, Event, Request, RequestedResource};
--- a/crates/entry/src/queue.rs
+++ b/crates/entry/src/queue.rs
@@ -11,7 +11,7 @@
 use cornelhitch_types::route;
 use serde::{Deserialize, Serialize};
 
-use crate::event::{CallId, What};
+use crate::event::{CallId, RequestedResource};
 
 /// Identifies a lane: the requests that can be sent to the same replicas.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -42,13 +42,13 @@
     }
 }
 
-impl From<&What> for QueueKey {
-    fn from(what: &What) -> Self {
+impl From<&RequestedResource> for QueueKey {
+    fn from(what: &RequestedResource) -> Self {
         match what {
-            What::Model(reference) => {
+            RequestedResource::Model(reference) => {
                 Self::Model(reference.model.clone(), reference.version.clone())
             }
-            What::Service { name, .. } => Self::Service(name.clone()),
+            RequestedResource::Service { name, .. } => Self::Service(name.clone()),
         }
     }
 }
--- a/crates/entry/src/retry_policy.rs
+++ b/crates/entry/src/retry_policy.rs
@@ -53,14 +53,14 @@
 /// The effect of each failure.
 #[rustfmt::skip]
 pub const FAILURE_EFFECTS: [FailureEffect; 8] = [
-    FailureEffect { failure: Failure::Connect,   eject: true,  strike: false },
-    FailureEffect { failure: Failure::Refused,   eject: false, strike: false },
-    FailureEffect { failure: Failure::Absent,    eject: false, strike: false },
-    FailureEffect { failure: Failure::Broken,    eject: true,  strike: true },
-    FailureEffect { failure: Failure::Crossed,   eject: false, strike: false },
-    FailureEffect { failure: Failure::Truncated, eject: true,  strike: true },
-    FailureEffect { failure: Failure::Status,    eject: false, strike: false },
-    FailureEffect { failure: Failure::Stalled,   eject: false, strike: false },
+    FailureEffect { failure: Failure::Connect,      eject: true,  strike: false },
+    FailureEffect { failure: Failure::Refused,      eject: false, strike: false },
+    FailureEffect { failure: Failure::WrongTarget,  eject: false, strike: false },
+    FailureEffect { failure: Failure::Broken,       eject: true,  strike: true },
+    FailureEffect { failure: Failure::MismatchedId, eject: false, strike: false },
+    FailureEffect { failure: Failure::Truncated,    eject: true,  strike: true },
+    FailureEffect { failure: Failure::Status,       eject: false, strike: false },
+    FailureEffect { failure: Failure::Stalled,      eject: false, strike: false },
 ];
 
 /// Returns what follows a failed attempt.
--- a/crates/entry/src/tests/attempt_script.rs
+++ b/crates/entry/src/tests/attempt_script.rs
@@ -51,7 +51,7 @@
     let early = [
         Failure::Refused,
         Failure::Broken,
-        Failure::Crossed,
+        Failure::MismatchedId,
         Failure::Status,
     ];
     match random.random_range(0..6) {
--- a/crates/entry/src/tests/simulation.rs
+++ b/crates/entry/src/tests/simulation.rs
@@ -15,7 +15,7 @@
 use crate::action::{Action, Destination};
 use crate::config::Config;
 use crate::core::Core;
-use crate::event::{Attempt, CallId, Event, Request, What};
+use crate::event::{Attempt, CallId, Event, Request, RequestedResource};
 use crate::fault::Fault;
 use crate::quarantine::TargetInstance;
 
@@ -213,7 +213,7 @@
 
     /// Hands an event to a core and checks its limits.
     pub(super) fn deliver(&mut self, core: usize, event: Event) -> Result<(), Violation> {
-        if let Event::CallerLeft { id } = event
+        if let Event::CallerDisconnected { id } = event
             && let Some(record) = self.request_log.records.get_mut(&id)
         {
             record.left = record.ends.is_empty();
@@ -255,7 +255,7 @@
         self.request_log.records.insert(id, record);
         if let Some(leaves) = planned.leaves {
             let at = self.now + Duration::from_millis(leaves);
-            self.schedule(at, Task::Event(core, Event::CallerLeft { id }));
+            self.schedule(at, Task::Event(core, Event::CallerDisconnected { id }));
         }
         self.deliver(core, Event::Arrived(request))
     }
@@ -414,12 +414,12 @@
 
 /// Returns the request that the plan describes.
 fn request(id: CallId, planned: &PlannedRequest) -> Request {
-    let service = |method: &str| What::Service {
+    let service = |method: &str| RequestedResource::Service {
         name: "bids".into(),
         method: method.into(),
     };
     let what = match planned.kind {
-        Kind::Stream | Kind::Whole | Kind::Poison => "report".parse().map(What::Model),
+        Kind::Stream | Kind::Whole | Kind::Poison => "report".parse().map(RequestedResource::Model),
         Kind::Keyed(_) | Kind::Bare => Ok(service("POST")),
         Kind::Lookup => Ok(service("GET")),
     };
--- a/crates/entry/src/tests/targets.rs
+++ b/crates/entry/src/tests/targets.rs
@@ -162,7 +162,7 @@
                 if let Some(running) = known {
                     running.begun = true;
                 }
-                Event::Begun { id, attempt }
+                Event::ResponseStarted { id, attempt }
             }
             Step::Progress(offset) => {
                 self.moved(core, id, attempt);
@@ -177,7 +177,7 @@
                 if let Some(record) = self.request_log.records.get_mut(&id) {
                     record.terminated.insert(attempt);
                 }
-                Event::Ended { id, attempt }
+                Event::ResponseEnded { id, attempt }
             }
             Step::Fail(failure) => {
                 in_flight.retain(|running| (running.id, running.attempt) != (id, attempt));
--- a/crates/entry/src/updates.rs
+++ b/crates/entry/src/updates.rs
@@ -149,7 +149,12 @@
     }
 
     /// Records whether a target's response was an error of its own, if its incarnation is current.
-    pub(crate) fn on_answered(&mut self, target: &TargetId, instance: Incarnation, error: bool) {
+    pub(crate) fn on_response_head(
+        &mut self,
+        target: &TargetId,
+        instance: Incarnation,
+        error: bool,
+    ) {
         let known = self.fleet_view.targets.get(target);
         if known.is_some_and(|known| known.view.incarnation == instance) {
             self.health.record_answer(target, error, self.now);
--- a/crates/entry/tests/absent.rs
+++ b/crates/entry/tests/absent.rs
@@ -38,7 +38,7 @@
     for row in rows {
         let mut core = core(row.held);
         let model = row.asked.parse().expect("a reference");
-        let request = Request::new(7, "dealer", What::Model(model));
+        let request = Request::new(7, "dealer", RequestedResource::Model(model));
         let actions = core.handle(Event::Arrived(request), Time::from_millis(10));
         let refused = actions.iter().find_map(|action| match action {
             Action::Refuse { refusal, .. } => Some(refusal.reason),
--- a/crates/entry/tests/core.rs
+++ b/crates/entry/tests/core.rs
@@ -67,11 +67,15 @@
 }
 
 fn report(id: u64) -> Request {
-    Request::new(id, "dealer", What::Model(Reference::base("report")))
+    Request::new(
+        id,
+        "dealer",
+        RequestedResource::Model(Reference::base("report")),
+    )
 }
 
 fn bid(id: u64) -> Request {
-    let what = What::Service {
+    let what = RequestedResource::Service {
         name: "bids".into(),
         method: "POST".into(),
     };
@@ -92,7 +96,7 @@
     let mut core = core();
     let actions = core.handle(Event::Arrived(report(7)), at(10));
     assert_eq!(actions, [Action::Report]);
-    let demand = core.report();
+    let demand = core.demand_report();
     assert_eq!((demand.rows[0].waiting, demand.rows[0].arrivals), (1, 1));
     let changes = vec![target("w1", &[]), replica(4, "w1", State::Loading)];
     assert!(core.handle(view(1, 3, changes), at(20)).is_empty());
@@ -113,12 +117,12 @@
     let (id, attempt) = (7, 1);
     let proceed = core.handle(Event::Sent { id, attempt }, at(4_001));
     assert_eq!(proceed, [Action::Proceed { id, attempt }]);
-    let deliver = core.handle(Event::Begun { id, attempt }, at(4_100));
+    let deliver = core.handle(Event::ResponseStarted { id, attempt }, at(4_100));
     assert_eq!(deliver, [Action::Deliver { id, attempt }]);
-    let finish = core.handle(Event::Ended { id, attempt }, at(4_200));
+    let finish = core.handle(Event::ResponseEnded { id, attempt }, at(4_200));
     assert_eq!(finish, [Action::Finish { id, attempt }]);
     assert!(
-        core.handle(Event::Ended { id, attempt }, at(4_201))
+        core.handle(Event::ResponseEnded { id, attempt }, at(4_201))
             .is_empty()
     );
     assert_eq!(core.load(), 0);
--- a/crates/entry/tests/entries.rs
+++ b/crates/entry/tests/entries.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cornelhitch_entry::entries::{Whence, answer};
+use cornelhitch_entry::entries::{CallerLocation, answer};
 use cornelhitch_types::entry::Host;
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -33,8 +33,8 @@
     }
 }
 
-fn location() -> Whence {
-    Whence {
+fn location() -> CallerLocation {
+    CallerLocation {
         region: "r0".into(),
         zone: "z0".into(),
     }
--- a/crates/entry/tests/faults.rs
+++ b/crates/entry/tests/faults.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use cornelhitch_entry::claim::{Outcome, Reply};
 use cornelhitch_entry::event::Failure;
-use cornelhitch_entry::event::Failure::{Broken, Connect, Crossed, Status, Truncated};
+use cornelhitch_entry::event::Failure::{Broken, Connect, MismatchedId, Status, Truncated};
 use cornelhitch_entry::prelude::*;
 use cornelhitch_types::id::Time;
 use cornelhitch_types::model::Reference;
@@ -55,39 +55,39 @@
 /// The kind of request, how far it got, how it fails, and what follows.
 #[rustfmt::skip]
 const FAILURE_TABLE: [(RequestKind, Progress, Failure, Handling); 33] = [
-    (Model,  Unsent, Connect,   Retry),
-    (Model,  Unsent, DECLINED,  Retry),
-    (Model,  Sent,   Connect,   Retry),
-    (Model,  Sent,   DECLINED,  Retry),
-    (Model,  Sent,   Broken,    Retry),
-    (Model,  Sent,   Crossed,   Retry),
-    (Model,  Sent,   Truncated, Retry),
-    (Model,  Sent,   Status,    Retry),
-    (Model,  Begun,  Broken,    Resume),
-    (Model,  Begun,  Crossed,   Resume),
-    (Model,  Begun,  Truncated, Resume),
-    (Model,  Begun,  Status,    Resume),
-    (Model,  Begun,  DECLINED,  Resume),
-    (Lookup, Unsent, Connect,   Retry),
-    (Lookup, Sent,   Broken,    Retry),
-    (Lookup, Sent,   Crossed,   Retry),
-    (Lookup, Sent,   Truncated, Retry),
-    (Lookup, Sent,   Status,    Retry),
-    (Lookup, Begun,  Truncated, Handling::Broken),
-    (Lookup, Begun,  Crossed,   Handling::Broken),
-    (Bid,    Unsent, Connect,   Retry),
-    (Bid,    Unsent, DECLINED,  Retry),
-    (Bid,    Unsent, Broken,    Retry),
-    (Bid,    Sent,   Connect,   UNKNOWN),
-    (Bid,    Sent,   DECLINED,  UNKNOWN),
-    (Bid,    Sent,   Broken,    UNKNOWN),
-    (Bid,    Sent,   Crossed,   UNKNOWN),
-    (Bid,    Sent,   Truncated, UNKNOWN),
-    (Bid,    Sent,   Status,    UNKNOWN),
-    (Bid,    Begun,  Truncated, Handling::Broken),
-    (Bid,    Begun,  Crossed,   Handling::Broken),
-    (Bid,    Begun,  Broken,    Handling::Broken),
-    (Bid,    Begun,  Status,    Handling::Broken),
+    (Model,  Unsent, Connect,      Retry),
+    (Model,  Unsent, DECLINED,     Retry),
+    (Model,  Sent,   Connect,      Retry),
+    (Model,  Sent,   DECLINED,     Retry),
+    (Model,  Sent,   Broken,       Retry),
+    (Model,  Sent,   MismatchedId, Retry),
+    (Model,  Sent,   Truncated,    Retry),
+    (Model,  Sent,   Status,       Retry),
+    (Model,  Begun,  Broken,       Resume),
+    (Model,  Begun,  MismatchedId, Resume),
+    (Model,  Begun,  Truncated,    Resume),
+    (Model,  Begun,  Status,       Resume),
+    (Model,  Begun,  DECLINED,     Resume),
+    (Lookup, Unsent, Connect,      Retry),
+    (Lookup, Sent,   Broken,       Retry),
+    (Lookup, Sent,   MismatchedId, Retry),
+    (Lookup, Sent,   Truncated,    Retry),
+    (Lookup, Sent,   Status,       Retry),
+    (Lookup, Begun,  Truncated,    Handling::Broken),
+    (Lookup, Begun,  MismatchedId, Handling::Broken),
+    (Bid,    Unsent, Connect,      Retry),
+    (Bid,    Unsent, DECLINED,     Retry),
+    (Bid,    Unsent, Broken,       Retry),
+    (Bid,    Sent,   Connect,      UNKNOWN),
+    (Bid,    Sent,   DECLINED,     UNKNOWN),
+    (Bid,    Sent,   Broken,       UNKNOWN),
+    (Bid,    Sent,   MismatchedId, UNKNOWN),
+    (Bid,    Sent,   Truncated,    UNKNOWN),
+    (Bid,    Sent,   Status,       UNKNOWN),
+    (Bid,    Begun,  Truncated,    Handling::Broken),
+    (Bid,    Begun,  MismatchedId, Handling::Broken),
+    (Bid,    Begun,  Broken,       Handling::Broken),
+    (Bid,    Begun,  Status,       Handling::Broken),
 ];
 
 /// An alias, since the plain name is taken by an outcome in the tables.
@@ -152,12 +152,12 @@
 }
 
 fn request(id: u64, kind: RequestKind) -> Request {
-    let service = |method: &str| What::Service {
+    let service = |method: &str| RequestedResource::Service {
         name: "bids".into(),
         method: method.into(),
     };
     let what = match kind {
-        Model => What::Model(Reference::base("report")),
+        Model => RequestedResource::Model(Reference::base("report")),
         Lookup => service("GET"),
         Bid => service("POST"),
     };
@@ -216,7 +216,7 @@
             core.handle(Event::Sent { id, attempt }, at(2));
         }
         if progress == Begun {
-            core.handle(Event::Begun { id, attempt }, at(3));
+            core.handle(Event::ResponseStarted { id, attempt }, at(3));
             let offset = 5;
             core.handle(
                 Event::Progress {
@@ -348,8 +348,8 @@
             .iter()
             .any(|action| matches!(action, Action::Cancel { .. }))
     );
-    core.handle(Event::Begun { id, attempt }, at(11_000));
-    let actions = core.handle(Event::Ended { id, attempt }, at(11_001));
+    core.handle(Event::ResponseStarted { id, attempt }, at(11_000));
+    let actions = core.handle(Event::ResponseEnded { id, attempt }, at(11_001));
     let outcome = Outcome::Answered;
     assert!(
         matches!(&actions[..], [Action::Record { outcome: known, .. }] if *known == outcome),
@@ -363,7 +363,7 @@
     let id = 7;
     core.handle(Event::Arrived(request(id, Model)), at(1));
     core.handle(Event::Sent { id, attempt: 1 }, at(2));
-    let failure = Crossed;
+    let failure = MismatchedId;
     core.handle(
         Event::Failed {
             id,
@@ -375,8 +375,8 @@
     core.handle(Event::Tick, at(100));
     core.handle(Event::Sent { id, attempt: 2 }, at(101));
     let late = [
-        Event::Begun { id, attempt: 1 },
-        Event::Ended { id, attempt: 1 },
+        Event::ResponseStarted { id, attempt: 1 },
+        Event::ResponseEnded { id, attempt: 1 },
         Event::Progress {
             id,
             attempt: 1,
@@ -385,10 +385,10 @@
         Event::Failed {
             id,
             attempt: 1,
-            failure: Crossed,
+            failure: MismatchedId,
         },
-        Event::Ended { id, attempt: 2 },
-        Event::Begun { id: 8, attempt: 1 },
+        Event::ResponseEnded { id, attempt: 2 },
+        Event::ResponseStarted { id: 8, attempt: 1 },
     ];
     for event in late {
         let actions = core.handle(event.clone(), at(102));
@@ -407,7 +407,7 @@
         matches!(actions[..], [Action::BadSettings { version: 2, .. }]),
         "{actions:?}"
     );
-    assert_eq!(core.settings(), 1);
+    assert_eq!(core.settings_version(), 1);
     assert!(view(&mut core, 0, 1, Vec::new()).is_empty());
     assert!(handling(&core.handle(Event::Arrived(request(9, Model)), at(9))).is_some());
 }
@@ -435,7 +435,7 @@
     let actions = core.handle(Event::Arrived(request(id, Model)), at(9_000));
     assert_eq!(handling(&actions), Some(Retry));
     core.handle(Event::Sent { id, attempt }, at(9_001));
-    core.handle(Event::Begun { id, attempt }, at(9_002));
+    core.handle(Event::ResponseStarted { id, attempt }, at(9_002));
     assert_eq!(
         core.handle(Event::Tick, at(10_000)),
         [Action::CloseListener]
@@ -445,6 +445,6 @@
         handling(&actions),
         Some(Refused(Reason::Draining, Run::NotRun))
     );
-    let actions = core.handle(Event::Ended { id, attempt }, at(12_000));
+    let actions = core.handle(Event::ResponseEnded { id, attempt }, at(12_000));
     assert_eq!(actions, [Action::Finish { id, attempt }, Action::Drained]);
 }
--- a/crates/entry/tests/outlook.rs
+++ b/crates/entry/tests/outlook.rs
@@ -31,7 +31,7 @@
 
 /// Sends a request with a deadline of 4 s.
 fn arrive(core: &mut Core, id: u64) -> Vec<Action> {
-    let what = What::Model("report".parse().expect("a reference"));
+    let what = RequestedResource::Model("report".parse().expect("a reference"));
     let mut request = Request::new(id, "dealer", what);
     request.deadline = Some(Duration::from_secs(4));
     core.handle(Event::Arrived(request), Time::from_millis(20))
@@ -100,7 +100,7 @@
     let mut core = core();
     view(&mut core, 1, vec![Change::Outlook("report".into(), 10_200)]);
     arrive(&mut core, 7);
-    let report = core.report();
+    let report = core.demand_report();
     let row = report.rows.iter().find(|row| &*row.model == "report");
     assert_eq!(row.map(|row| row.arrivals), Some(1));
 }
--- a/crates/entry/tests/preferred.rs
+++ b/crates/entry/tests/preferred.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use cornelhitch_entry::event::Terms;
+use cornelhitch_entry::event::RouteLimits;
 use cornelhitch_entry::prelude::*;
 use cornelhitch_types::id::Time;
 use cornelhitch_types::target::{Kind, Load};
@@ -71,11 +71,11 @@
 
 /// Sends and answers a request with a shared part; returns its target.
 fn send(core: &mut Core, id: u64, part: u64) -> String {
-    let what = What::Model("report".parse().expect("a reference"));
+    let what = RequestedResource::Model("report".parse().expect("a reference"));
     let mut request = Request::new(id, "dealer", what);
     request.streaming = true;
     request.prefixes = vec![part, 1_000 + id];
-    request.terms = Some(Box::new(Terms {
+    request.terms = Some(Box::new(RouteLimits {
         attempts: 2,
         limit: Duration::from_secs(4),
         objective: Duration::from_millis(800),
@@ -90,8 +90,8 @@
     });
     let attempt = 1;
     core.handle(Event::Sent { id, attempt }, now);
-    core.handle(Event::Begun { id, attempt }, now);
-    let ended = core.handle(Event::Ended { id, attempt }, now);
+    core.handle(Event::ResponseStarted { id, attempt }, now);
+    let ended = core.handle(Event::ResponseEnded { id, attempt }, now);
     assert!(!ended.is_empty(), "its end is told");
     sent.expect("a send")
 }
--- a/crates/entry/tests/repeats/simulation.rs
+++ b/crates/entry/tests/repeats/simulation.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use cornelhitch_entry::event::{Attempt, Failure, Terms};
+use cornelhitch_entry::event::{Attempt, Failure, RouteLimits};
 use cornelhitch_entry::prelude::*;
 use cornelhitch_settings::process::{Isolated, Serving};
 use cornelhitch_types::entry;
@@ -232,7 +232,7 @@
             let Some(host) = &self.hosts[at] else {
                 continue;
             };
-            let behind = host.core.seen() < (self.term, self.sequence);
+            let behind = host.core.view_position() < (self.term, self.sequence);
             if behind && !self.partitioned.contains(&at) && self.listed_hosts.contains_key(&at) {
                 let view = self.view();
                 self.deliver(at, Event::View(view));
@@ -330,8 +330,8 @@
                         },
                     );
                 } else {
-                    self.deliver(at, Event::Begun { id, attempt });
-                    self.deliver(at, Event::Ended { id, attempt });
+                    self.deliver(at, Event::ResponseStarted { id, attempt });
+                    self.deliver(at, Event::ResponseEnded { id, attempt });
                 }
             } else if self.random.random::<f64>() < traffic.unreachable {
                 let failure = Failure::Connect;
@@ -414,14 +414,14 @@
 
 /// Returns a repeatable request.
 fn request(number: u64, service: usize) -> Request {
-    let what = What::Service {
+    let what = RequestedResource::Service {
         name: SERVICES[service].into(),
         method: "GET".into(),
     };
     let id = number * 2 + u64::from(service == 1);
     let mut request = Request::new(id, format!("caller {id}"), what);
     request.deadline = Some(Duration::from_secs(4));
-    request.terms = Some(Box::new(Terms {
+    request.terms = Some(Box::new(RouteLimits {
         attempts: 2,
         limit: Duration::from_secs(4),
         objective: Duration::from_millis(400),
--- a/crates/entry/tests/routed.rs
+++ b/crates/entry/tests/routed.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cornelhitch_entry::event::{Failure, Terms};
+use cornelhitch_entry::event::{Failure, RouteLimits};
 use cornelhitch_entry::prelude::*;
 use cornelhitch_settings::process::Serving;
 use cornelhitch_types::id::Time;
@@ -69,7 +69,7 @@
 
 /// Returns a request for the service, which may run on two targets if it is repeatable.
 fn request(repeatable: bool) -> Request {
-    let what = What::Service {
+    let what = RequestedResource::Service {
         name: "auction".into(),
         method: "POST".into(),
     };
@@ -77,7 +77,7 @@
     request.repeatable = repeatable;
     request.streaming = true;
     request.deadline = Some(Duration::from_secs(8));
-    request.terms = Some(Box::new(Terms {
+    request.terms = Some(Box::new(RouteLimits {
         attempts: 2,
         limit: Duration::from_secs(4),
         objective: Duration::from_millis(400),
@@ -151,7 +151,7 @@
     assert!(send(&actions).is_some());
     let actions = fail(&mut connecting, 1, Failure::Connect, 50);
     assert!(send(&actions).is_some(), "{actions:?}");
-    for failure in [Failure::Refused, Failure::Absent] {
+    for failure in [Failure::Refused, Failure::WrongTarget] {
         let mut core = core_with_two_targets();
         let first = send_first(&mut core, request(false));
         let mut actions = fail(&mut core, 1, failure, 50);
@@ -260,14 +260,14 @@
         let incarnation = 1;
         core.handle(Event::Sent { id, attempt }, at(ms));
         let target = target.as_str().into();
-        let event = Event::Answered {
+        let event = Event::ResponseHead {
             target,
             incarnation,
             error,
         };
         core.handle(event, at(ms));
-        core.handle(Event::Begun { id, attempt }, at(ms));
-        core.handle(Event::Ended { id, attempt }, at(ms));
+        core.handle(Event::ResponseStarted { id, attempt }, at(ms));
+        core.handle(Event::ResponseEnded { id, attempt }, at(ms));
     }
     got
 }
@@ -338,7 +338,7 @@
 fn model_request(id: u64) -> Request {
     let mut request = request(false);
     request.id = id;
-    request.what = What::Model(Reference {
+    request.what = RequestedResource::Model(Reference {
         adapter: Some("a1".into()),
         ..Reference::base(route::model_id("engines", "report"))
     });
@@ -400,7 +400,7 @@
             changes,
         };
         core.handle(Event::View(view), at(5));
-        core.seen()
+        core.view_position()
     };
     let first = target("w2", "a", true);
     assert_eq!(tell(1, 2, vec![first.clone()]), (1, 2));
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -134,7 +134,7 @@
             } => Failure::Refused,
             Error::Status { .. } | Error::Reported { .. } | Error::Large { .. } => Failure::Status,
             Error::Broken { .. } => Failure::Broken,
-            Error::Crossed { .. } => Failure::Crossed,
+            Error::Crossed { .. } => Failure::MismatchedId,
             Error::Truncated { .. } => Failure::Truncated,
         })
     }
@@ -287,7 +287,7 @@
         let Some(deliver) = deliver.take() else {
             return Ok(());
         };
-        self.send_event(Event::Begun {
+        self.send_event(Event::ResponseStarted {
             id: self.id,
             attempt: self.number,
         });
@@ -347,7 +347,7 @@
             let _ = self.inputs.send(Input::Answer(self.id, recorded));
         }
         self.report_progress();
-        self.send_event(Event::Ended {
+        self.send_event(Event::ResponseEnded {
             id: self.id,
             attempt: self.number,
         });
@@ -376,7 +376,7 @@
                 Err(_) => self.report_progress(),
             }
         }
-        self.send_event(Event::CallerLeft { id: self.id });
+        self.send_event(Event::CallerDisconnected { id: self.id });
         Err(AttemptEnd::Withdrawn)
     }
 
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -51,7 +51,7 @@
 
 impl Drop for CallerGuard {
     fn drop(&mut self) {
-        let left = Event::CallerLeft { id: self.id };
+        let left = Event::CallerDisconnected { id: self.id };
         let _ = self.inputs.send(Input::Event(left));
     }
 }
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -11,7 +11,7 @@
 
 use cornelhitch_entry::action::{Action, Destination};
 use cornelhitch_entry::core::Core;
-use cornelhitch_entry::entries::{self, Whence};
+use cornelhitch_entry::entries::{self, CallerLocation};
 use cornelhitch_entry::event::{Attempt as AttemptNumber, CallId, Event};
 use cornelhitch_settings::fleet::Fleet;
 use cornelhitch_target::client::Client;
@@ -53,7 +53,7 @@
     /// A request for the entry addresses that are best for this host's own location.
     Entries(oneshot::Sender<Entries>),
     /// A request for the entry hosts nearest to the given location.
-    Nearest(Whence, oneshot::Sender<entries::Entries>),
+    Nearest(CallerLocation, oneshot::Sender<entries::EntryHosts>),
     /// A readiness check: whether this host currently takes requests.
     Ready(oneshot::Sender<bool>),
     /// A request for the core's state as JSON, for the operators' dump.
@@ -191,11 +191,11 @@
         }
         self.last_report = Instant::now();
         self.urgent = false;
-        let report = self.setup.core.report();
+        let report = self.setup.core.demand_report();
         self.setup.session.send(Upward::Report(report));
         let core = &self.setup.core;
-        self.setup.metrics.show_services(core.tallies());
-        let (load, draining, settings) = (core.load(), core.draining(), core.settings());
+        self.setup.metrics.show_services(core.counters());
+        let (load, draining, settings) = (core.load(), core.draining(), core.settings_version());
         self.setup.host_state.send_modify(|host| {
             host.load = load;
             host.draining = draining;
@@ -210,7 +210,7 @@
                 self.publish_settings(&view);
                 let (term, from, to) = (view.term, view.from, view.to);
                 self.handle_event(Event::View(view));
-                let seen = self.setup.core.seen();
+                let seen = self.setup.core.view_position();
                 if seen < (term, to) {
                     tracing::info!(
                         term,
@@ -221,7 +221,7 @@
                     );
                 }
                 self.publish_routes();
-                let settings = self.setup.core.settings();
+                let settings = self.setup.core.settings_version();
                 self.setup
                     .host_state
                     .send_modify(|host| host.settings = settings);
@@ -267,7 +267,7 @@
     fn handle_input(&mut self, input: Input) {
         match input {
             Input::Event(event) => {
-                if let Event::CallerLeft { id } = event
+                if let Event::CallerDisconnected { id } = event
                     && let Some(exchange) = self.exchanges.remove(&id)
                 {
                     self.request_log.caller_left(&exchange);
@@ -280,11 +280,11 @@
             }
             Input::TargetMessage(message, receipt) => self.target_message(message, receipt),
             Input::Entries(answer) => {
-                let whence = Whence {
+                let location = CallerLocation {
                     region: self.setup.host.region.clone(),
                     zone: self.setup.host.zone.clone(),
                 };
-                let entries = self.setup.core.entries(&whence);
+                let entries = self.setup.core.entry_hosts(&location);
                 let page = Page {
                     addresses: entries.addresses,
                     max_age_ms: entries.max_age.as_millis(),
@@ -294,11 +294,11 @@
                     body: page,
                 });
             }
-            Input::Nearest(whence, answer) => {
-                let _ = answer.send(self.setup.core.nearest(&whence));
+            Input::Nearest(location, answer) => {
+                let _ = answer.send(self.setup.core.nearest_entry_hosts(&location));
             }
             Input::Ready(answer) => {
-                let _ = answer.send(self.setup.core.takes_requests());
+                let _ = answer.send(self.setup.core.accepts_requests());
             }
             Input::Dump(answer) => {
                 let dump = serde_json::to_value(self.setup.core.dump());
@@ -347,7 +347,7 @@
             TargetMessage::Announcement(announcement) => Upward::Announce(announcement),
             TargetMessage::Heartbeat(heartbeat) => {
                 let core = &self.setup.core;
-                if !core.knows(&heartbeat.target, heartbeat.incarnation) {
+                if !core.knows_incarnation(&heartbeat.target, heartbeat.incarnation) {
                     answer = Receipt::Announce;
                 }
                 Upward::Heartbeat(heartbeat)
@@ -357,7 +357,7 @@
             }
             TargetMessage::Presence(presence) => Upward::Presence(presence),
             TargetMessage::Ended(ended) => {
-                let known = self.setup.core.life(&ended.target);
+                let known = self.setup.core.target_incarnation(&ended.target);
                 if let Some(incarnation) = ended.incarnation.or(known) {
                     return self.commit_leave(ended.target, incarnation, receipt);
                 }
--- a/crates/node/src/entry/responses.rs
+++ b/crates/node/src/entry/responses.rs
@@ -25,7 +25,7 @@
     /// Returns the view and route table versions that decisions are currently based on.
     pub(super) fn log_context(&self) -> LogContext {
         let core = &self.setup.core;
-        let (term, view) = core.seen();
+        let (term, view) = core.view_position();
         LogContext {
             term,
             view,
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cornelhitch_entry::entries::{Entries, Whence};
-use cornelhitch_entry::event::{Request as Call, Terms, What};
+use cornelhitch_entry::entries::{CallerLocation, EntryHosts};
+use cornelhitch_entry::event::{Request as Call, RequestedResource, RouteLimits};
 use cornelhitch_entry::fingerprint;
 use cornelhitch_target::client::RequestId;
 use cornelhitch_types::id::{Name, Version};
@@ -71,7 +71,7 @@
     /// Whether this host takes requests.
     Ready,
     /// Which entry hosts to connect to, for a caller at the given location.
-    Entries(Whence),
+    Entries(CallerLocation),
 }
 
 /// A callers' protocol: how routed requests are read and answered.
@@ -92,7 +92,7 @@
     fn ready(&self, ready: bool) -> Response<Bytes>;
 
     /// Returns the response to [`Page::Entries`].
-    fn entries(&self, entries: &Entries) -> Response<Bytes>;
+    fn entries(&self, entries: &EntryHosts) -> Response<Bytes>;
 }
 
 /// The route table in force, indexed by host and path.
@@ -200,7 +200,7 @@
         let (mut call, payload) =
             read.inspect_err(|refusal| self.log_refusal(&summary, refusal, routes.table.version))?;
         let (reply, answer) = mpsc::channel(PART_QUEUE_CAPACITY);
-        call.spend(waited);
+        call.deduct_elapsed(waited);
         let streams = payload.streams;
         let intake = NewRequest {
             request: call,
@@ -290,7 +290,7 @@
     call.prefixes = prefixes;
     call.streaming = route.streams;
     call.bytes = body.len() as u64;
-    call.terms = Some(Box::new(Terms {
+    call.terms = Some(Box::new(RouteLimits {
         attempts: route.attempts.max(1),
         limit: route.timeout,
         objective: route.objective,
@@ -318,15 +318,15 @@
 
 /// Returns what a request is for: a model if the service runs models and the request names one, or
 /// else the service itself.
-fn requested(service: &Name, table: &Table, metadata: &Ask, method: &Method) -> What {
+fn requested(service: &Name, table: &Table, metadata: &Ask, method: &Method) -> RequestedResource {
     let engine = table.service(service).and_then(|it| it.engine.as_ref());
     match (&metadata.model, engine) {
-        (Some(model), Some(_)) => What::Model(Reference {
+        (Some(model), Some(_)) => RequestedResource::Model(Reference {
             model: route::model_id(service, model),
             version: None,
             adapter: metadata.adapter.clone(),
         }),
-        _ => What::Service {
+        _ => RequestedResource::Service {
             name: service.clone(),
             method: method.as_str().into(),
         },
@@ -364,9 +364,9 @@
                 let _ = self.inputs.send(Input::Ready(answer));
                 self.ingress.ready(answered.await.unwrap_or(false))
             }
-            Some(Page::Entries(whence)) => {
+            Some(Page::Entries(location)) => {
                 let (answer, answered) = oneshot::channel();
-                let _ = self.inputs.send(Input::Nearest(whence, answer));
+                let _ = self.inputs.send(Input::Nearest(location, answer));
                 match answered.await {
                     Ok(entries) if !entries.addresses.is_empty() => self.ingress.entries(&entries),
                     _ => {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use cornelhitch_entry::tally::{Tallies, Tally};
+use cornelhitch_entry::counters::{Counters, ServiceCounters};
 use cornelhitch_types::refusal::{Reason, Refusal};
 use opentelemetry::metrics::{Counter, Histogram, Meter};
 use serde::Serialize;
@@ -80,22 +80,22 @@
 /// A counter that is kept for each service.
 struct ServiceCount {
     name: &'static str,
-    read: fn(&Tally) -> u64,
+    read: fn(&ServiceCounters) -> u64,
 }
 
 /// The counters kept for each service.
 const SERVICE_COUNTS: [ServiceCount; 3] = [
     ServiceCount {
         name: "cornelhitch_service_requests_total",
-        read: |tally| tally.requests,
+        read: |counters| counters.requests,
     },
     ServiceCount {
         name: "cornelhitch_repeats_total",
-        read: |tally| tally.repeats,
+        read: |counters| counters.repeats,
     },
     ServiceCount {
         name: "cornelhitch_repeats_held_back_total",
-        read: |tally| tally.held_back,
+        read: |counters| counters.held_back,
     },
 ];
 
@@ -113,7 +113,7 @@
     /// Refusals, indexed by reason.
     reasons: Vec<AtomicU64>,
     /// Requests and repeats of each service, as last published by the entry task.
-    services: Mutex<Tallies>,
+    services: Mutex<Counters>,
     histograms: Vec<Histogram<f64>>,
     latencies: Vec<Latency>,
 }
@@ -222,19 +222,19 @@
     /// Publishes the requests and repeats of each service.
     ///
     /// ```
-    /// use cornelhitch_entry::tally::Tallies;
+    /// use cornelhitch_entry::counters::Counters;
     /// use cornelhitch_node::metrics::Metrics;
     ///
-    /// let (metrics, mut tallies) = (Metrics::default(), Tallies::default());
-    /// tallies.of(&"auction".into()).repeats = 3;
-    /// metrics.show_services(&tallies);
+    /// let (metrics, mut counters) = (Metrics::default(), Counters::default());
+    /// counters.of(&"auction".into()).repeats = 3;
+    /// metrics.show_services(&counters);
     /// assert!(metrics.text().contains("cornelhitch_repeats_total{service=\"auction\"} 3\n"));
     /// ```
-    pub fn show_services(&self, tallies: &Tallies) {
+    pub fn show_services(&self, counters: &Counters) {
         let services = &self.instruments.services;
         let mut published = services.lock().unwrap_or_else(PoisonError::into_inner);
-        if *published != *tallies {
-            published.clone_from(tallies);
+        if *published != *counters {
+            published.clone_from(counters);
         }
     }
 
@@ -270,8 +270,8 @@
         let services = &self.instruments.services;
         let services = services.lock().unwrap_or_else(PoisonError::into_inner);
         for ServiceCount { name, read } in SERVICE_COUNTS {
-            for (service, tally) in services.iter() {
-                let count = read(tally);
+            for (service, counters) in services.iter() {
+                let count = read(counters);
                 let _ = writeln!(text, "{name}{{service=\"{service}\"}} {count}");
             }
         }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -42,7 +42,7 @@
         if let Some(declined) = answer.declined {
             return Err(self.target_declined(declined, answer.body).await);
         }
-        self.send_event(Event::Answered {
+        self.send_event(Event::ResponseHead {
             target: self.to.target.clone(),
             incarnation: self.to.incarnation,
             error: answer.status.is_server_error(),
@@ -107,7 +107,7 @@
         );
         AttemptEnd::Failed(match declined {
             Declined::Busy => Failure::Refused,
-            Declined::Absent => Failure::Absent,
+            Declined::Absent => Failure::WrongTarget,
         })
     }
 
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cornelhitch_entry::event::{CallId, Request, What};
+use cornelhitch_entry::event::{CallId, Request, RequestedResource};
 use cornelhitch_entry::fingerprint;
 use cornelhitch_target::client::Form;
 use cornelhitch_types::id::Name;
@@ -121,7 +121,7 @@
         .model
         .parse()
         .map_err(|error| not_run(Reason::Malformed, format!("model: {error}")))?;
-    let what = What::Model(reference.clone());
+    let what = RequestedResource::Model(reference.clone());
     let caller = envelope.user.unwrap_or_default();
     let mut request = Request::new(id, caller, what);
     request.fingerprint = fingerprint::of(&request.what, &body);
@@ -141,7 +141,7 @@
 /// Reads a request to a plain service.
 fn service(id: CallId, name: Name, path: String, parts: &Parts, body: Bytes) -> (Request, Payload) {
     let method = parts.method.as_str().into();
-    let mut request = Request::new(id, "", What::Service { name, method });
+    let mut request = Request::new(id, "", RequestedResource::Service { name, method });
     // The path selects what the service does, so it is part of the digest.
     let content = [path.as_bytes(), &[0], &body].concat();
     request.fingerprint = fingerprint::of(&request.what, &content);
--- a/crates/node/tests/log_limit.rs
+++ b/crates/node/tests/log_limit.rs
@@ -1,17 +1,17 @@
 //! Tests of the log rate limit and of the repeat counters of each service.
 
-use cornelhitch_entry::tally::Tallies;
+use cornelhitch_entry::counters::Counters;
 use cornelhitch_node::log_limit::LogLimiter;
 use cornelhitch_node::metrics::Metrics;
 
 #[test]
 fn repeats_are_counted_for_each_service_separately() {
     let metrics = Metrics::default();
-    let mut tallies = Tallies::default();
-    tallies.of(&"engines".into()).repeats = 40;
-    tallies.of(&"booking".into()).repeats = 2;
-    tallies.of(&"booking".into()).held_back = 7;
-    metrics.show_services(&tallies);
+    let mut counters = Counters::default();
+    counters.of(&"engines".into()).repeats = 40;
+    counters.of(&"booking".into()).repeats = 2;
+    counters.of(&"booking".into()).held_back = 7;
+    metrics.show_services(&counters);
     let text = metrics.text();
     let lines = [
         "cornelhitch_repeats_total{service=\"booking\"} 2",
