--- a/crates/control/src/current_table.rs
+++ b/crates/control/src/current_table.rs
@@ -35,13 +35,13 @@
 /// use cornelhitch_control::current_table::{Answer, CurrentTable, SubmittedTable};
 /// use cornelhitch_types::route::Table;
 ///
-/// let publish = |version| SubmittedTable {
+/// let submitted = |version| SubmittedTable {
 ///     table: Arc::new(Table { version, ..Table::default() }),
 ///     text: Default::default(),
 /// };
 /// let mut current = CurrentTable::default();
-/// assert_eq!(current.publish(publish(7)), Answer::Accepted);
-/// assert_eq!(current.publish(publish(5)), Answer::Kept { version: 7 });
+/// assert_eq!(current.publish(submitted(7)), Answer::Accepted);
+/// assert_eq!(current.publish(submitted(5)), Answer::Kept { version: 7 });
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CurrentTable {
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -188,7 +188,7 @@
         newer.map(|other| other.incarnation)
     }
 
-    /// Dismisses older incarnations of other targets at the address of a new one.
+    /// Deregisters older incarnations of other targets at the address of a new one.
     fn dismiss_others_at(&mut self, announcement: &Announcement) {
         let dismissed: Vec<TargetId> = self
             .others_at(announcement)
--- a/crates/planner/src/hosting.rs
+++ b/crates/planner/src/hosting.rs
@@ -3,8 +3,9 @@
 //! This policy is for services with many models, most of which are requested every few seconds.
 //! They do not all fit into accelerator memory, while the workers' disks hold several copies of
 //! each. A load from disk takes well under a second, so what matters is that a request for a model
-//! that no worker holds finds a worker which has its weights near and loses little by evicting
-//! another model, and that the most requested models keep as many copies as their load needs.
+//! that no worker holds finds a worker which has a local copy of its weights and loses little by
+//! evicting another model, and that the most requested models keep as many copies as their load
+//! needs.
 
 mod mean;
 mod pass;
@@ -253,8 +254,8 @@
         }
     }
 
-    /// Fills free memory: first with models that no worker holds, then with those that the fewest
-    /// workers have local copies of.
+    /// Fills free memory: first with models that no worker holds, then with those of which the
+    /// fewest workers have a local copy.
     fn fill_free_memory(&mut self, pass: &mut PlanningPass) {
         let mut with_room = pass.workers_with_room();
         if with_room.is_empty() {
--- a/crates/planner/tests/hosting.rs
+++ b/crates/planner/tests/hosting.rs
@@ -123,7 +123,7 @@
 }
 
 /// Guards against thrashing: two models in high demand evicted each other in turn on the one worker
-/// that had both near, and spent more time loading than serving.
+/// that had local copies of both, and spent more time loading than serving.
 #[test]
 fn a_copy_in_use_is_not_evicted_for_a_model_in_lower_demand() {
     let workers = vec![worker("w1", &["a", "b"], &["a", "b", "c"])];
@@ -342,7 +342,7 @@
     assert_eq!(names, ["waiting", "overloaded", "room", "expected"]);
 }
 
-/// Guards against scale-out that only considers the worker with the weights near: its eviction loss
+/// Guards against scale-out that only considers the worker with a local copy: its eviction loss
 /// was too high, and up to 92 requests ran on the only copy of a model for 15 s while the store was
 /// idle.
 #[test]
@@ -352,7 +352,7 @@
         worker("w2", &["b", "c"], &["a", "b", "c"]),
         worker("w3", &["d"], &["d"]),
     ];
-    // Requests are waiting for the only copies of b and c, on the worker that has a's weights near.
+    // Requests are waiting for the only copies of b and c, on the worker with a local copy of a.
     let demand = [
         ("a", model_demand(0, 9, 10.0)),
         ("b", model_demand(2, 1, 0.2)),
