--- a/crates/node/src/upward.rs
+++ b/crates/node/src/upward.rs
@@ -5,11 +5,11 @@
 use bytes::Bytes;
 use cornelhitch_control::command::Command;
 use cornelhitch_control::input::Input;
-use cornelhitch_quorum::event::Change;
+use cornelhitch_quorum::event::MembershipChange;
 use cornelhitch_quorum::id::Peer as Member;
 use cornelhitch_types::entry::Host;
 use cornelhitch_types::id::HostId;
-use cornelhitch_wire::hello::Peer;
+use cornelhitch_wire::hello::ProcessId;
 use serde::Serialize;
 
 use crate::control::{Control, Renewal};
@@ -25,7 +25,7 @@
 
 impl Control {
     /// Handles a message to the leader; names the leader if this host does not lead.
-    pub(crate) fn upward(&mut self, from: Peer, upward: Upward) {
+    pub(crate) fn upward(&mut self, from: ProcessId, upward: Upward) {
         if !self.leading {
             let call = match upward {
                 Upward::Propose { call, .. } | Upward::Ask { call, .. } => Some(call),
@@ -56,7 +56,7 @@
                 target,
                 incarnation,
             } => {
-                let leave = Command::Leave {
+                let leave = Command::RecordLeaving {
                     target,
                     incarnation,
                 };
@@ -65,7 +65,7 @@
             Upward::Lost {
                 target,
                 incarnation,
-            } => self.handle(Input::Lost {
+            } => self.handle(Input::ConnectionLost {
                 target,
                 incarnation,
             }),
@@ -94,9 +94,9 @@
         let json = match question {
             Question::InForce(version) => json(&(self.in_force >= version)),
             Question::Settings => json(&Settings {
-                version: self.state.catalogue().version(),
+                version: self.state.current_settings().version(),
                 in_force: self.in_force,
-                text: self.state.catalogue().text(),
+                text: self.state.current_settings().text(),
             }),
             Question::Status => json(&self.dump()),
             Question::Explain(model) => json(&self.setup.leader.explain(&model, self.unix_time())),
@@ -115,10 +115,10 @@
     /// Starts the membership change that an operator asks for.
     fn operator_change(&mut self, host: HostId, call: u64, membership: &Membership) {
         let change = match *membership {
-            Membership::Add(peer) => Change::Add(member(peer)),
-            Membership::Promote(id) => Change::Promote(id),
-            Membership::Remove(id) => Change::Remove(id),
-            Membership::Replace { old, new } => Change::Replace {
+            Membership::Add(peer) => MembershipChange::Add(member(peer)),
+            Membership::Promote(id) => MembershipChange::Promote(id),
+            Membership::Remove(id) => MembershipChange::Remove(id),
+            Membership::Replace { old, new } => MembershipChange::Replace {
                 old,
                 new: member(new),
             },
@@ -131,7 +131,7 @@
         serde_json::json!({
             "quorum": self.setup.core.status(),
             "leading": self.leading,
-            "settings_version": self.state.catalogue().version(),
+            "settings_version": self.state.current_settings().version(),
             "in_force": self.in_force,
             "digest": hex(&self.state.digest()),
             "state": self.state.dump(),
@@ -141,7 +141,7 @@
 }
 
 /// Converts a peer to a member of the log's group.
-fn member(peer: Peer) -> Member {
+fn member(peer: ProcessId) -> Member {
     Member {
         id: peer.host,
         incarnation: peer.incarnation,
