--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -109,7 +109,8 @@
     /// use cornelhitch_entry::event::{Request, RequestedResource};
     /// use cornelhitch_types::model::Reference;
     ///
-    /// let request = Request::new(7, "dealer", RequestedResource::Model(Reference::base("report")));
+    /// let what = RequestedResource::Model(Reference::base("report"));
+    /// let request = Request::new(7, "dealer", what);
     /// assert!(request.repeatable);
     /// ```
     #[must_use]
--- a/crates/node/src/control/members.rs
+++ b/crates/node/src/control/members.rs
@@ -100,9 +100,9 @@
     /// Handles a host that asks to join.
     ///
     /// Without a membership policy, only voters named in the settings are admitted, and any other
-    /// host has to be named by an operator as the replacement of a voter. A host that is known under
-    /// another incarnation of its disk is not admitted: an operator has to replace it, since the
-    /// votes it gave before are lost.
+    /// host has to be named by an operator as the replacement of a voter. A host that is known
+    /// under another incarnation of its disk is not admitted: an operator has to replace it, since
+    /// the votes it gave before are lost.
     pub(super) fn admit(&mut self, peer: cornelhitch_quorum::id::Peer) {
         if self.setup.membership_policy.is_some() {
             self.join_requests.insert(peer.id, peer.incarnation);
--- a/crates/planner/src/fleet_index.rs
+++ b/crates/planner/src/fleet_index.rs
@@ -175,7 +175,8 @@
             .filter(move |replica| matches_version(replica, &key) && !self.is_leaving(replica))
     }
 
-    /// Returns the number of loads of a model and version that the fleet state does not reflect yet.
+    /// Returns the number of loads of a model and version that the fleet state does not reflect
+    /// yet.
     #[must_use]
     pub fn pending_loads(&self, key: &ModelVersion) -> u32 {
         let loads = self.pending_loads.iter().filter(|(known, _)| known == key);
