--- a/crates/control/examples/scale.rs
+++ b/crates/control/examples/scale.rs
@@ -13,11 +13,11 @@
 use cornelhitch_planner::Planner;
 use cornelhitch_planner::decision::Decision;
 use cornelhitch_planner::fleet_state::FleetState;
-use cornelhitch_types::demand::{Demand, Report};
+use cornelhitch_types::demand::{Demand, DemandReport};
 use cornelhitch_types::entry;
 use cornelhitch_types::id::Time;
 use cornelhitch_types::model::Reference;
-use cornelhitch_types::target::{Announcement, Heartbeat, Holding, Kind, Load, Stage};
+use cornelhitch_types::target::{Announcement, Heartbeat, Kind, Load, ModelCopy, Stage};
 use cornelhitch_types::view::View;
 
 /// The number of models at the later size.
@@ -247,7 +247,7 @@
 /// Runs one second: a heartbeat of each worker, a report and a renewal of each host, ten ticks.
 fn run(bench: &mut Bench, hosts: usize, workers: usize, second: u64, spent: &mut [Duration; 4]) {
     let heartbeats: Vec<Heartbeat> = (0..workers).map(|it| heartbeat(it, second + 1)).collect();
-    let reports: Vec<Report> = (0..hosts).map(|it| report(it, second + 1)).collect();
+    let reports: Vec<DemandReport> = (0..hosts).map(|it| report(it, second + 1)).collect();
     let renewals: Vec<entry::Host> = (0..hosts).map(host_of).collect();
     let started = Instant::now();
     for heartbeat in heartbeats {
@@ -391,12 +391,12 @@
         fencing: at.is_multiple_of(2),
         services: Vec::new(),
         slots: None,
-        dated: false,
+        incarnation_is_start_time: false,
     }
 }
 
 fn heartbeat(at: usize, sequence: u64) -> Heartbeat {
-    let holding = Holding {
+    let copy = ModelCopy {
         model: Reference::base(model(at)),
         replica: None,
         stage: Stage::Ready,
@@ -408,7 +408,7 @@
         incarnation: 1,
         sequence,
         fence: 1,
-        inventory: vec![holding],
+        inventory: vec![copy],
         load: Load {
             running: u32::try_from(sequence).unwrap_or(0) % 16,
             queued: 0,
@@ -432,18 +432,18 @@
     }
 }
 
-fn report(host: usize, sequence: u64) -> Report {
+fn report(host: usize, sequence: u64) -> DemandReport {
     let row = |at: usize| Demand {
         model: model(at).into(),
         version: None,
         waiting: 0,
         running: 4,
-        slack: Duration::from_secs(10),
+        time_to_deadline: Duration::from_secs(10),
         weight: 1,
         arrivals: sequence * 4,
         adapters: Vec::new(),
     };
-    Report {
+    DemandReport {
         host: host as u64,
         incarnation: 1,
         sequence,
--- a/crates/control/src/current_table.rs
+++ b/crates/control/src/current_table.rs
@@ -4,14 +4,14 @@
 
 use bytes::Bytes;
 use cornelhitch_types::id::Version;
-use cornelhitch_types::route::Table;
+use cornelhitch_types::route::RouteTable;
 use serde::{Deserialize, Serialize};
 
 /// A route table submitted by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubmittedTable {
     /// The parsed and validated table.
-    pub table: Arc<Table>,
+    pub table: Arc<RouteTable>,
     /// The text it was parsed from, returned to operators unchanged.
     pub text: Bytes,
 }
@@ -33,10 +33,10 @@
 /// ```
 /// use std::sync::Arc;
 /// use cornelhitch_control::current_table::{Answer, CurrentTable, SubmittedTable};
-/// use cornelhitch_types::route::Table;
+/// use cornelhitch_types::route::RouteTable;
 ///
 /// let submitted = |version| SubmittedTable {
-///     table: Arc::new(Table { version, ..Table::default() }),
+///     table: Arc::new(RouteTable { version, ..RouteTable::default() }),
 ///     text: Default::default(),
 /// };
 /// let mut current = CurrentTable::default();
@@ -59,7 +59,7 @@
 
     /// Returns the table in force.
     #[must_use]
-    pub fn table(&self) -> Option<&Arc<Table>> {
+    pub fn table(&self) -> Option<&Arc<RouteTable>> {
         self.newest.as_ref().map(|newest| &newest.table)
     }
 
--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cornelhitch_planner::fleet_state;
-use cornelhitch_types::demand::{Demand, Report};
+use cornelhitch_types::demand::{Demand, DemandReport};
 use cornelhitch_types::id::{HostId, Incarnation, ModelId, Name, RegionId, Time};
 
 /// The model and version of a demand row.
@@ -74,7 +74,7 @@
 
 impl DemandTracker {
     /// Handles a report; returns whether more requests wait for some model than before.
-    pub(crate) fn on_report(&mut self, report: Report, now: Time) -> bool {
+    pub(crate) fn on_report(&mut self, report: DemandReport, now: Time) -> bool {
         let old = self.hosts.remove(&report.host);
         let mut arrivals_reported = BTreeMap::new();
         let mut before = Vec::new();
@@ -156,7 +156,7 @@
         for row in self.hosts.values().flat_map(|host| &host.rows) {
             let total = totals.entry(row.model.clone()).or_insert_with(Total::none);
             if row.waiting > 0 {
-                total.slack = total.slack.min(row.slack);
+                total.slack = total.slack.min(row.time_to_deadline);
             }
             total.waiting = total.waiting.saturating_add(row.waiting);
             total.running = total.running.saturating_add(row.running);
@@ -197,7 +197,7 @@
     /// Counts arrivals since the last report of the same incarnation.
     fn count_arrivals(
         &mut self,
-        report: &Report,
+        report: &DemandReport,
         arrivals_reported: &mut BTreeMap<DemandKey, u64>,
     ) {
         for row in &report.rows {
@@ -281,7 +281,9 @@
     row.waiting = row.waiting.saturating_add(demand.waiting);
     row.running = row.running.saturating_add(demand.running);
     if demand.waiting > 0 {
-        row.deadline = row.deadline.min(received.saturating_add(demand.slack));
+        row.deadline = row
+            .deadline
+            .min(received.saturating_add(demand.time_to_deadline));
         row.weight = row.weight.max(demand.weight);
     }
     for adapter in &demand.adapters {
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -179,18 +179,18 @@
         let mut changes = std::mem::take(&mut self.other_changes);
         for target in std::mem::take(&mut self.changed_targets) {
             let now = view_builder.target(&target).map(Change::Target);
-            changes.push(now.unwrap_or(Change::TargetGone(target)));
+            changes.push(now.unwrap_or(Change::TargetRemoved(target)));
         }
         for replica in std::mem::take(&mut self.changed_replicas) {
             let now = view_builder.replica(replica).map(Change::Replica);
-            changes.push(now.unwrap_or(Change::ReplicaGone(replica)));
+            changes.push(now.unwrap_or(Change::ReplicaRemoved(replica)));
         }
         for host in std::mem::take(&mut self.changed_hosts) {
             let now = view_builder
                 .leases
                 .get(host)
                 .and_then(|lease| view_builder.entry(lease));
-            changes.push(now.unwrap_or(Change::EntryGone(host)));
+            changes.push(now.unwrap_or(Change::EntryRemoved(host)));
         }
         self.urgent = false;
         changes
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -210,7 +210,9 @@
         let all = self.targets.values().map(|known| &known.announcement);
         all.filter(|other| {
             let same = other.address == announcement.address;
-            same && announcement.dated && other.dated && other.target != announcement.target
+            same && announcement.incarnation_is_start_time
+                && other.incarnation_is_start_time
+                && other.target != announcement.target
         })
     }
 
--- a/crates/control/src/heartbeats.rs
+++ b/crates/control/src/heartbeats.rs
@@ -2,7 +2,9 @@
 
 use cornelhitch_types::id::{Incarnation, ReplicaId, TargetId};
 use cornelhitch_types::order::Action;
-use cornelhitch_types::target::{Announcement, CacheEvent, Heartbeat, Holding, Presence, Stage};
+use cornelhitch_types::target::{
+    AnnouncedHeartbeat, Announcement, CacheEvent, Heartbeat, ModelCopy, Stage,
+};
 use cornelhitch_types::view::{self, Change, State};
 
 use crate::command::Command;
@@ -36,8 +38,8 @@
     ///
     /// The heartbeat of an incarnation that is not registered yet is kept until its registration is
     /// applied.
-    pub(crate) fn on_presence(&mut self, presence: Presence, ctx: &mut Context) {
-        let Presence {
+    pub(crate) fn on_presence(&mut self, presence: AnnouncedHeartbeat, ctx: &mut Context) {
+        let AnnouncedHeartbeat {
             announcement,
             heartbeat,
         } = presence;
@@ -125,7 +127,7 @@
         };
         let before = worker.observed.clone();
         let known = state.fleet().get(target);
-        if known.is_some_and(|known| known.announcement.is_hosted()) {
+        if known.is_some_and(|known| known.announcement.takes_numbered_orders()) {
             if let Some(last_heartbeat) = &worker.last_heartbeat {
                 self.hosting.on_heartbeat(target, last_heartbeat, ctx.now);
             }
@@ -152,7 +154,7 @@
     ) {
         for old in before {
             if observed.iter().all(|it| it.replica != old.replica) {
-                self.feed.push(Change::ReplicaGone(old.replica), true);
+                self.feed.push(Change::ReplicaRemoved(old.replica), true);
             }
         }
         for replica in observed {
@@ -175,15 +177,15 @@
             return;
         };
         orders.expire_in_flight(ctx.now.saturating_sub(ctx.timing.order_timeout), ctx.now);
-        let holding = last_heartbeat
+        let copy = last_heartbeat
             .inventory
             .iter()
             .find(|it| is_copy_of(replica, it));
-        if let Some(holding) = holding {
+        if let Some(copy) = copy {
             orders.last_seen = Some(sequence);
             orders.reset_absence();
-            let holding = holding.clone();
-            self.on_replica_shown(replica, &holding, sequence, ctx);
+            let copy = copy.clone();
+            self.on_replica_shown(replica, &copy, sequence, ctx);
         } else {
             orders.count_absence(ctx.now);
             if orders.is_gone(replica, checks_fencing(replica, ctx), sequence) {
@@ -202,11 +204,11 @@
     fn on_replica_shown(
         &mut self,
         replica: &Replica,
-        holding: &Holding,
+        copy: &ModelCopy,
         sequence: u64,
         ctx: &mut Context,
     ) {
-        if holding.stage == Stage::Ready && replica.state == State::Loading {
+        if copy.stage == Stage::Ready && replica.state == State::Loading {
             let command = Command::Ready {
                 replica: replica.id,
                 sequence,
@@ -216,10 +218,10 @@
         let Some(orders) = self.replica_orders.get_mut(&replica.id) else {
             return;
         };
-        if orders.adapters != holding.adapters {
-            orders.adapters.clone_from(&holding.adapters);
+        if orders.adapters != copy.adapters {
+            orders.adapters.clone_from(&copy.adapters);
             self.adapters.retain(|adapter, _| {
-                adapter.replica != replica.id || !holding.adapters.contains(&adapter.name)
+                adapter.replica != replica.id || !copy.adapters.contains(&adapter.name)
             });
             self.planner_input.mark_replica(replica.id, &replica.target);
             self.feed.mark_replica(replica.id, true);
--- a/crates/control/src/hosting.rs
+++ b/crates/control/src/hosting.rs
@@ -16,8 +16,8 @@
 use cornelhitch_types::id::{Incarnation, ModelId, Name, TargetId, Time, Version};
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::order::{self, Order, Outcome};
-use cornelhitch_types::route::{Engine, Model, Table};
-use cornelhitch_types::target::{Holding, Inspection, Stage};
+use cornelhitch_types::route::{Model, RouteTable, WorkerCapacity};
+use cornelhitch_types::target::{Inspection, ModelCopy, Stage};
 use cornelhitch_types::view::{Change, State};
 
 use self::worker_orders::{InFlightOrder, REFUSED_BACKOFF, WorkerOrders, held};
@@ -102,16 +102,16 @@
     }
 
     /// Returns the adapters of a copy, and whether it takes requests.
-    pub(crate) fn copy_status(&self, target: &str, holding: &Holding) -> (Vec<Name>, State) {
+    pub(crate) fn copy_status(&self, target: &str, copy: &ModelCopy) -> (Vec<Name>, State) {
         let Some(worker_orders) = self.workers.get(target) else {
-            return (holding.adapters.clone(), State::Ready);
+            return (copy.adapters.clone(), State::Ready);
         };
-        let state = if worker_orders.unloads(&holding.model.model) {
+        let state = if worker_orders.unloads(&copy.model.model) {
             State::Retiring
         } else {
             State::Ready
         };
-        (worker_orders.adapters(holding, true), state)
+        (worker_orders.adapters(copy, true), state)
     }
 
     /// Returns the model that a worker loads from the weight store, and when it is due.
@@ -129,13 +129,13 @@
     }
 
     /// Returns the models that only the weight store holds, for an entry host without a view.
-    pub(crate) fn outlooks(&self) -> impl Iterator<Item = Change> {
+    pub(crate) fn cold_start_estimates(&self) -> impl Iterator<Item = Change> {
         let all = self.store_only.values().flatten();
-        all.map(|(model, load_time)| outlook_change(model, *load_time))
+        all.map(|(model, load_time)| cold_start_change(model, *load_time))
     }
 
     /// Returns the models of a service, cached for one version of the table.
-    fn models(&mut self, table: &Table, service: &Name, engine: &Engine) -> Models {
+    fn models(&mut self, table: &RouteTable, service: &Name, engine: &WorkerCapacity) -> Models {
         if self.models.0 != table.version {
             self.models = (table.version, BTreeMap::new());
         }
@@ -149,7 +149,7 @@
     }
 
     /// Returns whether the weight store's start rate allows another load.
-    fn store_open(&mut self, engine: &Engine, now: Time) -> bool {
+    fn store_open(&mut self, engine: &WorkerCapacity, now: Time) -> bool {
         let interval = engine.start_interval;
         self.store_load_starts
             .retain(|start| now < *start + interval);
@@ -220,7 +220,7 @@
             {
                 last_heartbeat
                     .inventory
-                    .retain(|holding| holding.stage != Stage::Ready);
+                    .retain(|copy| copy.stage != Stage::Ready);
                 last_heartbeat
                     .inventory
                     .extend(inspection.inventory.iter().cloned());
@@ -247,7 +247,7 @@
             .inventory
             .iter()
             .filter(|it| it.stage == Stage::Ready);
-        let models: Vec<Reference> = ready.map(|holding| holding.model.clone()).collect();
+        let models: Vec<Reference> = ready.map(|copy| copy.model.clone()).collect();
         if models != known.held {
             let command = Command::RecordHeld {
                 target: target.clone(),
@@ -268,7 +268,7 @@
         let pending_load = hosting.pending_load(target);
         if worker.observe(
             target,
-            |holding| hosting.copy_status(target, holding),
+            |copy| hosting.copy_status(target, copy),
             pending_load,
             now,
         ) {
@@ -297,9 +297,9 @@
     /// Sends the orders that are due to the workers of one service.
     fn plan_hosted_service(
         &mut self,
-        table: &Table,
+        table: &RouteTable,
         service: &Name,
-        engine: &Engine,
+        engine: &WorkerCapacity,
         totals: &BTreeMap<ModelId, Total>,
         ctx: &mut Context,
     ) {
@@ -357,11 +357,11 @@
             .keys()
             .filter(|model| !store_only.contains_key(*model))
         {
-            self.feed.push(outlook_change(model, Time::ZERO), true);
+            self.feed.push(cold_start_change(model, Time::ZERO), true);
         }
         for (model, load_time) in &store_only {
             if known.get(model) != Some(load_time) {
-                self.feed.push(outlook_change(model, *load_time), true);
+                self.feed.push(cold_start_change(model, *load_time), true);
             }
         }
         *known = store_only;
@@ -492,9 +492,9 @@
 
 /// Builds the change that announces how long a load takes where no target has the model on local
 /// storage; zero where one has.
-fn outlook_change(model: &ModelId, load_time: Time) -> Change {
+fn cold_start_change(model: &ModelId, load_time: Time) -> Change {
     let ms = u32::try_from(load_time.as_millis()).unwrap_or(u32::MAX);
-    Change::Outlook(model.clone(), ms)
+    Change::ColdStartEstimate(model.clone(), ms)
 }
 
 /// Returns the reference to a model with an adapter.
--- a/crates/control/src/hosting/worker_orders.rs
+++ b/crates/control/src/hosting/worker_orders.rs
@@ -6,7 +6,7 @@
 use cornelhitch_planner::hosting::{Action, HeldModel};
 use cornelhitch_types::id::{Incarnation, ModelId, Name, Time};
 use cornelhitch_types::order::{Order, Outcome, Reply};
-use cornelhitch_types::target::{Holding, Stage};
+use cornelhitch_types::target::{ModelCopy, Stage};
 
 use crate::workers::LastHeartbeat;
 
@@ -146,12 +146,9 @@
 
     /// Returns the adapters of a copy according to heartbeats and recent orders; `accepted_only` excludes
     /// orders that the worker has not accepted yet.
-    pub(super) fn adapters(&self, holding: &Holding, accepted_only: bool) -> Vec<Name> {
-        let mut adapters = holding.adapters.clone();
-        let ordered = self
-            .recent
-            .iter()
-            .filter(|it| it.model == holding.model.model);
+    pub(super) fn adapters(&self, copy: &ModelCopy, accepted_only: bool) -> Vec<Name> {
+        let mut adapters = copy.adapters.clone();
+        let ordered = self.recent.iter().filter(|it| it.model == copy.model.model);
         let ordered = ordered.filter(|it| it.accepted || !accepted_only);
         for item in ordered {
             let Some(adapter) = &item.adapter else {
@@ -200,12 +197,12 @@
     }
 
     /// Replaces the recent orders by the inventory that the worker reported.
-    pub(super) fn replace_recent(&mut self, inventory: &[Holding], at: Time) {
+    pub(super) fn replace_recent(&mut self, inventory: &[ModelCopy], at: Time) {
         self.recent.clear();
-        for holding in inventory {
-            let model = &holding.model.model;
+        for copy in inventory {
+            let model = &copy.model.model;
             let whole = std::iter::once(None);
-            let adapters = holding.adapters.iter().cloned().map(Some);
+            let adapters = copy.adapters.iter().cloned().map(Some);
             let items = whole.chain(adapters).map(|adapter| RecentOrder {
                 model: model.clone(),
                 adapter,
@@ -280,10 +277,10 @@
         .inventory
         .iter()
         .filter(|it| it.stage == Stage::Ready);
-    let held = ready.map(|holding| HeldModel {
-        model: holding.model.model.clone(),
-        adapters: orders.adapters(holding, false),
-        unloading: orders.unloads(&holding.model.model),
+    let held = ready.map(|copy| HeldModel {
+        model: copy.model.model.clone(),
+        adapters: orders.adapters(copy, false),
+        unloading: orders.unloads(&copy.model.model),
     });
     // A model that no heartbeat shows takes memory and gets no requests.
     let not_shown = orders.not_shown(last_heartbeat).into_iter();
@@ -308,15 +305,15 @@
 /// Returns, for each model, the fastest storage tier below accelerator memory that holds a copy.
 fn nearest_copies(last_heartbeat: &LastHeartbeat) -> BTreeMap<ModelId, Stage> {
     let mut nearest = BTreeMap::new();
-    for holding in last_heartbeat
+    for copy in last_heartbeat
         .inventory
         .iter()
         .filter(|it| it.stage < Stage::Loading)
     {
         let stage = nearest
-            .entry(holding.model.model.clone())
-            .or_insert(holding.stage);
-        *stage = holding.stage.max(*stage);
+            .entry(copy.model.model.clone())
+            .or_insert(copy.stage);
+        *stage = copy.stage.max(*stage);
     }
     nearest
 }
--- a/crates/control/src/input.rs
+++ b/crates/control/src/input.rs
@@ -1,10 +1,10 @@
 //! The events that the leader handles.
 
-use cornelhitch_types::demand::Report;
+use cornelhitch_types::demand::DemandReport;
 use cornelhitch_types::entry;
 use cornelhitch_types::id::{HostId, Incarnation, TargetId, Term};
 use cornelhitch_types::order::{Order, Outcome};
-use cornelhitch_types::target::{Announcement, Heartbeat, Inspection, Presence};
+use cornelhitch_types::target::{AnnouncedHeartbeat, Announcement, Heartbeat, Inspection};
 
 use crate::command::{Command, Reply};
 
@@ -30,9 +30,9 @@
     /// A target reports its inventory and load.
     Heartbeat(Heartbeat),
     /// A target announces itself and reports its inventory and load.
-    Presence(Box<Presence>),
+    Presence(Box<AnnouncedHeartbeat>),
     /// An entry host reports its waiting and running requests.
-    Report(Report),
+    Report(DemandReport),
     /// An entry host renews its lease, and names the settings it acts on.
     Renewal(entry::Host),
     /// An order has an outcome.
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -168,7 +168,7 @@
             return;
         }
         let known = ctx.state.fleet().get(&order.target);
-        if known.is_some_and(|known| known.announcement.is_hosted()) {
+        if known.is_some_and(|known| known.announcement.takes_numbered_orders()) {
             return self.on_hosted_order_done(order, outcome, ctx);
         }
         match &order.action {
--- a/crates/control/src/term_state.rs
+++ b/crates/control/src/term_state.rs
@@ -4,7 +4,7 @@
 
 use cornelhitch_planner::Planner;
 use cornelhitch_types::id::{ModelId, Name, ReplicaId, TargetId, Term, Time};
-use cornelhitch_types::target::{Heartbeat, Holding};
+use cornelhitch_types::target::{Heartbeat, ModelCopy};
 use cornelhitch_types::view::{self, Change};
 
 use crate::command::{Command, Reply};
@@ -102,11 +102,11 @@
                 worker.leave_state = LeaveState::Final;
             }
             let target = announcement.target.clone();
-            if announcement.dated {
+            if announcement.incarnation_is_start_time {
                 worker.restore_held(&known.held);
             }
-            if announcement.is_hosted() {
-                let shown = |holding: &Holding| (holding.adapters.clone(), view::State::Ready);
+            if announcement.takes_numbered_orders() {
+                let shown = |copy: &ModelCopy| (copy.adapters.clone(), view::State::Ready);
                 worker.observe(&target, shown, None, ctx.now);
                 term_state
                     .hosting
@@ -278,7 +278,7 @@
             let worker = Worker::new(incarnation, ctx.now);
             self.workers.insert(target.clone(), worker);
         }
-        if known.announcement.is_hosted() && answer == fleet::Answer::Registered {
+        if known.announcement.takes_numbered_orders() && answer == fleet::Answer::Registered {
             self.hosting.register(target, incarnation, true);
         }
         match answer {
@@ -313,7 +313,8 @@
         let worker = self.workers.get_mut(target);
         let observed = worker.map(|worker| std::mem::take(&mut worker.observed));
         for replica in observed.into_iter().flatten() {
-            self.feed.push(Change::ReplicaGone(replica.replica), true);
+            self.feed
+                .push(Change::ReplicaRemoved(replica.replica), true);
         }
     }
 
--- a/crates/control/src/view_builder.rs
+++ b/crates/control/src/view_builder.rs
@@ -110,7 +110,7 @@
     /// Returns the change that publishes a strike count; expired strikes count 0.
     pub(crate) fn strike(&self, count: Count) -> Change {
         let over = count.forgotten <= self.now;
-        Change::Strike(count.fingerprint, if over { 0 } else { count.lost })
+        Change::StrikeCount(count.fingerprint, if over { 0 } else { count.lost })
     }
 
     /// Returns the full view.
@@ -125,7 +125,7 @@
         let mut changes: Vec<Change> = self.settings().into_iter().collect();
         changes.extend(self.table());
         changes.extend(targets.map(Change::Target));
-        changes.extend(self.hosting.outlooks());
+        changes.extend(self.hosting.cold_start_estimates());
         changes.extend(replicas.chain(observed).map(Change::Replica));
         changes.extend(self.leases.iter().filter_map(|lease| self.entry(lease)));
         changes.extend(strikes);
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -5,7 +5,7 @@
 use cornelhitch_settings::fleet::Fleet as Settings;
 use cornelhitch_types::id::{Incarnation, ModelId, Name, ReplicaId, TargetId, Time};
 use cornelhitch_types::model::Reference;
-use cornelhitch_types::target::{Heartbeat, Holding, Load, Stage};
+use cornelhitch_types::target::{Heartbeat, Load, ModelCopy, Stage};
 use cornelhitch_types::view;
 
 use crate::mutation::{self, Mutation};
@@ -17,7 +17,7 @@
     /// Its sequence number.
     pub(crate) sequence: u64,
     /// The copies that the target holds.
-    pub(crate) inventory: Vec<Holding>,
+    pub(crate) inventory: Vec<ModelCopy>,
     /// The load of the target.
     pub(crate) load: Load,
 }
@@ -129,7 +129,7 @@
 
     /// Restores what the worker held under an earlier leader, until its first heartbeat.
     pub(crate) fn restore_held(&mut self, held: &[Reference]) {
-        let holding = |model: &Reference| Holding {
+        let copy = |model: &Reference| ModelCopy {
             model: model.clone(),
             replica: None,
             stage: Stage::Ready,
@@ -138,7 +138,7 @@
         };
         self.last_heartbeat = Some(LastHeartbeat {
             sequence: 0,
-            inventory: held.iter().map(holding).collect(),
+            inventory: held.iter().map(copy).collect(),
             load: Load::default(),
         });
     }
@@ -233,13 +233,12 @@
         };
         let mut orphans = Vec::new();
         let mut observed = Vec::new();
-        for holding in unmatched_copies(&last_heartbeat.inventory, replicas) {
-            let model = settings.model(&holding.model.model);
-            if model.is_some_and(|model| !settings.managed(model)) && holding.stage == Stage::Ready
-            {
-                observed.push(observed_replica(target, self.incarnation, holding));
+        for copy in unmatched_copies(&last_heartbeat.inventory, replicas) {
+            let model = settings.model(&copy.model.model);
+            if model.is_some_and(|model| !settings.managed(model)) && copy.stage == Stage::Ready {
+                observed.push(observed_replica(target, self.incarnation, copy));
             }
-            orphans.push(self.orphan(holding, last_heartbeat.sequence, now));
+            orphans.push(self.orphan(copy, last_heartbeat.sequence, now));
         }
         let changed = observed != self.observed;
         self.orphans = orphans;
@@ -255,7 +254,7 @@
     pub(crate) fn observe(
         &mut self,
         target: &TargetId,
-        shown: impl Fn(&Holding) -> (Vec<Name>, view::State),
+        shown: impl Fn(&ModelCopy) -> (Vec<Name>, view::State),
         pending_load: Option<PendingLoad>,
         now: Time,
     ) -> bool {
@@ -267,12 +266,12 @@
             .iter()
             .filter(|it| it.stage == Stage::Ready);
         let mut observed: Vec<_> = ready
-            .map(|holding| {
-                let (adapters, state) = shown(holding);
+            .map(|copy| {
+                let (adapters, state) = shown(copy);
                 view::Replica {
                     adapters,
                     state,
-                    ..observed_replica(target, self.incarnation, holding)
+                    ..observed_replica(target, self.incarnation, copy)
                 }
             })
             .collect();
@@ -309,14 +308,14 @@
     }
 
     /// Returns an orphan, with what is known of it from earlier heartbeats.
-    fn orphan(&self, holding: &Holding, sequence: u64, now: Time) -> Orphan {
-        let same = |it: &&Orphan| it.model == holding.model && it.replica == holding.replica;
+    fn orphan(&self, copy: &ModelCopy, sequence: u64, now: Time) -> Orphan {
+        let same = |it: &&Orphan| it.model == copy.model && it.replica == copy.replica;
         let old = self.orphans.iter().find(same);
         Orphan {
-            model: holding.model.clone(),
-            replica: holding.replica,
-            bytes: holding.bytes,
-            ready: holding.stage == Stage::Ready,
+            model: copy.model.clone(),
+            replica: copy.replica,
+            bytes: copy.bytes,
+            ready: copy.stage == Stage::Ready,
             since: old.map_or(now, |old| old.since),
             first: old.map_or(sequence, |old| old.first),
             refused: old.is_some_and(|old| old.refused),
@@ -328,27 +327,27 @@
 /// Returns whether a copy belongs to a replica.
 ///
 /// Workers that report replica ids are matched by id, others by model and version.
-pub(crate) fn is_copy_of(replica: &Replica, holding: &Holding) -> bool {
-    if let Some(id) = holding.replica {
+pub(crate) fn is_copy_of(replica: &Replica, copy: &ModelCopy) -> bool {
+    if let Some(id) = copy.replica {
         return id == replica.id;
     }
-    let version = holding.model.version.as_ref();
+    let version = copy.model.version.as_ref();
     let version = version.zip(replica.version.as_ref());
-    holding.stage >= Stage::Loading
-        && holding.model.model == replica.model
+    copy.stage >= Stage::Loading
+        && copy.model.model == replica.model
         && version.is_none_or(|(held, decided)| held == decided)
 }
 
 /// Returns the copies in accelerator memory that belong to no replica; each replica accounts for
 /// one.
-fn unmatched_copies<'a>(inventory: &'a [Holding], replicas: &[&Replica]) -> Vec<&'a Holding> {
+fn unmatched_copies<'a>(inventory: &'a [ModelCopy], replicas: &[&Replica]) -> Vec<&'a ModelCopy> {
     let mut matched = Vec::new();
     let mut left = Vec::new();
-    for holding in inventory.iter().filter(|it| it.stage >= Stage::Loading) {
+    for copy in inventory.iter().filter(|it| it.stage >= Stage::Loading) {
         let mut free = replicas.iter().filter(|it| !matched.contains(&it.id));
-        match free.find(|replica| is_copy_of(replica, holding)) {
+        match free.find(|replica| is_copy_of(replica, copy)) {
             Some(replica) => matched.push(replica.id),
-            None => left.push(holding),
+            None => left.push(copy),
         }
     }
     left
@@ -358,22 +357,22 @@
 fn observed_replica(
     target: &TargetId,
     incarnation: Incarnation,
-    holding: &Holding,
+    copy: &ModelCopy,
 ) -> view::Replica {
     let mut hasher = blake3::Hasher::new();
     hasher.update(target.as_bytes());
     hasher.update(&incarnation.to_le_bytes());
-    hasher.update(holding.model.to_string().as_bytes());
+    hasher.update(copy.model.to_string().as_bytes());
     let mut id = [0; 8];
     id.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
     view::Replica {
         replica: ReplicaId::from_le_bytes(id) | OBSERVED_ID_BIT,
-        model: holding.model.model.clone(),
-        version: holding.model.version.clone(),
+        model: copy.model.model.clone(),
+        version: copy.model.version.clone(),
         target: target.clone(),
         state: view::State::Ready,
         ready_in_ms: 0,
-        adapters: holding.adapters.clone(),
+        adapters: copy.adapters.clone(),
     }
 }
 
@@ -384,7 +383,7 @@
     pending_load: &PendingLoad,
     now: Time,
 ) -> view::Replica {
-    let holding = Holding {
+    let copy = ModelCopy {
         model: Reference::base(pending_load.model.clone()),
         replica: None,
         stage: Stage::Loading,
@@ -394,7 +393,7 @@
     view::Replica {
         state: view::State::Loading,
         ready_in_ms: remaining_ms(pending_load.due, now),
-        ..observed_replica(target, incarnation, &holding)
+        ..observed_replica(target, incarnation, &copy)
     }
 }
 
--- a/crates/control/tests/common/fake.rs
+++ b/crates/control/tests/common/fake.rs
@@ -3,7 +3,7 @@
 use cornelhitch_types::id::ReplicaId;
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::order::{Action, Order, Reply};
-use cornelhitch_types::target::{Announcement, Heartbeat, Holding, Stage};
+use cornelhitch_types::target::{Announcement, Heartbeat, ModelCopy, Stage};
 
 /// How a kind of worker handles orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -76,7 +76,7 @@
     /// Returns a heartbeat, which the worker also sends at each change of its inventory.
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
-        let inventory = self.held.iter().map(|held| self.holding(held)).collect();
+        let inventory = self.held.iter().map(|held| self.copy(held)).collect();
         let name = &self.announcement.target;
         let incarnation = self.announcement.incarnation;
         Heartbeat {
@@ -85,8 +85,8 @@
         }
     }
 
-    fn holding(&self, held: &Held) -> Holding {
-        Holding {
+    fn copy(&self, held: &Held) -> ModelCopy {
+        ModelCopy {
             model: held.model.clone(),
             replica: held.replica.filter(|_| self.capabilities.ids),
             stage: if held.seconds_left > 0 {
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -13,12 +13,12 @@
 use cornelhitch_planner::Planner;
 use cornelhitch_planner::decision::{self, Decision, Reason};
 use cornelhitch_planner::fleet_state::{FleetState, Worker};
-use cornelhitch_types::demand::{Demand, Report};
+use cornelhitch_types::demand::{Demand, DemandReport};
 use cornelhitch_types::entry;
 use cornelhitch_types::id::{HostId, ReplicaId, Time};
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::order::Order;
-use cornelhitch_types::target::{Announcement, Heartbeat, Holding, Kind, Load, Stage};
+use cornelhitch_types::target::{Announcement, Heartbeat, Kind, Load, ModelCopy, Stage};
 use cornelhitch_types::view::{Change, State as ReplicaState};
 
 /// Two models of 40 bytes, one of 50, and one of 10 in an unmanaged group.
@@ -48,7 +48,7 @@
         fencing,
         services: Vec::new(),
         slots: None,
-        dated: false,
+        incarnation_is_start_time: false,
     }
 }
 
@@ -56,7 +56,7 @@
     name: &str,
     incarnation: u64,
     sequence: u64,
-    inventory: Vec<Holding>,
+    inventory: Vec<ModelCopy>,
 ) -> Heartbeat {
     Heartbeat {
         target: name.into(),
@@ -70,8 +70,8 @@
     }
 }
 
-pub fn holding(model: &str, replica: Option<ReplicaId>, stage: Stage, bytes: u64) -> Holding {
-    Holding {
+pub fn model_copy(model: &str, replica: Option<ReplicaId>, stage: Stage, bytes: u64) -> ModelCopy {
+    ModelCopy {
         model: Reference::base(model),
         replica,
         stage,
@@ -81,18 +81,18 @@
 }
 
 /// Builds a report from rows of model, waiting and running requests.
-pub fn report(host: HostId, sequence: u64, rows: &[(&str, u32, u32)]) -> Report {
+pub fn report(host: HostId, sequence: u64, rows: &[(&str, u32, u32)]) -> DemandReport {
     let row = |(model, waiting, running): &(&str, u32, u32)| Demand {
         model: (*model).into(),
         version: None,
         waiting: *waiting,
         running: *running,
-        slack: Duration::from_secs(10),
+        time_to_deadline: Duration::from_secs(10),
         weight: 1,
         arrivals: u64::from(*waiting),
         adapters: Vec::new(),
     };
-    Report {
+    DemandReport {
         host,
         incarnation: 1,
         sequence,
--- a/crates/control/tests/end_to_end.rs
+++ b/crates/control/tests/end_to_end.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Bench, MODELS, heartbeat, holding, report, worker};
+use common::{Bench, MODELS, heartbeat, model_copy, report, worker};
 use cornelhitch_control::prelude::*;
 use cornelhitch_control::{claims, current_settings};
 use cornelhitch_types::order::{Action, Outcome, Reply as Answer};
@@ -26,7 +26,7 @@
         order: orders[0].clone(),
         outcome: accepted,
     });
-    let held = holding("report", Some(orders[0].replica), Stage::Ready, 40);
+    let held = model_copy("report", Some(orders[0].replica), Stage::Ready, 40);
     bench.handle(Input::Heartbeat(heartbeat("w1", 1, 2, vec![held])));
     bench.advance(1);
     let changes = bench.changes();
--- a/crates/control/tests/hosting/main.rs
+++ b/crates/control/tests/hosting/main.rs
@@ -10,7 +10,7 @@
 
 use common::Bench;
 use cornelhitch_control::prelude::*;
-use cornelhitch_types::demand::{Demand, Report};
+use cornelhitch_types::demand::{Demand, DemandReport};
 use cornelhitch_types::order::{Action, Order, Outcome};
 use cornelhitch_types::route::model_id;
 use cornelhitch_types::view::{Change, State as ReplicaState};
@@ -26,12 +26,12 @@
         version: None,
         waiting: *waiting,
         running: 0,
-        slack: Duration::from_secs(10),
+        time_to_deadline: Duration::from_secs(10),
         weight: 1,
         arrivals: u64::from(*waiting) * sequence,
         adapters: adapters.iter().map(|it| (*it).into()).collect(),
     };
-    Input::Report(Report {
+    Input::Report(DemandReport {
         host: 1,
         incarnation: 1,
         sequence,
@@ -371,13 +371,13 @@
 }
 
 /// Returns the published load times of models that no target has on local storage.
-fn outlooks(bench: &mut Bench) -> BTreeMap<String, u32> {
+fn cold_start_estimates(bench: &mut Bench) -> BTreeMap<String, u32> {
     let changes = bench.changes().into_iter();
-    let outlooks = changes.filter_map(|change| match change {
-        Change::Outlook(model, ms) => Some((model.to_string(), ms)),
+    let cold_start_estimates = changes.filter_map(|change| match change {
+        Change::ColdStartEstimate(model, ms) => Some((model.to_string(), ms)),
         _ => None,
     });
-    outlooks.collect()
+    cold_start_estimates.collect()
 }
 
 /// Requests for models that only the weight store held waited until their deadline (run `scale-2`).
@@ -390,7 +390,7 @@
     worker.held.insert(id("c"), BTreeSet::new());
     bench.handle(Input::Presence(Box::new(worker.presence(false))));
     step(&mut bench, Duration::from_millis(300));
-    let shown = outlooks(&mut bench);
+    let shown = cold_start_estimates(&mut bench);
     let ms = u32::try_from(FROM_STORE.as_millis()).expect("a short time");
     let store_only: Vec<String> = ["d", "e", "f", "g"].map(id).into();
     assert_eq!(shown.keys().cloned().collect::<Vec<_>>(), store_only);
@@ -399,7 +399,7 @@
     worker.disk.insert(id("d"));
     bench.handle(Input::Presence(Box::new(worker.presence(false))));
     step(&mut bench, Duration::from_millis(300));
-    assert_eq!(outlooks(&mut bench).get(&id("d")), Some(&0));
+    assert_eq!(cold_start_estimates(&mut bench).get(&id("d")), Some(&0));
 }
 
 /// Entry hosts refuse requests that cannot wait for such a load.
--- a/crates/control/tests/hosting/schedule.rs
+++ b/crates/control/tests/hosting/schedule.rs
@@ -6,7 +6,7 @@
 use cornelhitch_control::prelude::*;
 use cornelhitch_types::id::{Name, Time};
 use cornelhitch_types::order::{Order, Outcome};
-use cornelhitch_types::target::{Inspection, Presence};
+use cornelhitch_types::target::{AnnouncedHeartbeat, Inspection};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -19,7 +19,7 @@
 enum Message {
     Order(Order),
     Outcome(Order, Outcome),
-    Heartbeat(Box<Presence>),
+    Heartbeat(Box<AnnouncedHeartbeat>),
     Inspect(Name, u64),
     Answer(Name, u64, Inspection),
 }
--- a/crates/control/tests/hosting/worker.rs
+++ b/crates/control/tests/hosting/worker.rs
@@ -9,9 +9,9 @@
 use cornelhitch_types::id::{Name, Time};
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::order::{Action, Order, Outcome, Reply as Answer};
-use cornelhitch_types::route::{Engine, Model, Service, Table};
+use cornelhitch_types::route::{Model, RouteTable, Service, WorkerCapacity};
 use cornelhitch_types::target::{
-    Announcement, Heartbeat, Holding, Inspection, Kind, Load, Presence, Stage,
+    AnnouncedHeartbeat, Announcement, Heartbeat, Inspection, Kind, Load, ModelCopy, Stage,
 };
 
 /// The models, more than two workers can hold.
@@ -35,11 +35,11 @@
         adapters: (1..=9).map(|at| format!("a{at}").into()).collect(),
         adapter_bytes: 1,
     };
-    let engine = Engine {
+    let engine = WorkerCapacity {
         slots: 64,
-        tokens: 250_000,
+        kv_cache_tokens: 250_000,
         memory: MAX_MODELS * 100 + u64::from(MAX_ADAPTERS),
-        host: 0,
+        host_memory: 0,
         disk: 0,
         adapters: MAX_ADAPTERS,
         start_interval: Duration::from_millis(500),
@@ -50,10 +50,10 @@
         connections: 100,
         engine: Some(engine),
     };
-    let table = Table {
+    let table = RouteTable {
         version: 1,
         services: vec![service],
-        ..Table::default()
+        ..RouteTable::default()
     };
     SubmittedTable {
         table: Arc::new(table),
@@ -154,8 +154,8 @@
         true
     }
 
-    pub fn inventory(&self) -> Vec<Holding> {
-        let held = self.held.iter().map(|(model, adapters)| Holding {
+    pub fn inventory(&self) -> Vec<ModelCopy> {
+        let held = self.held.iter().map(|(model, adapters)| ModelCopy {
             model: Reference::base(model.as_str()),
             replica: None,
             stage: Stage::Ready,
@@ -165,16 +165,16 @@
         held.collect()
     }
 
-    pub fn presence(&mut self, leaving: bool) -> Presence {
+    pub fn presence(&mut self, leaving: bool) -> AnnouncedHeartbeat {
         self.heartbeats += 1;
-        let disk = self.disk.iter().map(|model| Holding {
+        let disk = self.disk.iter().map(|model| ModelCopy {
             model: Reference::base(model.as_str()),
             replica: None,
             stage: Stage::Disk,
             bytes: 0,
             adapters: Vec::new(),
         });
-        Presence {
+        AnnouncedHeartbeat {
             announcement: Announcement {
                 target: self.name.clone(),
                 incarnation: self.incarnation,
@@ -187,7 +187,7 @@
                 fencing: true,
                 services: vec!["s".into()],
                 slots: Some(64),
-                dated: true,
+                incarnation_is_start_time: true,
             },
             heartbeat: Heartbeat {
                 target: self.name.clone(),
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use common::{Bench, MODELS, entry_host, heartbeat, holding, report, worker};
+use common::{Bench, MODELS, entry_host, heartbeat, model_copy, report, worker};
 use cornelhitch_control::claims::Outcome;
 use cornelhitch_control::prelude::*;
 use cornelhitch_control::strikes::Strike;
 use cornelhitch_control::{claims, current_settings};
 use cornelhitch_types::order::Action;
-use cornelhitch_types::target::{Heartbeat, Holding, Load, Stage};
+use cornelhitch_types::target::{Heartbeat, Load, ModelCopy, Stage};
 use cornelhitch_types::view::{Change, View};
 
 /// A leader with one worker that has sent heartbeats.
@@ -22,7 +22,7 @@
 }
 
 /// Lets seconds pass, each with a heartbeat that shows copies and running requests.
-fn run_seconds(bench: &mut Bench, first: u64, seconds: u64, held: &[Holding], running: u32) {
+fn run_seconds(bench: &mut Bench, first: u64, seconds: u64, held: &[ModelCopy], running: u32) {
     for sequence in first..first + seconds {
         let load = Load {
             running,
@@ -85,7 +85,7 @@
 #[test]
 fn unmanaged_copy_is_published_and_adopted_without_an_order() {
     let mut bench = bench();
-    let held = [holding("script", None, Stage::Ready, 10)];
+    let held = [model_copy("script", None, Stage::Ready, 10)];
     run_seconds(&mut bench, 3, 5, &held, 0);
     let shown = |it: &Change| matches!(it, Change::Replica(it) if &*it.model == "script");
     assert!(bench.changes().iter().any(shown));
@@ -119,7 +119,7 @@
     bench.handle(Input::Report(report(2, 1, &[("report", 1, 0)])));
     bench.advance(1);
     let load = bench.orders().pop().expect("a load");
-    let held = [holding("report", Some(load.replica), Stage::Ready, 40)];
+    let held = [model_copy("report", Some(load.replica), Stage::Ready, 40)];
     run_seconds(&mut bench, 4, 3, &held, 2);
     bench.commit(&Command::Retire {
         replica: load.replica,
@@ -186,12 +186,12 @@
         target: "w1".into(),
         incarnation: 1,
     }));
-    assert!(bench.changes().contains(&Change::Strike(7, 1)));
+    assert!(bench.changes().contains(&Change::StrikeCount(7, 1)));
     bench.elect();
     bench.advance(3_000);
-    assert!(bench.changes().contains(&Change::Strike(7, 1)));
+    assert!(bench.changes().contains(&Change::StrikeCount(7, 1)));
     bench.advance(700);
-    assert!(bench.changes().contains(&Change::Strike(7, 0)));
+    assert!(bench.changes().contains(&Change::StrikeCount(7, 0)));
 }
 
 #[test]
--- a/crates/entry/examples/policy/bench.rs
+++ b/crates/entry/examples/policy/bench.rs
@@ -354,7 +354,7 @@
                 instances.insert((target, incarnation));
                 let count = u32::try_from(instances.len()).unwrap_or_default();
                 self.publish(
-                    vec![Change::Strike(fingerprint, count)],
+                    vec![Change::StrikeCount(fingerprint, count)],
                     Duration::from_millis(20),
                 );
             }
--- a/crates/entry/src/catalogue.rs
+++ b/crates/entry/src/catalogue.rs
@@ -6,7 +6,7 @@
 
 use cornelhitch_settings::fleet::{Class, Fleet, Region, Rules};
 use cornelhitch_types::id::{ClassId, ModelId, Name, RegionId, Version};
-use cornelhitch_types::route::{self, Table};
+use cornelhitch_types::route::{self, RouteTable};
 
 use crate::event::RequestedResource;
 
@@ -52,7 +52,7 @@
     /// Services by name.
     pub services: BTreeMap<Name, Service>,
     /// The route table, if one has arrived.
-    pub table: Option<Arc<Table>>,
+    pub table: Option<Arc<RouteTable>>,
 }
 
 impl Catalogue {
@@ -94,7 +94,7 @@
 
     /// Applies a route table, unless a newer one is known. Its models are added to those of the
     /// settings; its services are looked up through their routes.
-    pub fn adopt_table(&mut self, table: Arc<Table>) {
+    pub fn adopt_table(&mut self, table: Arc<RouteTable>) {
         if self
             .table
             .as_ref()
@@ -209,7 +209,7 @@
 }
 
 /// Iterates over the models of a route table's engines, with their ids.
-fn routed_models(table: &Table) -> impl Iterator<Item = (ModelId, &route::Model)> {
+fn routed_models(table: &RouteTable) -> impl Iterator<Item = (ModelId, &route::Model)> {
     table.engines().flat_map(|(service, engine)| {
         let models = engine.models.iter();
         models.map(|model| (model.id(&service.name), model))
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -7,7 +7,7 @@
 use cornelhitch_types::demand;
 use cornelhitch_types::id::{Incarnation, ModelId, Name, TargetId, Time};
 use cornelhitch_types::refusal::Reason;
-use cornelhitch_types::route::Table;
+use cornelhitch_types::route::RouteTable;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -218,7 +218,7 @@
 
     /// Returns the current demand by model and version. Each call increments the report's sequence
     /// number.
-    pub fn demand_report(&mut self) -> demand::Report {
+    pub fn demand_report(&mut self) -> demand::DemandReport {
         self.report_count += 1;
         let mut rows: BTreeMap<(ModelId, Option<Name>), demand::Demand> = BTreeMap::new();
         let recent = self
@@ -237,7 +237,7 @@
                 .or_insert_with(|| self.demand_row(model, version.clone()));
             count_call(row, call, self.now);
         }
-        demand::Report {
+        demand::DemandReport {
             host: self.config.host,
             incarnation: self.config.incarnation,
             sequence: self.report_count,
@@ -286,7 +286,7 @@
 
     /// Returns the route table in force on this host, or `None` before the first one arrives.
     #[must_use]
-    pub fn table(&self) -> Option<&Arc<Table>> {
+    pub fn table(&self) -> Option<&Arc<RouteTable>> {
         self.catalogue.table.as_ref()
     }
 
@@ -348,7 +348,7 @@
             version,
             waiting: 0,
             running: 0,
-            slack: IDLE_SLACK,
+            time_to_deadline: IDLE_SLACK,
             weight: 0,
             adapters: Vec::new(),
         }
@@ -462,7 +462,7 @@
     match call.stage {
         Stage::Waiting => {
             row.waiting += 1;
-            row.slack = row.slack.min(call.deadline.saturating_sub(now));
+            row.time_to_deadline = row.time_to_deadline.min(call.deadline.saturating_sub(now));
             row.weight = row.weight.max(call.weight);
             if let crate::event::RequestedResource::Model(reference) = &call.request.what
                 && let Some(adapter) = &reference.adapter
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -229,7 +229,7 @@
             ready_at: loading.map(|replica| replica.ready_at).min(),
             load_time: known
                 .map_or(Time::ZERO, |known| known.load)
-                .max(self.fleet_view.load_outlook(model)),
+                .max(self.fleet_view.cold_start_estimate(model)),
         }
     }
 
--- a/crates/entry/src/fleet_view.rs
+++ b/crates/entry/src/fleet_view.rs
@@ -55,7 +55,7 @@
     /// All known entry hosts.
     pub hosts: BTreeMap<HostId, entry::Host>,
     /// Load time of models that no target has stored nearby.
-    outlooks: BTreeMap<ModelId, Time>,
+    cold_start_estimates: BTreeMap<ModelId, Time>,
     /// Replicas by model.
     models: BTreeMap<ModelId, BTreeSet<ReplicaId>>,
     /// Targets by service.
@@ -106,18 +106,22 @@
     }
 
     /// Sets how long loading a model takes; 0 if a target has it stored nearby.
-    pub fn set_load_outlook(&mut self, model: ModelId, ms: u32) {
+    pub fn set_cold_start_estimate(&mut self, model: ModelId, ms: u32) {
         if ms == 0 {
-            self.outlooks.remove(&model);
+            self.cold_start_estimates.remove(&model);
         } else {
-            self.outlooks.insert(model, Time::from_millis(ms.into()));
+            self.cold_start_estimates
+                .insert(model, Time::from_millis(ms.into()));
         }
     }
 
     /// Returns the minimum load time of a model that no target has stored nearby, else zero.
     #[must_use]
-    pub fn load_outlook(&self, model: &str) -> Time {
-        self.outlooks.get(model).copied().unwrap_or_default()
+    pub fn cold_start_estimate(&self, model: &str) -> Time {
+        self.cold_start_estimates
+            .get(model)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Inserts or replaces a target. Returns whether its incarnation differs from the known one.
--- a/crates/entry/src/tests/fake_control.rs
+++ b/crates/entry/src/tests/fake_control.rs
@@ -171,7 +171,7 @@
 
 /// Returns the number of strikes, as control publishes it.
 fn strikes(fingerprint: u64, lives: &BTreeSet<TargetInstance>) -> Change {
-    Change::Strike(fingerprint, u32::try_from(lives.len()).unwrap_or(u32::MAX))
+    Change::StrikeCount(fingerprint, u32::try_from(lives.len()).unwrap_or(u32::MAX))
 }
 
 /// Returns an entry host, as control publishes it.
--- a/crates/entry/src/updates.rs
+++ b/crates/entry/src/updates.rs
@@ -48,29 +48,31 @@
     fn apply_change(&mut self, change: Change) {
         match change {
             Change::Replica(replica) => self.fleet_view.insert_replica(replica, self.now),
-            Change::ReplicaGone(id) => self.on_replica_gone(id),
+            Change::ReplicaRemoved(id) => self.on_replica_removed(id),
             Change::Target(target) => self.on_target(target),
-            Change::TargetGone(target) => self.on_target_gone(&target),
+            Change::TargetRemoved(target) => self.on_target_removed(&target),
             Change::Entry(host) => {
                 self.fleet_view.hosts.insert(host.host, host);
             }
-            Change::EntryGone(host) => {
+            Change::EntryRemoved(host) => {
                 self.fleet_view.hosts.remove(&host);
             }
             Change::Cache(target, events) => self.caches.apply(&target, events),
-            Change::Strike(fingerprint, strikes) => {
+            Change::StrikeCount(fingerprint, strikes) => {
                 self.quarantine
                     .set_published(fingerprint, strikes, self.now);
                 self.refuse_quarantined(fingerprint);
             }
             Change::Settings(version, text) => self.apply_settings(version, &text),
             Change::Table(table) => self.catalogue.adopt_table(table),
-            Change::Outlook(model, ms) => self.fleet_view.set_load_outlook(model, ms),
+            Change::ColdStartEstimate(model, ms) => {
+                self.fleet_view.set_cold_start_estimate(model, ms);
+            }
         }
     }
 
     /// Removes a replica with its share.
-    fn on_replica_gone(&mut self, id: u64) {
+    fn on_replica_removed(&mut self, id: u64) {
         if let Some(known) = self.fleet_view.replicas.get(&id) {
             let target = known.view.target.clone();
             let replica = Some(id);
@@ -162,7 +164,7 @@
     }
 
     /// Removes a target and all that is known of it.
-    fn on_target_gone(&mut self, target: &TargetId) {
+    fn on_target_removed(&mut self, target: &TargetId) {
         self.fleet_view.remove_target(target);
         self.ejections.readmit(target);
         self.health.forget(target);
--- a/crates/entry/tests/outlook.rs
+++ b/crates/entry/tests/cold_start_estimate.rs
@@ -60,7 +60,11 @@
 #[test]
 fn a_request_is_refused_at_once_if_a_load_from_the_store_takes_too_long() {
     let mut core = core();
-    view(&mut core, 1, vec![Change::Outlook("report".into(), 10_200)]);
+    view(
+        &mut core,
+        1,
+        vec![Change::ColdStartEstimate("report".into(), 10_200)],
+    );
     let actions = arrive(&mut core, 7);
     let refusal = refusal(&actions).expect("a refusal");
     assert_eq!((refusal.reason, refusal.run), (Reason::Late, Run::NotRun));
@@ -80,7 +84,10 @@
 #[test]
 fn a_request_waits_for_a_load_that_ends_in_time() {
     let mut core = core();
-    let changes = vec![Change::Outlook("report".into(), 10_200), loading(2_000)];
+    let changes = vec![
+        Change::ColdStartEstimate("report".into(), 10_200),
+        loading(2_000),
+    ];
     view(&mut core, 1, changes);
     assert!(refusal(&arrive(&mut core, 7)).is_none());
 }
@@ -88,9 +95,17 @@
 #[test]
 fn requests_wait_again_once_a_model_is_stored_nearby() {
     let mut core = core();
-    view(&mut core, 1, vec![Change::Outlook("report".into(), 10_200)]);
+    view(
+        &mut core,
+        1,
+        vec![Change::ColdStartEstimate("report".into(), 10_200)],
+    );
     assert!(refusal(&arrive(&mut core, 7)).is_some());
-    view(&mut core, 2, vec![Change::Outlook("report".into(), 0)]);
+    view(
+        &mut core,
+        2,
+        vec![Change::ColdStartEstimate("report".into(), 0)],
+    );
     assert!(refusal(&arrive(&mut core, 8)).is_none());
 }
 
@@ -98,7 +113,11 @@
 #[test]
 fn a_refused_request_counts_as_demand() {
     let mut core = core();
-    view(&mut core, 1, vec![Change::Outlook("report".into(), 10_200)]);
+    view(
+        &mut core,
+        1,
+        vec![Change::ColdStartEstimate("report".into(), 10_200)],
+    );
     arrive(&mut core, 7);
     let report = core.demand_report();
     let row = report.rows.iter().find(|row| &*row.model == "report");
--- a/crates/entry/tests/core.rs
+++ b/crates/entry/tests/core.rs
@@ -220,12 +220,12 @@
     let mut core = core();
     let ready = vec![target("w1", &[]), replica(4, "w1", State::Ready)];
     core.handle(view(1, 2, ready), at(0));
-    core.handle(view(2, 3, vec![Change::Strike(99, 2)]), at(0));
+    core.handle(view(2, 3, vec![Change::StrikeCount(99, 2)]), at(0));
     let mut request = report(7);
     request.fingerprint = 99;
     let actions = core.handle(Event::Arrived(request.clone()), at(1));
     assert_eq!(refused(&actions), Some((Reason::Quarantined, Run::Failed)));
-    core.handle(view(3, 4, vec![Change::Strike(99, 0)]), at(2));
+    core.handle(view(3, 4, vec![Change::StrikeCount(99, 0)]), at(2));
     request.id = 8;
     let actions = core.handle(Event::Arrived(request), at(3));
     assert!(
--- a/crates/entry/tests/faults.rs
+++ b/crates/entry/tests/faults.rs
@@ -420,7 +420,12 @@
     let Some(Action::Send { to, .. }) = actions.first() else {
         panic!("{actions:?}");
     };
-    view(&mut core, 1, 2, vec![Change::TargetGone(to.target.clone())]);
+    view(
+        &mut core,
+        1,
+        2,
+        vec![Change::TargetRemoved(to.target.clone())],
+    );
     let actions = core.handle(Event::Sent { id, attempt }, at(2));
     assert!(matches!(actions[0], Action::Cancel { .. }), "{actions:?}");
     assert_eq!(handling(&actions), Some(Retry));
--- a/crates/entry/tests/routed.rs
+++ b/crates/entry/tests/routed.rs
@@ -312,11 +312,11 @@
         adapters: vec!["a1".into()],
         adapter_bytes: 1 << 20,
     };
-    let engine = route::Engine {
+    let engine = route::WorkerCapacity {
         slots: 8,
-        tokens: 1_000,
+        kv_cache_tokens: 1_000,
         memory: 4 << 30,
-        host: 0,
+        host_memory: 0,
         disk: 0,
         adapters: 2,
         start_interval: Duration::from_millis(500),
@@ -327,10 +327,10 @@
         connections: 10,
         engine,
     };
-    Change::Table(Arc::new(route::Table {
+    Change::Table(Arc::new(route::RouteTable {
         version,
         services: vec![service("auction", None), service("engines", Some(engine))],
-        ..route::Table::default()
+        ..route::RouteTable::default()
     }))
 }
 
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -14,7 +14,7 @@
 use cornelhitch_types::id::{Name, Version};
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::refusal::{Reason, Refusal};
-use cornelhitch_types::route::{self, Index, Repeat, Route, Table};
+use cornelhitch_types::route::{self, RetryPolicy, Route, RouteIndex, RouteTable};
 use http::header::HOST;
 use http::request::Parts;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, Uri};
@@ -99,16 +99,16 @@
 #[derive(Debug, Default)]
 pub struct Routes {
     /// The table.
-    pub table: Arc<Table>,
+    pub table: Arc<RouteTable>,
     /// Positions of routes in the table, by host and path.
-    index: Index,
+    index: RouteIndex,
 }
 
 impl Routes {
     /// Indexes a table.
     #[must_use]
-    pub fn of(table: Arc<Table>) -> Self {
-        let index = Index::of(&table);
+    pub fn of(table: Arc<RouteTable>) -> Self {
+        let index = RouteIndex::new(&table);
         Self { table, index }
     }
 
@@ -153,7 +153,9 @@
 
     fn idle_timeout(&self) -> Duration {
         let routes = self.routes.borrow();
-        let idle = routes.as_ref().map(|routes| routes.table.limits.idle);
+        let idle = routes
+            .as_ref()
+            .map(|routes| routes.table.limits.idle_timeout);
         idle.map_or(HEAD_TIMEOUT, |idle| idle.max(HEAD_TIMEOUT))
     }
 
@@ -228,7 +230,7 @@
             .find(&parts)
             .ok_or_else(|| not_run(Reason::Unknown, "no route has this host and path"))?;
         let metadata = self.ingress.read(&parts.headers)?;
-        let body = collect(body, routes.table.limits.body).await?;
+        let body = collect(body, routes.table.limits.max_body_bytes).await?;
         build_call(id, route, &routes.table, metadata, parts, body, from)
     }
 
@@ -267,14 +269,16 @@
 fn build_call(
     id: u64,
     route: &Route,
-    table: &Table,
+    table: &RouteTable,
     metadata: Ask,
     parts: Parts,
     body: Bytes,
     from: SocketAddr,
 ) -> Result<(Call, Routed), Refusal> {
     let no_service = || not_run(Reason::Unavailable, "the route leads nowhere");
-    let service = route.pick(rand::random()).ok_or_else(no_service)?;
+    let service = route
+        .select_service(rand::random())
+        .ok_or_else(no_service)?;
     let what = requested(service, table, &metadata, &parts.method);
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let content = [path.as_bytes(), &[0], &body].concat();
@@ -285,16 +289,16 @@
             .deadline
             .map_or(route.timeout, |it| it.min(route.timeout)),
     );
-    call.repeatable = route.repeat != Repeat::Never;
+    call.repeatable = route.retry != RetryPolicy::Never;
     let (prefixes, sizes) = prefixes(&metadata.prompt);
     call.prefixes = prefixes;
-    call.streaming = route.streams;
+    call.streaming = route.is_stream;
     call.bytes = body.len() as u64;
     call.terms = Some(Box::new(RouteLimits {
         attempts: route.attempts.max(1),
         limit: route.timeout,
         objective: route.objective,
-        rank: route.rank,
+        rank: route.priority,
         sizes,
     }));
     let mut headers = parts.headers;
@@ -308,8 +312,8 @@
         path: path.to_owned(),
         headers,
         body,
-        streams: route.streams,
-        rank: route.rank,
+        streams: route.is_stream,
+        rank: route.priority,
         attempts: if call.repeatable { route.attempts } else { 1 },
         resume: metadata.resume,
     };
@@ -318,7 +322,12 @@
 
 /// Returns what a request is for: a model if the service runs models and the request names one, or
 /// else the service itself.
-fn requested(service: &Name, table: &Table, metadata: &Ask, method: &Method) -> RequestedResource {
+fn requested(
+    service: &Name,
+    table: &RouteTable,
+    metadata: &Ask,
+    method: &Method,
+) -> RequestedResource {
     let engine = table.service(service).and_then(|it| it.engine.as_ref());
     match (&metadata.model, engine) {
         (Some(model), Some(_)) => RequestedResource::Model(Reference {
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -4,10 +4,10 @@
 
 use bytes::Bytes;
 use cornelhitch_settings::process;
-use cornelhitch_types::demand::Report;
+use cornelhitch_types::demand::DemandReport;
 use cornelhitch_types::entry::Host;
 use cornelhitch_types::id::{HostId, Incarnation, TargetId, Term, Time, Version};
-use cornelhitch_types::target::{Announcement, Heartbeat, Presence};
+use cornelhitch_types::target::{AnnouncedHeartbeat, Announcement, Heartbeat};
 use cornelhitch_types::view::View;
 use cornelhitch_wire::hello::ProcessId;
 use serde::{Deserialize, Serialize};
@@ -34,13 +34,13 @@
         sequence: u64,
     },
     /// The demand that an entry host sees.
-    Report(Report),
+    Report(DemandReport),
     /// A target's announcement, received by an entry host.
     Announce(Announcement),
     /// A target's heartbeat, received by an entry host.
     Heartbeat(Heartbeat),
     /// A target's combined announcement and heartbeat, received by an entry host.
-    Presence(Box<Presence>),
+    Presence(Box<AnnouncedHeartbeat>),
     /// A target leaves and takes no new work.
     Leaving {
         /// The target.
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -10,7 +10,7 @@
 use cornelhitch_control::current_table::SubmittedTable;
 use cornelhitch_settings::process::Zone;
 use cornelhitch_target::inbound::{Message, Protocol, Receipt};
-use cornelhitch_types::route::Table;
+use cornelhitch_types::route::RouteTable;
 use http::request::Parts;
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     /// Returns what is wrong, and where in the text.
-    fn decode(&self, text: &Bytes) -> Result<Table, String>;
+    fn decode(&self, text: &Bytes) -> Result<RouteTable, String>;
 
     /// Returns the response for an outcome.
     fn answer(&self, outcome: &Outcome) -> Response<Bytes>;
@@ -130,7 +130,7 @@
                     Ok(table) => table,
                     Err(reason) => return Outcome::Faulty(reason),
                 };
-                if let Some(fault) = table.faults().first() {
+                if let Some(fault) = table.validate().first() {
                     return Outcome::Faulty(fault.to_string());
                 }
                 let table = Arc::new(table);
--- a/crates/planner/examples/hosting.rs
+++ b/crates/planner/examples/hosting.rs
@@ -8,7 +8,7 @@
 
 use cornelhitch_planner::hosting::{HeldModel, ModelDemand, Policy, ServiceState, Worker};
 use cornelhitch_types::id::ModelId;
-use cornelhitch_types::route::{Engine, Model};
+use cornelhitch_types::route::{Model, WorkerCapacity};
 use cornelhitch_types::target::Stage;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -84,11 +84,11 @@
 }
 
 fn main() {
-    let engine = Engine {
+    let engine = WorkerCapacity {
         slots: 64,
-        tokens: 250_000,
+        kv_cache_tokens: 250_000,
         memory: 230_000_000_000,
-        host: 0,
+        host_memory: 0,
         disk: 0,
         adapters: 8,
         start_interval: Duration::from_millis(100),
--- a/crates/planner/src/hosting/service_state.rs
+++ b/crates/planner/src/hosting/service_state.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use cornelhitch_types::id::{ModelId, Name, RegionId, TargetId, Time};
-use cornelhitch_types::route::{Engine, Model};
+use cornelhitch_types::route::{Model, WorkerCapacity};
 use cornelhitch_types::target::Stage;
 
 /// Period for which expected requests count towards the demand for a copy, in seconds.
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone)]
 pub struct ServiceState<'a> {
     /// The capacity of each worker.
-    pub engine: &'a Engine,
+    pub engine: &'a WorkerCapacity,
     /// The models by id.
     pub models: &'a BTreeMap<ModelId, Model>,
     /// The workers, sorted by name.
--- a/crates/planner/tests/hosting.rs
+++ b/crates/planner/tests/hosting.rs
@@ -8,19 +8,19 @@
     Action, ArrivalRate, HeldModel, ModelDemand, PlannedOrder, Policy, Reason, ServiceState, Worker,
 };
 use cornelhitch_types::id::ModelId;
-use cornelhitch_types::route::{Engine, Model};
+use cornelhitch_types::route::{Model, WorkerCapacity};
 use cornelhitch_types::target::Stage;
 
 /// Models that fit into the memory of one worker.
 const MODELS_PER_WORKER: u64 = 2;
 
 /// An engine whose workers hold two models and two adapters.
-fn engine() -> Engine {
-    Engine {
+fn engine() -> WorkerCapacity {
+    WorkerCapacity {
         slots: 64,
-        tokens: 250_000,
+        kv_cache_tokens: 250_000,
         memory: MODELS_PER_WORKER * 100 + 2,
-        host: 0,
+        host_memory: 0,
         disk: 0,
         adapters: 2,
         start_interval: Duration::from_millis(500),
--- a/crates/standin/src/memory.rs
+++ b/crates/standin/src/memory.rs
@@ -4,7 +4,7 @@
 
 use cornelhitch_types::id::{ModelId, Name, ReplicaId};
 use cornelhitch_types::model::Reference;
-use cornelhitch_types::target::{Holding, Stage};
+use cornelhitch_types::target::{self, Stage};
 
 /// Identifies a copy in accelerator memory within one engine process.
 pub type CopyId = u64;
@@ -152,8 +152,8 @@
     }
 
     /// Lists all copies for a heartbeat, accelerator memory first.
-    pub fn inventory(&self) -> Vec<Holding> {
-        let copies = self.copies.iter().map(|copy| Holding {
+    pub fn inventory(&self) -> Vec<target::ModelCopy> {
+        let copies = self.copies.iter().map(|copy| target::ModelCopy {
             model: copy.model.clone(),
             replica: self.tracks_replicas.then_some(copy.replica),
             stage: if copy.ready {
@@ -164,7 +164,7 @@
             bytes: copy.bytes,
             adapters: copy.adapters.clone(),
         });
-        let below = self.stages.iter().map(|(model, stage)| Holding {
+        let below = self.stages.iter().map(|(model, stage)| target::ModelCopy {
             model: Reference::base(model.clone()),
             replica: None,
             stage: *stage,
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -296,7 +296,7 @@
             fencing: settings.fencing,
             services: Vec::new(),
             slots: None,
-            dated: false,
+            incarnation_is_start_time: false,
         }
     }
 
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -356,7 +356,7 @@
             fencing: false,
             services: settings.services.clone(),
             slots: None,
-            dated: false,
+            incarnation_is_start_time: false,
         }
     }
 
--- a/crates/target/src/inbound.rs
+++ b/crates/target/src/inbound.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use cornelhitch_types::id::{Incarnation, TargetId};
-use cornelhitch_types::target::{Announcement, Heartbeat, Kind, Presence, Stage};
+use cornelhitch_types::target::{AnnouncedHeartbeat, Announcement, Heartbeat, Kind, Stage};
 use http::{Method, Response, StatusCode};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
     /// The target is leaving and accepts no new work.
     Leaving(Leaving),
     /// An announcement and a heartbeat in one message.
-    Presence(Box<Presence>),
+    Presence(Box<AnnouncedHeartbeat>),
     /// The target has terminated, or is about to.
     Ended(Ended),
 }
@@ -256,9 +256,9 @@
 /// Validates a heartbeat.
 fn check_heartbeat(message: Heartbeat) -> Result<Message, Error> {
     check_name("target", &message.target)?;
-    for holding in &message.inventory {
+    for copy in &message.inventory {
         check_value(
-            holding.bytes == 0 || holding.stage >= Stage::Loading,
+            copy.bytes == 0 || copy.stage >= Stage::Loading,
             "inventory.bytes",
             "a copy below the stage loading takes no accelerator memory",
         )?;
--- a/crates/trial/examples/burst.rs
+++ b/crates/trial/examples/burst.rs
@@ -171,13 +171,13 @@
     let mut load_times = LoadTimes::default();
     while load_times.first_ready.is_none() && started.elapsed() < Duration::from_secs(10) {
         for engine in engines {
-            for holding in engine.inventory() {
-                if holding.stage >= Stage::Loading {
+            for copy in engine.inventory() {
+                if copy.stage >= Stage::Loading {
                     load_times
                         .first_loading
                         .get_or_insert_with(|| started.elapsed());
                 }
-                if holding.stage == Stage::Ready {
+                if copy.stage == Stage::Ready {
                     load_times
                         .first_ready
                         .get_or_insert_with(|| started.elapsed());
--- a/crates/trial/examples/idle.rs
+++ b/crates/trial/examples/idle.rs
@@ -18,7 +18,7 @@
 use cornelhitch_trial::cluster::{self, Cluster};
 use cornelhitch_trial::{operator, process_stats};
 use cornelhitch_types::model::Reference;
-use cornelhitch_types::target::{Announcement, Heartbeat, Holding, Kind, Load, Stage};
+use cornelhitch_types::target::{Announcement, Heartbeat, Kind, Load, ModelCopy, Stage};
 use futures_util::future::join_all;
 use http::Request;
 use http_body_util::{BodyExt, Full};
@@ -256,7 +256,7 @@
         fencing: true,
         services: Vec::new(),
         slots: None,
-        dated: false,
+        incarnation_is_start_time: false,
     }
 }
 
@@ -267,7 +267,7 @@
         incarnation: announcement.incarnation,
         sequence,
         fence: 0,
-        inventory: vec![Holding {
+        inventory: vec![ModelCopy {
             model: Reference::base("summary"),
             replica: None,
             stage: Stage::Disk,
--- a/crates/types/src/demand.rs
+++ b/crates/types/src/demand.rs
@@ -16,7 +16,8 @@
     /// Requests in flight on replicas.
     pub running: u32,
     /// Time from the report to the earliest deadline of a queued request.
-    pub slack: Time,
+    #[serde(rename = "slack")]
+    pub time_to_deadline: Time,
     /// The largest class weight among the queued requests.
     pub weight: u32,
     /// Requests received since the process started; never decreases within an incarnation.
@@ -27,7 +28,8 @@
 
 /// Demand report of one entry host for all models.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+#[serde(rename = "Report")]
+pub struct DemandReport {
     /// The reporting entry host.
     pub host: HostId,
     /// Incarnation of the reporting process.
--- a/crates/types/src/route.rs
+++ b/crates/types/src/route.rs
@@ -1,6 +1,6 @@
 //! Route tables: the routes that operators declare, and the services that they lead to.
 //!
-//! A [`Table`] is replaced as a whole; of two tables, the one with the higher version is in force.
+//! A [`RouteTable`] is replaced as a whole; of two tables, the one with the higher version is in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -16,7 +16,8 @@
 
 /// All routes and services of one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Table {
+#[serde(rename = "Table")]
+pub struct RouteTable {
     /// Version of the table; the highest version is in force.
     pub version: Version,
     /// The routes; each has its own pair of host and prefix.
@@ -37,15 +38,18 @@
     /// Path prefix of the requests; begins and ends with a slash.
     pub prefix: Name,
     /// Which retries are allowed.
-    pub repeat: Repeat,
+    #[serde(rename = "repeat")]
+    pub retry: RetryPolicy,
     /// Whether responses are event streams.
-    pub streams: bool,
+    #[serde(rename = "streams")]
+    pub is_stream: bool,
     /// Longest time from a request to the end of its response.
     pub timeout: Duration,
     /// Latency objective: time to the response, or to the first event of a stream.
     pub objective: Duration,
     /// Priority among the requests of a service; 0 is the highest.
-    pub rank: u8,
+    #[serde(rename = "rank")]
+    pub priority: u8,
     /// Largest number of targets to which one request may be sent.
     pub attempts: u32,
     /// The services that share the route's requests, by weight.
@@ -54,15 +58,19 @@
 
 /// Which retries of a request are allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Display, EnumString)]
-#[serde(rename_all = "kebab-case")]
+#[serde(rename = "Repeat", rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// No retries: the request runs at most once.
     Never,
     /// The whole request may run more than once.
-    Whole,
+    #[serde(rename = "whole")]
+    #[strum(serialize = "whole")]
+    Retry,
     /// An interrupted stream may continue on another target after the last event received.
-    Resumed,
+    #[serde(rename = "resumed")]
+    #[strum(serialize = "resumed")]
+    Resume,
 }
 
 /// The share of a route's requests that goes to one service.
@@ -82,20 +90,23 @@
     /// Connections that one target accepts from all entry hosts together.
     pub connections: u32,
     /// Capacity of the workers; `None` if the service's targets don't run models.
-    pub engine: Option<Engine>,
+    pub engine: Option<WorkerCapacity>,
 }
 
 /// Capacity of each worker of a service, and the models that it may hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Engine {
+#[serde(rename = "Engine")]
+pub struct WorkerCapacity {
     /// Concurrent requests that a worker runs.
     pub slots: u32,
     /// Capacity of a worker's KV cache, in tokens.
-    pub tokens: u64,
+    #[serde(rename = "tokens")]
+    pub kv_cache_tokens: u64,
     /// Accelerator memory for weights and adapters, in bytes.
     pub memory: u64,
     /// Host memory in which a worker caches weights, in bytes.
-    pub host: u64,
+    #[serde(rename = "host")]
+    pub host_memory: u64,
     /// Disk space in which a worker caches weights, in bytes.
     pub disk: u64,
     /// Largest number of adapters that a worker holds.
@@ -129,56 +140,58 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
     /// Largest request body, in bytes.
-    pub body: usize,
+    #[serde(rename = "body")]
+    pub max_body_bytes: usize,
     /// Time for which a connection may stay idle.
-    pub idle: Duration,
+    #[serde(rename = "idle")]
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            body: 4 << 20,
-            idle: Duration::from_secs(15),
+            max_body_bytes: 4 << 20,
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
 
 /// A reason for which a table is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct TableError {
     /// The name of the route or service at fault.
     pub place: Name,
     /// What is wrong with the route or service.
     pub reason: &'static str,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for TableError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.place, self.reason)
     }
 }
 
-impl Table {
+impl RouteTable {
     /// Returns all inconsistencies within the table; empty if it is valid.
     ///
     /// ```
-    /// use cornelhitch_types::route::Table;
+    /// use cornelhitch_types::route::RouteTable;
     ///
-    /// assert!(Table::default().faults().is_empty());
+    /// assert!(RouteTable::default().validate().is_empty());
     /// ```
     #[must_use]
-    pub fn faults(&self) -> Vec<Fault> {
-        let mut faults = Vec::new();
+    pub fn validate(&self) -> Vec<TableError> {
+        let mut errors = Vec::new();
         let mut prefixes = BTreeSet::new();
         let mut services = BTreeSet::new();
         for service in &self.services {
             if !services.insert(&service.name) {
-                faults.push(new_fault(&service.name, "two services have this name"));
+                errors.push(new_error(&service.name, "two services have this name"));
             }
         }
         for route in &self.routes {
             if !prefixes.insert((&route.host, &route.prefix)) {
-                faults.push(new_fault(
+                errors.push(new_error(
                     &route.name,
                     "another route has this host and prefix",
                 ));
@@ -188,14 +201,14 @@
                 .iter()
                 .any(|split| !services.contains(&split.service))
             {
-                faults.push(new_fault(
+                errors.push(new_error(
                     &route.name,
                     "it leads to a service that is not listed",
                 ));
             }
-            faults.extend(route.first_fault());
+            errors.extend(route.first_error());
         }
-        faults
+        errors
     }
 
     /// Returns the service with the given name.
@@ -205,31 +218,31 @@
     }
 
     /// Returns each service that has an engine, with its engine.
-    pub fn engines(&self) -> impl Iterator<Item = (&Service, &Engine)> {
+    pub fn engines(&self) -> impl Iterator<Item = (&Service, &WorkerCapacity)> {
         let services = self.services.iter();
         services.filter_map(|service| Some((service, service.engine.as_ref()?)))
     }
 }
 
 impl Route {
-    /// Returns the first fault within the route itself.
-    fn first_fault(&self) -> Option<Fault> {
+    /// Returns the first error within the route itself.
+    fn first_error(&self) -> Option<TableError> {
         let weights = self.splits.iter().map(|split| u64::from(split.weight));
         let has_slashes = self.prefix.starts_with('/') && self.prefix.ends_with('/');
         if weights.sum::<u64>() == 0 {
-            return Some(new_fault(&self.name, "its weights add up to 0"));
+            return Some(new_error(&self.name, "its weights add up to 0"));
         }
         if self.timeout.is_zero() {
-            return Some(new_fault(&self.name, "its timeout is 0"));
+            return Some(new_error(&self.name, "its timeout is 0"));
         }
         (!has_slashes)
-            .then(|| new_fault(&self.name, "its prefix does not begin and end with a slash"))
+            .then(|| new_error(&self.name, "its prefix does not begin and end with a slash"))
     }
 
     /// Selects a service by weight for a random `draw` in `[0, 1)`; `None` if no service has a
     /// positive weight.
     #[must_use]
-    pub fn pick(&self, draw: f64) -> Option<&Name> {
+    pub fn select_service(&self, draw: f64) -> Option<&Name> {
         let total: f64 = self
             .splits
             .iter()
@@ -290,8 +303,8 @@
     id.split_once(SEPARATOR).map(|(service, _)| service)
 }
 
-fn new_fault(place: &Name, reason: &'static str) -> Fault {
-    Fault {
+fn new_error(place: &Name, reason: &'static str) -> TableError {
+    TableError {
         place: place.clone(),
         reason,
     }
@@ -299,15 +312,15 @@
 
 /// Index of routes by host and path prefix.
 #[derive(Debug, Clone, Default)]
-pub struct Index {
-    /// Positions in [`Table::routes`], by host and then by prefix.
+pub struct RouteIndex {
+    /// Positions in [`RouteTable::routes`], by host and then by prefix.
     hosts: BTreeMap<Name, BTreeMap<Name, usize>>,
 }
 
-impl Index {
+impl RouteIndex {
     /// Builds the index for a table.
     #[must_use]
-    pub fn of(table: &Table) -> Self {
+    pub fn new(table: &RouteTable) -> Self {
         let mut hosts: BTreeMap<Name, BTreeMap<Name, usize>> = BTreeMap::new();
         for (at, route) in table.routes.iter().enumerate() {
             let prefixes = hosts.entry(route.host.clone()).or_default();
@@ -316,7 +329,7 @@
         Self { hosts }
     }
 
-    /// Returns the position in [`Table::routes`] of the route with the longest prefix of `path`.
+    /// Returns the position in [`RouteTable::routes`] of the route with the longest prefix of `path`.
     ///
     /// Prefixes end with a slash, so only the substrings of `path` up to each slash are looked up.
     #[must_use]
--- a/crates/types/src/target.rs
+++ b/crates/types/src/target.rs
@@ -50,8 +50,8 @@
     pub slots: Option<u32>,
     /// Whether `incarnation` is the Unix time of the start, so that incarnations at one address can
     /// be told apart whatever the targets' names.
-    #[serde(default)]
-    pub dated: bool,
+    #[serde(default, rename = "dated")]
+    pub incarnation_is_start_time: bool,
 }
 
 impl Announcement {
@@ -60,7 +60,7 @@
     /// Such a worker carries out one order at a time and counts them, so that an order needs no
     /// reservation in the log.
     #[must_use]
-    pub fn is_hosted(&self) -> bool {
+    pub fn takes_numbered_orders(&self) -> bool {
         self.kind == Kind::Worker && !self.services.is_empty()
     }
 }
@@ -98,8 +98,8 @@
 
 /// One copy of a model on a worker, as the worker reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Holding {
+#[serde(deny_unknown_fields, rename = "Holding")]
+pub struct ModelCopy {
     /// The model and its version.
     pub model: Reference,
     /// The replica that the load order named; `None` if the worker does not keep it.
@@ -169,7 +169,7 @@
     #[serde(default)]
     pub fence: Term,
     /// All copies of models that it holds.
-    pub inventory: Vec<Holding>,
+    pub inventory: Vec<ModelCopy>,
     /// The current load.
     pub load: Load,
     /// Changes to its prefix caches since the previous heartbeat.
@@ -182,7 +182,8 @@
 
 /// Announcement and heartbeat in one message, for targets that send both every time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Presence {
+#[serde(rename = "Presence")]
+pub struct AnnouncedHeartbeat {
     /// What the target is and where it runs.
     pub announcement: Announcement,
     /// The current state of the target.
@@ -197,5 +198,5 @@
     /// Whether an order is in progress.
     pub busy: bool,
     /// The copies in accelerator memory.
-    pub inventory: Vec<Holding>,
+    pub inventory: Vec<ModelCopy>,
 }
--- a/crates/types/src/view.rs
+++ b/crates/types/src/view.rs
@@ -11,7 +11,7 @@
 
 use crate::entry;
 use crate::id::{Incarnation, ModelId, Name, RegionId, ReplicaId, TargetId, Term, Version, ZoneId};
-use crate::route::Table;
+use crate::route::RouteTable;
 use crate::target::{CacheEvent, Kind, Load};
 
 /// State of a replica as routing sees it.
@@ -77,26 +77,31 @@
     /// A replica was added or changed.
     Replica(Replica),
     /// A replica was removed.
-    ReplicaGone(ReplicaId),
+    #[serde(rename = "ReplicaGone")]
+    ReplicaRemoved(ReplicaId),
     /// A target was added or changed.
     Target(Target),
     /// A target was removed.
-    TargetGone(TargetId),
+    #[serde(rename = "TargetGone")]
+    TargetRemoved(TargetId),
     /// An entry host was added or changed.
     Entry(entry::Host),
     /// An entry host was removed.
-    EntryGone(crate::id::HostId),
+    #[serde(rename = "EntryGone")]
+    EntryRemoved(crate::id::HostId),
     /// The prefix caches of a target changed.
     Cache(TargetId, Vec<CacheEvent>),
     /// The strike count of a request fingerprint changed; 0 ends its quarantine.
-    Strike(u64, u32),
+    #[serde(rename = "Strike")]
+    StrikeCount(u64, u32),
     /// The settings in force, as validated YAML text.
     Settings(Version, Name),
     /// The route table in force.
-    Table(Arc<Table>),
+    Table(Arc<RouteTable>),
     /// Lower bound of the load time of a model that no target has cached, in milliseconds from the
     /// start of its load; 0 if a target has it cached or is loading it.
-    Outlook(ModelId, u32),
+    #[serde(rename = "Outlook")]
+    ColdStartEstimate(ModelId, u32),
 }
 
 /// Changes that take a view from one sequence number to another.
--- a/crates/types/tests/route.rs
+++ b/crates/types/tests/route.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use cornelhitch_types::route::{Index, Limits, Repeat, Route, Service, Split, Table};
+use cornelhitch_types::route::{
+    Limits, RetryPolicy, Route, RouteIndex, RouteTable, Service, Split,
+};
 use proptest::prelude::*;
 
 /// Returns a route to the service `s`.
@@ -11,11 +13,11 @@
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
-        repeat: Repeat::Whole,
-        streams: false,
+        retry: RetryPolicy::Retry,
+        is_stream: false,
         timeout: Duration::from_secs(4),
         objective: Duration::from_millis(300),
-        rank: 0,
+        priority: 0,
         attempts: 2,
         splits: vec![split("s", 1)],
     }
@@ -28,13 +30,13 @@
     }
 }
 
-fn table(routes: Vec<Route>) -> Table {
+fn table(routes: Vec<Route>) -> RouteTable {
     let service = |name: &str| Service {
         name: name.into(),
         connections: 100,
         engine: None,
     };
-    Table {
+    RouteTable {
         version: 1,
         routes,
         services: vec![service("s"), service("t")],
@@ -51,7 +53,7 @@
         route("bids", "h", "/lots/bids/"),
         route("other", "g", "/only/"),
     ]);
-    let index = Index::of(&table);
+    let index = RouteIndex::new(&table);
     let rows = [
         ("h", "/", Some("all")),
         ("h", "/lots", Some("all")),
@@ -75,7 +77,10 @@
 fn first_fault(change: impl FnOnce(&mut Route)) -> Option<String> {
     let mut route = route("r", "h", "/p/");
     change(&mut route);
-    table(vec![route]).faults().first().map(ToString::to_string)
+    table(vec![route])
+        .validate()
+        .first()
+        .map(ToString::to_string)
 }
 
 #[test]
@@ -97,13 +102,13 @@
 fn duplicate_prefix_or_service_name_is_reported() {
     let twice = table(vec![route("a", "h", "/p/"), route("b", "h", "/p/")]);
     assert_eq!(
-        twice.faults()[0].to_string(),
+        twice.validate()[0].to_string(),
         "b: another route has this host and prefix"
     );
     let mut same = table(vec![route("a", "h", "/p/")]);
     same.services.push(same.services[0].clone());
     assert_eq!(
-        same.faults()[0].to_string(),
+        same.validate()[0].to_string(),
         "s: two services have this name"
     );
 }
@@ -116,7 +121,7 @@
         let name = |at: usize| format!("s{at}");
         route.splits = weights.iter().enumerate().map(|(at, weight)| split(&name(at), *weight)).collect();
         let total: u32 = weights.iter().sum();
-        let picked = route.pick(draw).map(ToString::to_string);
+        let picked = route.select_service(draw).map(ToString::to_string);
         let mut upper = 0;
         let expected = weights.iter().position(|weight| {
             upper += weight;
