--- a/crates/control/src/current_settings.rs
+++ b/crates/control/src/current_settings.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use cornelhitch_settings::fleet::Fleet;
+use cornelhitch_settings::fleet::FleetSettings;
 use cornelhitch_types::id::{Name, Version};
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
@@ -69,7 +69,7 @@
 pub struct CurrentSettings {
     version: Version,
     text: Name,
-    fleet: Arc<Fleet>,
+    fleet: Arc<FleetSettings>,
     kept: VecDeque<KeptAnswer>,
 }
 
@@ -96,7 +96,7 @@
 
     /// Returns the settings in force.
     #[must_use]
-    pub fn fleet(&self) -> &Arc<Fleet> {
+    pub fn fleet(&self) -> &Arc<FleetSettings> {
         &self.fleet
     }
 
@@ -132,7 +132,7 @@
                 version: self.version,
             };
         }
-        match apply.text.parse::<Fleet>() {
+        match apply.text.parse::<FleetSettings>() {
             Ok(fleet) => {
                 self.version += 1;
                 self.text = apply.text.clone();
@@ -169,7 +169,7 @@
     /// Restores the settings in force from a snapshot.
     pub(crate) fn from_image(image: Image) -> Result<Self, Error> {
         let fleet = match image.version {
-            0 => Fleet::default(),
+            0 => FleetSettings::default(),
             _ => image.text.parse().context(SettingsSnafu)?,
         };
         Ok(Self {
--- a/crates/control/src/replicas.rs
+++ b/crates/control/src/replicas.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use cornelhitch_settings::fleet::Fleet as Settings;
+use cornelhitch_settings::fleet::FleetSettings as Settings;
 use cornelhitch_types::id::{Incarnation, ModelId, Name, ReplicaId, TargetId, Term, Time};
 
 use cornelhitch_types::view::State;
--- a/crates/control/src/rules.rs
+++ b/crates/control/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules that a decision must pass before memory is reserved.
 
-use cornelhitch_settings::fleet::Fleet as Settings;
+use cornelhitch_settings::fleet::FleetSettings as Settings;
 use cornelhitch_types::id::Incarnation;
 use cornelhitch_types::target::Kind;
 
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use cornelhitch_settings::fleet::Fleet as Settings;
+use cornelhitch_settings::fleet::FleetSettings as Settings;
 use cornelhitch_types::id::{Incarnation, ModelId, Name, ReplicaId, TargetId, Time};
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::target::{Heartbeat, Load, ModelCopy, Stage};
--- a/crates/cornelhitch/src/daemon.rs
+++ b/crates/cornelhitch/src/daemon.rs
@@ -6,7 +6,7 @@
 use cornelhitch_node::dialect::Dialect;
 use cornelhitch_node::node::{self, Node};
 use cornelhitch_node::socket::{self, Sockets};
-use cornelhitch_settings::process::{Process, Protocol};
+use cornelhitch_settings::process::{ProcessSettings, Protocol};
 use getopts::{Matches, Options};
 use snafu::{OptionExt, ResultExt, Snafu};
 use tokio::signal::unix::{SignalKind, signal};
@@ -113,7 +113,7 @@
     /// Print a text and exit.
     Print(String),
     /// Run a host with these settings.
-    Run(Box<Process>),
+    Run(Box<ProcessSettings>),
 }
 
 fn options() -> Options {
@@ -168,8 +168,8 @@
     })?;
     let path = PathBuf::from(matches.opt_str("settings").context(MissingSettingsSnafu)?);
     let text = std::fs::read_to_string(&path).context(ReadSettingsSnafu { path: &path })?;
-    let process: Process = text.parse().context(InvalidSettingsSnafu { path: &path })?;
-    let process = Process {
+    let process: ProcessSettings = text.parse().context(InvalidSettingsSnafu { path: &path })?;
+    let process = ProcessSettings {
         file: Some(path),
         ..process
     };
@@ -179,7 +179,10 @@
 }
 
 /// Overrides settings with the addresses and the data folder given as arguments.
-fn override_settings(mut process: Process, matches: &Matches) -> Result<Process, Error> {
+fn override_settings(
+    mut process: ProcessSettings,
+    matches: &Matches,
+) -> Result<ProcessSettings, Error> {
     let callers = parse_value::<SocketAddr>(matches, "callers")?;
     let operators = parse_value::<SocketAddr>(matches, "operators")?;
     let peers = parse_value::<SocketAddr>(matches, "peers")?;
@@ -232,7 +235,7 @@
         match std::fs::read_to_string(&path) {
             Ok(text) if text == last_text => {}
             Ok(text) => {
-                match text.parse::<Process>() {
+                match text.parse::<ProcessSettings>() {
                     Ok(process) => {
                         tracing::info!(seeds = ?process.seeds, "settings reloaded");
                         node.reload(&process);
@@ -250,7 +253,7 @@
 ///
 /// # Errors
 /// The host fails to start.
-pub async fn run(process: Process) -> Result<(), Error> {
+pub async fn run(process: ProcessSettings) -> Result<(), Error> {
     let metrics_provider = match &process.otlp {
         Some(endpoint) => Some(telemetry::export(endpoint)?),
         None => None,
--- a/crates/cornelhitch/src/lib.rs
+++ b/crates/cornelhitch/src/lib.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use cornelhitch::prelude::*;
 //!
-//! let fleet: Fleet = "models: [{ name: report, bytes: 1000 }]".parse()?;
+//! let fleet: FleetSettings = "models: [{ name: report, bytes: 1000 }]".parse()?;
 //! assert_eq!(fleet.rules("report").replicas, 4);
 //! # Ok::<(), cornelhitch::settings::error::Error>(())
 //! ```
--- a/crates/cornelhitch/src/operator.rs
+++ b/crates/cornelhitch/src/operator.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cornelhitch_settings::fleet::Fleet;
+use cornelhitch_settings::fleet::FleetSettings;
 use getopts::{Matches, Options};
 use http::{Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -242,7 +242,7 @@
 /// Validates a fleet settings file and returns a summary.
 fn check(path: &str) -> Result<String, Error> {
     let text = read(path)?;
-    match text.parse::<Fleet>() {
+    match text.parse::<FleetSettings>() {
         Ok(fleet) => Ok(format!(
             "{path}: {} models, {} services, {} exceptions: no faults\n",
             fleet.models.len(),
--- a/crates/cornelhitch/tests/daemon.rs
+++ b/crates/cornelhitch/tests/daemon.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use cornelhitch::daemon::{self, Command};
-use cornelhitch::settings::process::Process;
+use cornelhitch::settings::process::ProcessSettings;
 use cornelhitch_trial::cluster::{TOKEN, free_port};
 use cornelhitch_trial::operator;
 use serde_json::Value;
@@ -115,7 +115,7 @@
 #[test]
 fn drain_request_ends_the_daemon() {
     let folder = TempDir::new().expect("a folder");
-    let process: Process = settings(folder.path()).parse().expect("settings");
+    let process: ProcessSettings = settings(folder.path()).parse().expect("settings");
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let operators = process.operators;
     runtime.block_on(async {
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cornelhitch_settings::process::Isolated;
+use cornelhitch_settings::process::IsolationPolicy;
 use cornelhitch_types::id::Time;
 use cornelhitch_types::refusal::{Reason, Run};
 
@@ -74,7 +74,7 @@
                 .map(|rejection| self.with_other_hosts(rejection));
         }
         let held = self.lease.holds(self.catalogue.version, self.now);
-        if !held && self.config.serving.isolated == Isolated::Refuse {
+        if !held && self.config.serving.isolated == IsolationPolicy::Refuse {
             let detail = "this host has no lease on the settings";
             return refuse(Reason::Isolated, detail)
                 .map(|rejection| self.with_other_hosts(rejection));
--- a/crates/entry/src/catalogue.rs
+++ b/crates/entry/src/catalogue.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cornelhitch_settings::fleet::{Class, Fleet, Region, Rules};
+use cornelhitch_settings::fleet::{Class, FleetSettings, Region, Rules};
 use cornelhitch_types::id::{ClassId, ModelId, Name, RegionId, Version};
 use cornelhitch_types::route::{self, RouteTable};
 
@@ -46,7 +46,7 @@
     /// Version of the settings; 0 before there are any.
     pub version: Version,
     /// The parsed settings.
-    pub fleet: Fleet,
+    pub fleet: FleetSettings,
     /// Models by id.
     pub models: BTreeMap<ModelId, Model>,
     /// Services by name.
@@ -62,7 +62,7 @@
     ///
     /// Returns an error if the text is not a valid settings document.
     pub fn read(version: Version, text: &str) -> Result<Self, cornelhitch_settings::error::Error> {
-        let fleet: Fleet = text.parse()?;
+        let fleet: FleetSettings = text.parse()?;
         let models = fleet.models.iter().map(|model| {
             let gib = gib(model.bytes);
             let ms = f64::from(u32::try_from(fleet.loading.memory_ms_per_gib).unwrap_or(u32::MAX));
--- a/crates/entry/tests/repeats/simulation.rs
+++ b/crates/entry/tests/repeats/simulation.rs
@@ -5,7 +5,7 @@
 
 use cornelhitch_entry::event::{Attempt, Failure, RouteLimits};
 use cornelhitch_entry::prelude::*;
-use cornelhitch_settings::process::{Isolated, Serving};
+use cornelhitch_settings::process::{IsolationPolicy, Serving};
 use cornelhitch_types::entry;
 use cornelhitch_types::id::{HostId, Time};
 use cornelhitch_types::target::{Kind, Load};
@@ -125,7 +125,7 @@
         }
         self.incarnations += 1;
         let serving = Serving {
-            isolated: Isolated::Serve,
+            isolated: IsolationPolicy::Serve,
             strikes: 3,
             quarantine: false,
             retry_ratio: RATIO,
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use cornelhitch_entry::event::{CallId, Event};
-use cornelhitch_settings::fleet::Fleet;
+use cornelhitch_settings::fleet::FleetSettings;
 use cornelhitch_target::inbound::{Message as TargetMessage, Protocol, Receipt};
 use cornelhitch_types::refusal::{Reason, Refusal};
 use http::header::{CACHE_CONTROL, CONTENT_TYPE};
@@ -34,7 +34,7 @@
     /// The entry task's input queue.
     pub inputs: mpsc::UnboundedSender<Input>,
     /// The fleet settings in force.
-    pub fleet: watch::Receiver<Arc<Fleet>>,
+    pub fleet: watch::Receiver<Arc<FleetSettings>>,
     /// The encoding of targets' messages.
     pub protocol: Arc<dyn Protocol>,
     /// The metrics of this process.
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -13,7 +13,7 @@
 use cornelhitch_entry::core::Core;
 use cornelhitch_entry::entries::{self, CallerLocation};
 use cornelhitch_entry::event::{Attempt as AttemptNumber, CallId, Event};
-use cornelhitch_settings::fleet::Fleet;
+use cornelhitch_settings::fleet::FleetSettings;
 use cornelhitch_target::client::Client;
 use cornelhitch_target::inbound::{Message as TargetMessage, Receipt};
 use cornelhitch_types::entry::Host;
@@ -99,7 +99,7 @@
     /// Publishes this host's current load, drain state and settings version.
     pub host_state: watch::Sender<Host>,
     /// Publishes the fleet settings in force.
-    pub fleet: watch::Sender<Arc<Fleet>>,
+    pub fleet: watch::Sender<Arc<FleetSettings>>,
     /// Publishes the route table in force; `None` before the first one.
     pub routes: watch::Sender<Option<Arc<Routes>>>,
     /// The metrics of this process.
@@ -237,7 +237,7 @@
     fn publish_settings(&self, view: &View) {
         for change in &view.changes {
             if let Change::Settings(version, text) = change
-                && let Ok(fleet) = text.parse::<Fleet>()
+                && let Ok(fleet) = text.parse::<FleetSettings>()
             {
                 tracing::info!(version, "fleet settings now in force on this entry host");
                 self.setup.fleet.send_replace(Arc::new(fleet));
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cornelhitch_settings::process::{Process, Role};
+use cornelhitch_settings::process::{ProcessSettings, Role};
 use cornelhitch_types::id::HostId;
 use snafu::ResultExt;
 use tokio::sync::{mpsc, watch};
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     /// Returns an error if a file cannot be read or the data folder cannot be opened.
-    pub fn start(process: Process, sockets: Sockets) -> Result<Self, Error> {
+    pub fn start(process: ProcessSettings, sockets: Sockets) -> Result<Self, Error> {
         Self::speak(process, sockets, Dialect::default())
     }
 
@@ -60,7 +60,11 @@
     ///
     /// # Errors
     /// Returns an error if a file cannot be read or the data folder cannot be opened.
-    pub fn speak(process: Process, sockets: Sockets, dialect: Dialect) -> Result<Self, Error> {
+    pub fn speak(
+        process: ProcessSettings,
+        sockets: Sockets,
+        dialect: Dialect,
+    ) -> Result<Self, Error> {
         let token = process.token.as_deref().map(Token::read).transpose()?;
         let (inbox, control_inbox, session_inbox) = inboxes(&process);
         let (cut, cuts) = watch::channel(Vec::new());
@@ -90,7 +94,7 @@
         }
         let mut serving = Vec::new();
         let mut drain = None;
-        if startup.process.has(Role::Entry) {
+        if startup.process.has_role(Role::Entry) {
             let (input, tasks) = startup.start_entry(&session, event_receiver, host_state, callers);
             startup.start_pages(&input, pages);
             drain = Some(input);
@@ -116,7 +120,7 @@
     }
 
     /// Applies the settings that may change while the process runs: the seeds.
-    pub fn reload(&self, process: &Process) {
+    pub fn reload(&self, process: &ProcessSettings) {
         if !process.seeds.is_empty() {
             self.session.replace_seeds(process.seed_peers());
         }
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use cornelhitch_settings::process::Process;
+use cornelhitch_settings::process::ProcessSettings;
 use snafu::{ResultExt, Snafu};
 use tokio::net::{TcpListener, UdpSocket};
 
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     /// Returns an error if an address is in use or not an address of this host.
-    pub async fn bind(process: &Process) -> Result<Self, Error> {
+    pub async fn bind(process: &ProcessSettings) -> Result<Self, Error> {
         let callers = listen("cannot listen for callers", process.callers).await?;
         let operators = listen("cannot listen for operators", process.operators).await?;
         let listen_at = process.peers_listen.unwrap_or(process.peers);
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -15,8 +15,8 @@
 use cornelhitch_quorum::disk::{DiskStore, ExpectedIdentity, Writer};
 use cornelhitch_quorum::membership_policy::MembershipPolicy;
 use cornelhitch_quorum::store::Store;
-use cornelhitch_settings::fleet::Fleet;
-use cornelhitch_settings::process::{Process, Role};
+use cornelhitch_settings::fleet::FleetSettings;
+use cornelhitch_settings::process::{ProcessSettings, Role};
 use cornelhitch_types::entry::Host;
 use cornelhitch_types::id::{HostId, Incarnation};
 use cornelhitch_wire::hello::{Identity, cluster_id};
@@ -54,7 +54,7 @@
 
 /// What the tasks of a process share when they are started.
 pub(crate) struct Startup {
-    pub(crate) process: Process,
+    pub(crate) process: ProcessSettings,
     pub(crate) incarnation: Incarnation,
     pub(crate) addresses: Addresses,
     pub(crate) epoch: Instant,
@@ -68,7 +68,7 @@
 impl Startup {
     /// Starts the links and the datagram socket.
     pub(crate) fn connect(
-        process: Process,
+        process: ProcessSettings,
         dialect: Dialect,
         addresses: Addresses,
         listener: TcpListener,
@@ -141,7 +141,7 @@
             links: self.links.clone(),
             datagrams: self.datagrams.clone(),
             incoming,
-            host: self.process.has(Role::Entry).then_some(host),
+            host: self.process.has_role(Role::Entry).then_some(host),
             events,
             stop: self.stop.clone(),
         })
@@ -267,7 +267,7 @@
             .serving(self.process.serving)
             .seed(self.incarnation ^ host.host);
         let (input, inputs) = mpsc::unbounded_channel();
-        let (fleet, settings) = watch::channel(Arc::new(Fleet::default()));
+        let (fleet, settings) = watch::channel(Arc::new(FleetSettings::default()));
         let (routes, route_receiver) = watch::channel(None);
         let close = CancellationToken::new();
         let setup = entry::Setup {
@@ -297,7 +297,7 @@
         listener: TcpListener,
         close: CancellationToken,
         inputs: mpsc::UnboundedSender<Input>,
-        fleet: watch::Receiver<Arc<Fleet>>,
+        fleet: watch::Receiver<Arc<FleetSettings>>,
         routes: watch::Receiver<Option<Arc<Routes>>>,
     ) -> JoinHandle<()> {
         let metrics = self.metrics.clone();
@@ -400,7 +400,7 @@
 /// Creates the queues for messages from peers, with the receiving ends for the control task and the
 /// session.
 pub(crate) fn inboxes(
-    process: &Process,
+    process: &ProcessSettings,
 ) -> (
     Inbox,
     Option<mpsc::UnboundedReceiver<Incoming>>,
@@ -408,7 +408,7 @@
 ) {
     let (session, session_inbox) = mpsc::unbounded_channel();
     let (control, control_inbox) = mpsc::unbounded_channel();
-    let is_control = process.has(Role::Control);
+    let is_control = process.has_role(Role::Control);
     let inbox = Inbox {
         control: is_control.then_some(control),
         session,
--- a/crates/planner/examples/replay.rs
+++ b/crates/planner/examples/replay.rs
@@ -25,7 +25,7 @@
 
 use cornelhitch_planner::baseline::{IdleTimeout, LeastRecentlyUsed, NeverUnload};
 use cornelhitch_planner::policy::Policy;
-use cornelhitch_settings::fleet::Fleet;
+use cornelhitch_settings::fleet::FleetSettings;
 use rayon::prelude::*;
 use strum::IntoEnumIterator;
 
@@ -75,7 +75,7 @@
 /// Replays one trace with each policy and computes the costs.
 fn compare(
     name: &str,
-    fleet: &Arc<Fleet>,
+    fleet: &Arc<FleetSettings>,
     scenario: Scenario,
     seed: u64,
     policies: &[&str],
@@ -122,7 +122,7 @@
         if only_deployment.as_deref().is_some_and(|only| only != name) {
             continue;
         }
-        let fleet: Arc<Fleet> = Arc::new(text.parse()?);
+        let fleet: Arc<FleetSettings> = Arc::new(text.parse()?);
         let pairs: Vec<(Scenario, u64)> = Scenario::iter()
             .flat_map(|scenario| seeds.iter().map(move |seed| (scenario, *seed)))
             .collect();
--- a/crates/planner/examples/replay/run.rs
+++ b/crates/planner/examples/replay/run.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cornelhitch_planner::Planner;
-use cornelhitch_settings::fleet::Fleet;
+use cornelhitch_settings::fleet::FleetSettings;
 
 use super::stats::Stats;
 use super::trace::{Fault, LENGTH, Trace, WARM_UP};
@@ -16,7 +16,7 @@
 const IDLE_STEPS_PER_PLAN: u32 = 4;
 
 /// Replays a trace with a planner.
-pub fn run(fleet: &Arc<Fleet>, trace: &Trace, planner: &mut dyn Planner) -> Stats {
+pub fn run(fleet: &Arc<FleetSettings>, trace: &Trace, planner: &mut dyn Planner) -> Stats {
     let mut world = World::new(fleet);
     world.stats.from = WARM_UP;
     for (worker, model) in &trace.copies {
--- a/crates/planner/examples/replay/stats.rs
+++ b/crates/planner/examples/replay/stats.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cornelhitch_planner::fleet_state::Replica;
-use cornelhitch_settings::fleet::Fleet;
+use cornelhitch_settings::fleet::FleetSettings;
 use cornelhitch_types::id::Time;
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
@@ -89,7 +89,7 @@
     pub fn record_accelerator_time(
         &mut self,
         replicas: &[Replica],
-        fleet: &Arc<Fleet>,
+        fleet: &Arc<FleetSettings>,
         time: Duration,
         now: Time,
     ) {
--- a/crates/planner/examples/replay/trace.rs
+++ b/crates/planner/examples/replay/trace.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cornelhitch_settings::fleet::{Fleet, Model};
+use cornelhitch_settings::fleet::{FleetSettings, Model};
 use cornelhitch_types::id::{ModelId, RegionId, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -53,14 +53,14 @@
 
 /// Generates one trace.
 struct Generator<'a> {
-    fleet: &'a Fleet,
+    fleet: &'a FleetSettings,
     random: SmallRng,
     trace: Trace,
 }
 
 impl Trace {
     /// Generates the trace of a scenario from a seed.
-    pub fn new(fleet: &Fleet, scenario: Scenario, seed: u64) -> Self {
+    pub fn new(fleet: &FleetSettings, scenario: Scenario, seed: u64) -> Self {
         let mut generator = Generator {
             fleet,
             random: SmallRng::seed_from_u64(seed),
--- a/crates/planner/examples/replay/world.rs
+++ b/crates/planner/examples/replay/world.rs
@@ -10,7 +10,7 @@
 
 use cornelhitch_planner::decision::{Action, Decision};
 use cornelhitch_planner::fleet_state::{Demand, FleetState, Replica, Worker};
-use cornelhitch_settings::fleet::{Fleet, Model};
+use cornelhitch_settings::fleet::{FleetSettings, Model};
 use cornelhitch_types::id::{ModelId, Name, RegionId, ReplicaId, Time};
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct World {
     /// The settings in force.
-    pub fleet: Arc<Fleet>,
+    pub fleet: Arc<FleetSettings>,
     /// The workers, without their copies below accelerator memory.
     pub workers: Vec<Worker>,
     /// All replicas that hold memory.
@@ -78,7 +78,7 @@
 
 impl World {
     /// Creates an empty fleet with four workers in each region of the settings.
-    pub fn new(fleet: &Arc<Fleet>) -> Self {
+    pub fn new(fleet: &Arc<FleetSettings>) -> Self {
         let mut workers = Vec::new();
         for region in &fleet.regions {
             for index in 0..WORKERS_PER_REGION {
@@ -359,7 +359,7 @@
 }
 
 /// Returns the duration of a load at full speed, in seconds.
-fn load_seconds(fleet: &Fleet, bytes: u64, from: Stage) -> f64 {
+fn load_seconds(fleet: &FleetSettings, bytes: u64, from: Stage) -> f64 {
     let ms = match from {
         Stage::Remote => fleet.loading.remote_ms_per_gib,
         Stage::Disk => fleet.loading.disk_ms_per_gib,
--- a/crates/planner/examples/scale.rs
+++ b/crates/planner/examples/scale.rs
@@ -9,7 +9,7 @@
 use cornelhitch_planner::decision::{Action, Decision};
 use cornelhitch_planner::fleet_state::{Demand, FleetState, Replica, WeightCopy, Worker};
 use cornelhitch_planner::policy::Policy;
-use cornelhitch_settings::fleet::{Fleet, Model};
+use cornelhitch_settings::fleet::{FleetSettings, Model};
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
 use rand::rngs::SmallRng;
@@ -40,8 +40,8 @@
 }
 
 /// Returns the settings of a large fleet.
-fn fleet() -> Fleet {
-    let mut fleet = Fleet::default();
+fn fleet() -> FleetSettings {
+    let mut fleet = FleetSettings::default();
     fleet.loading.starts_per_second = 40.0;
     fleet.loading.concurrency = 80;
     fleet.placing.replicas = 400;
--- a/crates/planner/src/catalog.rs
+++ b/crates/planner/src/catalog.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use cornelhitch_settings::fleet::{Fleet, Model, Rules};
+use cornelhitch_settings::fleet::{FleetSettings, Model, Rules};
 use cornelhitch_types::id::{ModelId, Name};
 
 /// The settings of one model.
@@ -26,13 +26,13 @@
 /// All models of the settings in force.
 #[derive(Debug, Default)]
 pub struct Catalog {
-    fleet: Arc<Fleet>,
+    fleet: Arc<FleetSettings>,
     entries: BTreeMap<ModelId, ModelEntry>,
 }
 
 impl Catalog {
     /// Rebuilds the index if `fleet` is not the settings object that it was built from.
-    pub fn refresh(&mut self, fleet: &Arc<Fleet>) {
+    pub fn refresh(&mut self, fleet: &Arc<FleetSettings>) {
         if Arc::ptr_eq(&self.fleet, fleet) {
             return;
         }
@@ -46,7 +46,7 @@
 
     /// Returns the settings that the index was built from.
     #[must_use]
-    pub fn fleet(&self) -> &Fleet {
+    pub fn fleet(&self) -> &FleetSettings {
         &self.fleet
     }
 
@@ -69,7 +69,7 @@
 }
 
 /// Resolves the class, group and exceptions of a model.
-fn model_entry(fleet: &Fleet, model: &Model) -> ModelEntry {
+fn model_entry(fleet: &FleetSettings, model: &Model) -> ModelEntry {
     let class = model.class.as_ref().and_then(|name| fleet.class(name));
     ModelEntry {
         model: model.clone(),
--- a/crates/planner/src/fleet_state.rs
+++ b/crates/planner/src/fleet_state.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use cornelhitch_settings::fleet::Fleet;
+use cornelhitch_settings::fleet::FleetSettings;
 use cornelhitch_types::id::{ModelId, Name, RegionId, ReplicaId, TargetId, Time, ZoneId};
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetState {
     /// The settings in force.
-    pub settings: Arc<Fleet>,
+    pub settings: Arc<FleetSettings>,
     /// Registered workers, sorted by name.
     pub workers: Vec<Worker>,
     /// Replicas whose load was decided and whose memory is still reserved.
--- a/crates/planner/tests/fake_fleet/mod.rs
+++ b/crates/planner/tests/fake_fleet/mod.rs
@@ -12,7 +12,7 @@
 use cornelhitch_planner::fleet_state::{
     Demand, FleetState, LoadCooldown, Replica, WeightCopy, Worker,
 };
-use cornelhitch_settings::fleet::Fleet;
+use cornelhitch_settings::fleet::FleetSettings;
 use cornelhitch_types::id::{ModelId, Time};
 use cornelhitch_types::target::Stage;
 use cornelhitch_types::view::State;
@@ -50,7 +50,7 @@
 /// The state of the fleet, its faults and counters.
 pub struct FakeFleet {
     pub now: Time,
-    pub fleet: Fleet,
+    pub fleet: FleetSettings,
     pub workers: Vec<Worker>,
     pub replicas: Vec<Replica>,
     /// Replicas that the fleet state does not show yet, and the time from which it does.
--- a/crates/planner/tests/keeping.rs
+++ b/crates/planner/tests/keeping.rs
@@ -5,7 +5,7 @@
 use cornelhitch_planner::demand::{ModelDemand, ModelVersion};
 use cornelhitch_planner::history::RequestHistory;
 use cornelhitch_planner::keep_alive::{CostBased, KeepAliveInputs, KeepAlivePolicy};
-use cornelhitch_settings::fleet::{Fleet, Keeping, Rules};
+use cornelhitch_settings::fleet::{FleetSettings, Keeping, Rules};
 
 /// Requests at regular gaps followed by an idle time, and the expected decisions.
 struct Case {
@@ -76,7 +76,7 @@
             accelerators: 1,
             idle: Duration::from_secs(case.idle_s),
             keeping: &keeping,
-            rules: Rules::from(&Fleet::default()),
+            rules: Rules::from(&FleetSettings::default()),
         };
         let decision = CostBased.decide(&inputs);
         assert_eq!(
@@ -105,7 +105,7 @@
             accelerators: 1,
             idle: Duration::from_secs(5),
             keeping: &keeping,
-            rules: Rules::from(&Fleet::default()),
+            rules: Rules::from(&FleetSettings::default()),
         };
         CostBased.eviction_cost(&inputs)
     };
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -13,8 +13,8 @@
 
 /// The fleet settings: defaults, catalogues of what exists, and exceptions from the defaults.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Fleet {
+#[serde(default, deny_unknown_fields, rename = "Fleet")]
+pub struct FleetSettings {
     /// Limits and durations of loads from the weight store and from workers' caches.
     pub loading: Loading,
     /// How long idle replicas are kept loaded.
@@ -248,13 +248,13 @@
     pub deadline_ms: Option<u64>,
 }
 
-impl Fleet {
+impl FleetSettings {
     /// Returns the model with the given name.
     ///
     /// ```
-    /// use cornelhitch_settings::fleet::Fleet;
+    /// use cornelhitch_settings::fleet::FleetSettings;
     ///
-    /// let fleet: Fleet = "models: [{ name: report, bytes: 1000 }]".parse()?;
+    /// let fleet: FleetSettings = "models: [{ name: report, bytes: 1000 }]".parse()?;
     /// assert!(fleet.model("report").is_some());
     /// assert!(fleet.model("preview").is_none());
     /// # Ok::<(), cornelhitch_settings::error::Error>(())
@@ -288,13 +288,13 @@
     /// by exceptions for the model itself.
     ///
     /// ```
-    /// use cornelhitch_settings::fleet::Fleet;
+    /// use cornelhitch_settings::fleet::FleetSettings;
     ///
     /// let text = "
     /// models: [{ name: report, bytes: 1000 }]
     /// exceptions: [{ reason: lanes, model: report, replicas: 2 }]
     /// ";
-    /// let fleet: Fleet = text.parse()?;
+    /// let fleet: FleetSettings = text.parse()?;
     /// assert_eq!(fleet.rules("report").replicas, 2);
     /// # Ok::<(), cornelhitch_settings::error::Error>(())
     /// ```
@@ -317,7 +317,7 @@
     }
 }
 
-impl FromStr for Fleet {
+impl FromStr for FleetSettings {
     type Err = Error;
 
     /// Parses and validates the settings; the error lists all faults with their positions.
@@ -341,8 +341,8 @@
     pub deadline: Duration,
 }
 
-impl From<&Fleet> for Rules {
-    fn from(fleet: &Fleet) -> Self {
+impl From<&FleetSettings> for Rules {
+    fn from(fleet: &FleetSettings) -> Self {
         Self {
             minimum: Duration::from_secs(fleet.keeping.minimum_s),
             maximum: Duration::from_secs(fleet.keeping.maximum_s),
--- a/crates/settings/src/fleet_constraints.rs
+++ b/crates/settings/src/fleet_constraints.rs
@@ -5,7 +5,7 @@
 
 use crate::document::{Position, integer, items, position, scalar};
 use crate::error::Fault;
-use crate::fleet::Fleet;
+use crate::fleet::FleetSettings;
 use crate::table::MAX_MODEL_BYTES;
 
 /// Largest accelerator memory of one model on one accelerator, in bytes.
@@ -261,7 +261,7 @@
     }
 
     /// Returns the values in force for a model, with one exception left out; mirrors
-    /// [`Fleet::rules`].
+    /// [`FleetSettings::rules`].
     fn values(&self, model: &Model, without: Option<usize>) -> RuleValues {
         let mut values = self.defaults;
         let covers =
@@ -297,7 +297,7 @@
 
 /// Returns the defaults of a document, with built-in defaults where it sets none.
 fn defaults(root: &Node) -> RuleValues {
-    let built_in = Fleet::default();
+    let built_in = FleetSettings::default();
     let built_in = [
         built_in.keeping.minimum_s,
         built_in.keeping.maximum_s,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,12 +1,12 @@
 //! Settings: the fleet's defaults and exceptions, and the settings of one process.
 //!
-//! The two are separate: [`fleet::Fleet`] is what operators change at run time and all processes
-//! agree on; [`process::Process`] is what one process reads from its own file at startup.
+//! The two are separate: [`fleet::FleetSettings`] is what operators change at run time and all processes
+//! agree on; [`process::ProcessSettings`] is what one process reads from its own file at startup.
 //!
 //! ```
-//! use cornelhitch_settings::fleet::Fleet;
+//! use cornelhitch_settings::fleet::FleetSettings;
 //!
-//! let fleet: Fleet = "models: [{ name: report, bytes: 1000 }]".parse()?;
+//! let fleet: FleetSettings = "models: [{ name: report, bytes: 1000 }]".parse()?;
 //! assert_eq!(fleet.models[0].accelerators, 1);
 //! # Ok::<(), cornelhitch_settings::error::Error>(())
 //! ```
--- a/crates/settings/src/manual.rs
+++ b/crates/settings/src/manual.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-use crate::fleet::Fleet;
+use crate::fleet::FleetSettings;
 use crate::schema::{Key, Schema, TextFormat, ValueType};
 use crate::table::{FLEET, PROCESS};
 
@@ -13,7 +13,7 @@
 /// ```
 #[must_use]
 pub fn page() -> String {
-    let fleet: Fleet = MINIMAL_FLEET.parse().unwrap_or_default();
+    let fleet: FleetSettings = MINIMAL_FLEET.parse().unwrap_or_default();
     let defaults = serde_json::to_value(fleet).unwrap_or_default();
     [
         PAGE_INTRO,
--- a/crates/settings/src/prelude.rs
+++ b/crates/settings/src/prelude.rs
@@ -1,5 +1,5 @@
 //! Commonly used types, for glob imports.
 
 pub use crate::error::Error;
-pub use crate::fleet::Fleet;
-pub use crate::process::Process;
+pub use crate::fleet::FleetSettings;
+pub use crate::process::ProcessSettings;
--- a/crates/settings/src/print.rs
+++ b/crates/settings/src/print.rs
@@ -4,11 +4,11 @@
 
 use serde_json::Value;
 
-use crate::fleet::Fleet;
+use crate::fleet::FleetSettings;
 use crate::schema::{Schema, ValueType};
 use crate::table::FLEET;
 
-impl fmt::Display for Fleet {
+impl fmt::Display for FleetSettings {
     /// Writes all settings in block style, with the keys in the order of the schema.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let value = serde_json::to_value(self).map_err(|_| fmt::Error)?;
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -26,8 +26,8 @@
 
 /// The settings of one process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Process {
+#[serde(deny_unknown_fields, rename = "Process", rename_all = "kebab-case")]
+pub struct ProcessSettings {
     /// Name of the cluster; frames of other clusters are dropped.
     pub cluster: String,
     /// Id of this host; with `seeds` it is derived from `peers` by [`host_id_from_address`].
@@ -137,7 +137,7 @@
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Serving {
     /// What the host does after it has lost its lease on the settings.
-    pub isolated: Isolated,
+    pub isolated: IsolationPolicy,
     /// Longest time for which callers may cache the list of entry hosts, in milliseconds.
     pub max_age_ms: u64,
     /// Time for which a host that shuts down still accepts requests, in milliseconds.
@@ -159,7 +159,7 @@
 impl Default for Serving {
     fn default() -> Self {
         Self {
-            isolated: Isolated::Refuse,
+            isolated: IsolationPolicy::Refuse,
             max_age_ms: 10_000,
             leave_ms: 10_000,
             strikes: 2,
@@ -173,9 +173,9 @@
 
 /// What an entry host does after it has lost its lease on the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display, EnumString)]
-#[serde(rename_all = "kebab-case")]
+#[serde(rename = "Isolated", rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
-pub enum Isolated {
+pub enum IsolationPolicy {
     /// Refuses new requests, so that a change is in force once all leases on older settings have
     /// expired.
     Refuse,
@@ -194,7 +194,7 @@
     pub address: SocketAddr,
 }
 
-impl Process {
+impl ProcessSettings {
     /// Returns the seeds as peers, at the port of this process's `peers` address.
     #[must_use]
     pub fn seed_peers(&self) -> Vec<Peer> {
@@ -209,12 +209,12 @@
 
     /// Returns whether the process has a role.
     #[must_use]
-    pub fn has(&self, role: Role) -> bool {
+    pub fn has_role(&self, role: Role) -> bool {
         self.roles.contains(&role)
     }
 }
 
-impl FromStr for Process {
+impl FromStr for ProcessSettings {
     type Err = Error;
 
     /// Parses and validates the settings; the error lists all faults with their positions.
@@ -228,7 +228,7 @@
     }
 }
 
-/// Returns the default of [`Process::losses`].
+/// Returns the default of [`ProcessSettings::losses`].
 fn default_losses() -> u32 {
     1
 }
--- a/crates/settings/src/table/tests.rs
+++ b/crates/settings/src/table/tests.rs
@@ -3,8 +3,8 @@
 use serde_json::Value;
 
 use super::{FLEET, PROCESS};
-use crate::fleet::{Exception, Fleet};
-use crate::process::Process;
+use crate::fleet::{Exception, FleetSettings};
+use crate::process::ProcessSettings;
 use crate::schema::{Schema, ValueType};
 
 /// Asserts that a value has exactly the keys of a schema, recursively.
@@ -37,7 +37,7 @@
 models: [{ name: a, bytes: 1, group: a }]
 services: [{ name: a }]
 ";
-    let mut fleet: Fleet = text.parse().expect("settings are valid");
+    let mut fleet: FleetSettings = text.parse().expect("settings are valid");
     fleet.exceptions.push(Exception::default());
     assert_same_keys(&serde_json::to_value(&fleet).expect("JSON"), &FLEET);
 }
@@ -49,6 +49,6 @@
   operators: '10.0.0.1:2', peers: '10.0.0.1:3', voters: [{ host: 2, address: '10.0.0.2:3' }],
   zones: [{ name: a, region: a }], keys: a, token: b }
 ";
-    let process: Process = text.parse().expect("settings are valid");
+    let process: ProcessSettings = text.parse().expect("settings are valid");
     assert_same_keys(&serde_json::to_value(&process).expect("JSON"), &PROCESS);
 }
--- a/crates/settings/tests/examples.rs
+++ b/crates/settings/tests/examples.rs
@@ -1,6 +1,6 @@
 //! The example settings of both deployments parse and contain the sizes that the users stated.
 
-use cornelhitch_settings::fleet::Fleet;
+use cornelhitch_settings::fleet::FleetSettings;
 
 /// The expected contents of one deployment's example settings.
 struct Case {
@@ -40,7 +40,7 @@
 #[test]
 fn example_settings_have_the_stated_sizes() {
     for case in CASES {
-        let fleet: Fleet = case.text.parse().expect("an example loads");
+        let fleet: FleetSettings = case.text.parse().expect("an example loads");
         assert_eq!(fleet.models.len(), case.models);
         let adapters: usize = fleet.models.iter().map(|model| model.adapters.len()).sum();
         assert_eq!(adapters, case.adapters);
@@ -57,7 +57,7 @@
 #[test]
 fn example_models_have_a_known_group_and_class() {
     for case in CASES {
-        let fleet: Fleet = case.text.parse().expect("an example loads");
+        let fleet: FleetSettings = case.text.parse().expect("an example loads");
         for model in &fleet.models {
             let class = model.class.as_ref().expect("a class");
             assert!(fleet.class(class).is_some(), "{}: {class}", model.name);
--- a/crates/settings/tests/fleet.rs
+++ b/crates/settings/tests/fleet.rs
@@ -1,12 +1,12 @@
 //! Errors in fleet settings: each has its position, and all are reported at once.
 
-use cornelhitch_settings::fleet::Fleet;
+use cornelhitch_settings::fleet::FleetSettings;
 use cornelhitch_settings::prelude::Error;
 use expect_test::expect;
 
 /// Returns the error message for a text, or "none" if it is valid.
 fn faults(text: &str) -> String {
-    let fleet: Result<Fleet, Error> = text.parse();
+    let fleet: Result<FleetSettings, Error> = text.parse();
     fleet.map_or_else(|error| error.to_string(), |_| "none".to_owned())
 }
 
--- a/crates/settings/tests/process.rs
+++ b/crates/settings/tests/process.rs
@@ -1,6 +1,6 @@
 //! Errors in the settings of one process.
 
-use cornelhitch_settings::prelude::{Error, Process};
+use cornelhitch_settings::prelude::{Error, ProcessSettings};
 use cornelhitch_settings::process::Role;
 
 /// Valid settings of a host with both roles.
@@ -47,14 +47,14 @@
 
 #[test]
 fn each_fault_is_reported_with_its_position() {
-    let valid: Process = VALID.parse().expect("settings are valid");
-    assert!(valid.has(Role::Control));
+    let valid: ProcessSettings = VALID.parse().expect("settings are valid");
+    assert!(valid.has_role(Role::Control));
     assert_eq!(valid.voters.len(), 3);
     for row in ROWS.trim().lines() {
         let cells: Vec<_> = row.split('|').map(str::trim).collect();
         assert!(VALID.contains(cells[0]), "{row}");
         let text = VALID.replacen(cells[0], cells[1], 1);
-        let process: Result<Process, Error> = text.parse();
+        let process: Result<ProcessSettings, Error> = text.parse();
         let found = process.expect_err(row).to_string();
         let expected = cells[2].replace(" // ", "\n");
         assert_eq!(found, expected, "{row}");
@@ -67,7 +67,7 @@
         .replace("[entry, control]", "[entry]")
         .replace("host: 1\n", "host: 4\n");
     let found = entry
-        .parse::<Process>()
+        .parse::<ProcessSettings>()
         .expect_err("it has data")
         .to_string();
     assert_eq!(
@@ -75,7 +75,7 @@
         "13:7: `data` requires the role `control`, which this process lacks"
     );
     let entry = entry.replace("data: /var/lib/cornelhitch\n", "");
-    assert!(entry.parse::<Process>().is_ok());
+    assert!(entry.parse::<ProcessSettings>().is_ok());
 }
 
 /// The platform gives the retry window in seconds, possibly fractional; its template appends an
@@ -84,7 +84,7 @@
 fn retry_window_accepts_an_exponent() {
     let own = |window: &str| format!("{VALID}serving: {{ retry-window-ms: {window} }}\n");
     for (text, ms) in [("10000", 10_000.0), ("10e3", 10_000.0), ("7.5e3", 7_500.0)] {
-        let process: Process = own(text).parse().expect("settings");
+        let process: ProcessSettings = own(text).parse().expect("settings");
         let read = process.serving.retry_window_ms;
         assert!((read - ms).abs() < 1e-6, "{text}: {read}");
     }
--- a/crates/settings/tests/round.rs
+++ b/crates/settings/tests/round.rs
@@ -1,7 +1,7 @@
 //! Parsing never panics on any text, and printed settings parse back to equal settings.
 
-use cornelhitch_settings::fleet::{Class, Exception, Fleet, Group, Model, Region, Service};
-use cornelhitch_settings::process::Process;
+use cornelhitch_settings::fleet::{Class, Exception, FleetSettings, Group, Model, Region, Service};
+use cornelhitch_settings::process::ProcessSettings;
 use proptest::collection::vec;
 use proptest::option;
 use proptest::prelude::*;
@@ -48,8 +48,8 @@
         deadline in option::of(1_u64..86_400_000),
         reason in "[^\u{0}]{0,12}[a-z:\"'#]",
         flag: bool,
-    ) -> Fleet {
-        let mut fleet = Fleet::default();
+    ) -> FleetSettings {
+        let mut fleet = FleetSettings::default();
         fleet.loading.starts_per_second = starts;
         fleet.keeping.minimum_s = minimum;
         for name in &names {
@@ -129,15 +129,15 @@
     #[test]
     fn printed_settings_parse_back_equal(fleet in fleet()) {
         let text = fleet.to_string();
-        let read: Result<Fleet, _> = text.parse();
+        let read: Result<FleetSettings, _> = text.parse();
         prop_assert_eq!(read.map_err(|error| format!("{error}\n{text}")), Ok(fleet));
     }
 
     #[test]
     fn any_text_is_parsed_or_rejected_with_valid_positions(text in prop_oneof![nearly(), any::<String>()]) {
         for faults in [
-            text.parse::<Fleet>().err().map(|error| error.faults),
-            text.parse::<Process>().err().map(|error| error.faults),
+            text.parse::<FleetSettings>().err().map(|error| error.faults),
+            text.parse::<ProcessSettings>().err().map(|error| error.faults),
         ].into_iter().flatten() {
             prop_assert!(!faults.is_empty());
             let lines = text.split(['\n', '\r']).count();
--- a/crates/trial/src/cluster.rs
+++ b/crates/trial/src/cluster.rs
@@ -6,7 +6,7 @@
 
 use cornelhitch_node::node::{self, Node};
 use cornelhitch_node::socket::{self, Addresses, Sockets};
-use cornelhitch_settings::process::{Peer, Process, Protocol, Role, Serving};
+use cornelhitch_settings::process::{Peer, ProcessSettings, Protocol, Role, Serving};
 use cornelhitch_types::id::HostId;
 use rand::Rng;
 use snafu::{ResultExt, Snafu};
@@ -57,7 +57,7 @@
 /// One host of a cluster.
 pub struct Host {
     /// Settings of the process, with the ports that were bound.
-    pub process: Process,
+    pub process: ProcessSettings,
     /// Addresses on which the host listens.
     pub addresses: Addresses,
     running: Option<RunningHost>,
@@ -256,13 +256,13 @@
 }
 
 /// Returns the settings of a host's process, with port 0 until the sockets are bound.
-fn process_settings(directory: &TempDir, spec: &ClusterSpec, index: usize) -> Process {
+fn process_settings(directory: &TempDir, spec: &ClusterSpec, index: usize) -> ProcessSettings {
     let region = &spec.regions[index % spec.regions.len()];
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let is_voter = index < spec.voters;
     let mut roles = vec![Role::Entry];
     roles.extend(is_voter.then_some(Role::Control));
-    Process {
+    ProcessSettings {
         cluster: "trial".to_owned(),
         host: index as HostId + 1,
         region: region.as_str().into(),
@@ -309,7 +309,7 @@
 ///
 /// An ephemeral port could be taken by an outgoing connection while the host is stopped, so that
 /// the host could not bind it again.
-async fn bind_free_ports(process: &mut Process) -> Result<Sockets, Error> {
+async fn bind_free_ports(process: &mut ProcessSettings) -> Result<Sockets, Error> {
     loop {
         let port = rand::rng().random_range(PORT_RANGE);
         process.callers.set_port(port);
@@ -325,7 +325,7 @@
 
 /// Binds the same ports again for a stopped host. Retries because the sockets stay open until the
 /// old runtime has shut down.
-async fn rebind_ports(process: &Process) -> Result<Sockets, Error> {
+async fn rebind_ports(process: &ProcessSettings) -> Result<Sockets, Error> {
     let mut attempts_left = REBIND_ATTEMPTS;
     loop {
         match Sockets::bind(process).await {
@@ -346,7 +346,11 @@
 }
 
 /// Starts a node on its runtime.
-fn start_node(runtime: Runtime, process: &Process, sockets: Sockets) -> Result<RunningHost, Error> {
+fn start_node(
+    runtime: Runtime,
+    process: &ProcessSettings,
+    sockets: Sockets,
+) -> Result<RunningHost, Error> {
     let started = {
         let _entered = runtime.enter();
         Node::start(process.clone(), sockets)
