--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -13,7 +13,9 @@
 use bytes::Bytes;
 use cornelhitch_entry::action::Destination;
 use cornelhitch_entry::event::{Attempt as AttemptNumber, CallId, Event, Failure};
-use cornelhitch_target::client::{Call, Client, Gate, Generate, Part as Piece, RequestId};
+use cornelhitch_target::client::{
+    Client, Gate, GenerateRequest, Part as Piece, RequestId, ServiceRequest,
+};
 use cornelhitch_target::error::Error;
 use cornelhitch_types::refusal::Run;
 use futures_util::StreamExt;
@@ -125,16 +127,18 @@
 impl From<Error> for AttemptEnd {
     fn from(error: Error) -> Self {
         Self::Failed(match error {
-            Error::Withdrawn => return Self::Withdrawn,
+            Error::Cancelled => return Self::Withdrawn,
             Error::Connect { .. } | Error::Unsendable { .. } | Error::Unsupported { .. } => {
                 Failure::Connect
             }
             Error::Status {
                 run: Run::NotRun, ..
             } => Failure::Refused,
-            Error::Status { .. } | Error::Reported { .. } | Error::Large { .. } => Failure::Status,
-            Error::Broken { .. } => Failure::Broken,
-            Error::Crossed { .. } => Failure::MismatchedId,
+            Error::Status { .. } | Error::TargetFailed { .. } | Error::TooLarge { .. } => {
+                Failure::Status
+            }
+            Error::ConnectionBroken { .. } => Failure::Broken,
+            Error::MismatchedResponse { .. } => Failure::MismatchedId,
             Error::Truncated { .. } => Failure::Truncated,
         })
     }
@@ -195,7 +199,7 @@
         else {
             return Err(AttemptEnd::Withdrawn);
         };
-        let generate = Generate {
+        let generate = GenerateRequest {
             request: self.request.clone(),
             replica: self.to.replica.unwrap_or_default(),
             model: model.clone(),
@@ -222,7 +226,7 @@
         let mut deliver = Some(waits.deliver);
         while let Some(piece) = answer.parts.next().await {
             match piece.map_err(|error| self.target_error(error))? {
-                Piece::Event { to, bytes, .. } => {
+                Piece::Event { end: to, bytes, .. } => {
                     self.begin_answer(&mut deliver).await?;
                     self.send_head(&mut head).await?;
                     self.forward(to, bytes, &mut record).await?;
@@ -250,7 +254,7 @@
         else {
             return Err(AttemptEnd::Withdrawn);
         };
-        let call = Call {
+        let call = ServiceRequest {
             request: self.request.clone(),
             method: method.clone(),
             path: path.clone(),
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -74,7 +74,7 @@
 impl Service for Callers {
     async fn serve(&self, request: Request<Incoming>, from: SocketAddr) -> Response<Body> {
         let (parts, body) = request.into_parts();
-        if self.protocol.takes(parts.uri.path()) {
+        if self.protocol.handles_path(parts.uri.path()) {
             return self.serve_target(&parts, body).await;
         }
         let since = Instant::now();
@@ -137,7 +137,7 @@
             Err(refusal) => return Problem::from(&refusal).response(),
         };
         self.protocol
-            .answer(parts.uri.path(), receipt)
+            .response(parts.uri.path(), receipt)
             .map(body::full)
     }
 
@@ -145,7 +145,7 @@
     async fn forward_message(&self, message: TargetMessage) -> Receipt {
         let (answer, answered) = oneshot::channel();
         let _ = self.inputs.send(Input::TargetMessage(message, answer));
-        answered.await.unwrap_or(Receipt::Elsewhere)
+        answered.await.unwrap_or(Receipt::Unavailable)
     }
 
     /// Serves the requests that need no target.
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -342,13 +342,13 @@
     /// A heartbeat from a target that is missing from the view is answered with a request to
     /// announce again, since the first announcement may have been lost.
     fn target_message(&mut self, message: TargetMessage, receipt: oneshot::Sender<Receipt>) {
-        let mut answer = Receipt::Taken;
+        let mut answer = Receipt::Accepted;
         let upward = match message {
             TargetMessage::Announcement(announcement) => Upward::Announce(announcement),
             TargetMessage::Heartbeat(heartbeat) => {
                 let core = &self.setup.core;
                 if !core.knows_incarnation(&heartbeat.target, heartbeat.incarnation) {
-                    answer = Receipt::Announce;
+                    answer = Receipt::NotRegistered;
                 }
                 Upward::Heartbeat(heartbeat)
             }
@@ -362,7 +362,7 @@
                     return self.commit_leave(ended.target, incarnation, receipt);
                 }
                 // Another host may know the target.
-                let _ = receipt.send(Receipt::Elsewhere);
+                let _ = receipt.send(Receipt::Unavailable);
                 return;
             }
         };
--- a/crates/node/src/entry/background.rs
+++ b/crates/node/src/entry/background.rs
@@ -44,13 +44,13 @@
         tokio::spawn(async move {
             let committed = session.propose(leave.encode(), LEAVE_TIMEOUT).await;
             let answer = match committed {
-                Ok(_) => Receipt::Taken,
+                Ok(_) => Receipt::Accepted,
                 Err(error) => {
                     tracing::info!(
                         %error, ?leave,
                         "commit of a leave not confirmed; target told to use another host"
                     );
-                    Receipt::Elsewhere
+                    Receipt::Unavailable
                 }
             };
             let _ = receipt.send(answer);
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use cornelhitch_entry::event::Request;
-use cornelhitch_target::client::{Form, RequestId};
+use cornelhitch_target::client::{ApiFormat, RequestId};
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::refusal::Refusal;
 use http::{HeaderMap, Method, StatusCode};
@@ -24,7 +24,7 @@
         /// The model, version and adapter.
         model: Reference,
         /// The API that the body is written for.
-        form: Form,
+        form: ApiFormat,
         /// The caller's JSON body.
         body: Bytes,
         /// Whether the answer is streamed as server-sent events.
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -112,7 +112,7 @@
             );
             return documents.answer(&outcome).map(body::full);
         }
-        if self.targets.takes(parts.uri.path()) {
+        if self.targets.handles_path(parts.uri.path()) {
             return self.target(&parts, &body).await;
         }
         let mut response = Response::new(body::full(Bytes::new()));
@@ -162,7 +162,7 @@
             }
         };
         self.targets
-            .answer(parts.uri.path(), receipt)
+            .response(parts.uri.path(), receipt)
             .map(body::full)
     }
 
@@ -179,9 +179,9 @@
             .ask_control(|answer| TaskMessage::Target(Box::new(message), answer))
             .await;
         match (taken, self.leader()) {
-            (Some(()), _) => Receipt::Steered(self.address),
+            (Some(()), _) => Receipt::AcceptedRedirect(self.address),
             (None, Some(leader)) => Receipt::Redirect(leader),
-            (None, None) => Receipt::Elsewhere,
+            (None, None) => Receipt::Unavailable,
         }
     }
 
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -2,8 +2,8 @@
 
 use bytes::{Bytes, BytesMut};
 use cornelhitch_entry::event::{Event, Failure};
-use cornelhitch_target::client::{Chunks, Declined, Relay, Relayed};
-use cornelhitch_target::sse::{self, Splitter};
+use cornelhitch_target::client::{Chunks, DeclineReason, ForwardedRequest, ForwardedResponse};
+use cornelhitch_target::sse::{self, EventSplitter};
 use futures_util::StreamExt;
 use tokio::sync::oneshot;
 
@@ -71,8 +71,8 @@
     }
 
     /// Builds the request for the target.
-    fn relay_request(&self, routed: &Routed) -> Relay {
-        Relay {
+    fn relay_request(&self, routed: &Routed) -> ForwardedRequest {
+        ForwardedRequest {
             request: routed.id.clone(),
             target: self.to.target.clone(),
             method: routed.method.clone(),
@@ -92,7 +92,7 @@
     }
 
     /// Logs a refusal and reads the rest of its body, so that the connection can be reused.
-    async fn target_declined(&self, declined: Declined, body: Chunks) -> AttemptEnd {
+    async fn target_declined(&self, declined: DeclineReason, body: Chunks) -> AttemptEnd {
         let mut rest = body.map(|chunk| chunk.map_or(MAX_DRAIN_BYTES, |bytes| bytes.len()));
         let mut length = 0;
         while let Some(bytes) = rest.next().await {
@@ -106,8 +106,8 @@
             "target declined the request without running it"
         );
         AttemptEnd::Failed(match declined {
-            Declined::Busy => Failure::Refused,
-            Declined::Absent => Failure::WrongTarget,
+            DeclineReason::Busy => Failure::Refused,
+            DeclineReason::Absent => Failure::WrongTarget,
         })
     }
 
@@ -126,7 +126,7 @@
     /// Passes on each event of a stream once it is complete; returns the head if no event came.
     async fn forward_events(
         &self,
-        answer: Relayed,
+        answer: ForwardedResponse,
         deliver: &mut Option<oneshot::Receiver<()>>,
     ) -> Result<Option<Head>, AttemptEnd> {
         let mut head = self.resume.is_none().then(|| Head {
@@ -134,11 +134,11 @@
             headers: end_to_end_headers(&answer.headers),
         });
         let mut body = answer.body;
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let mut record = AnswerRecord::default();
         while let Some(chunk) = body.next().await {
             splitter.push(&chunk.map_err(|error| self.target_error(error))?);
-            while let Some(event) = splitter.event() {
+            while let Some(event) = splitter.next_event() {
                 let id = sse::Event::parse(&event).and_then(|event| event.id?.parse().ok());
                 self.begin_answer(deliver).await?;
                 if let Some(head) = head.take() {
@@ -148,7 +148,7 @@
                 self.forward(to, event, &mut record).await?;
             }
         }
-        if splitter.rest() > 0 {
+        if splitter.buffered_len() > 0 {
             return Err(AttemptEnd::Failed(Failure::Truncated));
         }
         self.begin_answer(deliver).await?;
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use cornelhitch_entry::event::{CallId, Request, RequestedResource};
 use cornelhitch_entry::fingerprint;
-use cornelhitch_target::client::Form;
+use cornelhitch_target::client::ApiFormat;
 use cornelhitch_types::id::Name;
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::refusal::{Reason, Refusal};
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Endpoint {
     /// A model, in the API that the path belongs to.
-    Model(Form),
+    Model(ApiFormat),
     /// A plain service.
     Service {
         /// The service's name.
@@ -65,7 +65,7 @@
     /// Returns a refusal if the method is wrong for the path.
     pub fn of(parts: &Parts) -> Option<Result<Self, Refusal>> {
         let path = parts.uri.path();
-        if let Ok(form) = Form::from_str(path) {
+        if let Ok(form) = ApiFormat::from_str(path) {
             return Some(if parts.method == Method::POST {
                 Ok(Self::Model(form))
             } else {
@@ -114,7 +114,7 @@
 }
 
 /// Reads a request to a model.
-fn model(id: CallId, form: Form, body: Bytes) -> Result<(Request, Payload), Refusal> {
+fn model(id: CallId, form: ApiFormat, body: Bytes) -> Result<(Request, Payload), Refusal> {
     let envelope: Envelope = serde_json::from_slice(&body)
         .map_err(|error| not_run(Reason::Malformed, format!("the body: {error}")))?;
     let reference: Reference = envelope
--- a/crates/standin/tests/announce.rs
+++ b/crates/standin/tests/announce.rs
@@ -21,7 +21,7 @@
 struct Entry {
     /// All messages so far.
     received: Arc<Mutex<Vec<Message>>>,
-    /// The next receipt, if it is not [`Receipt::Taken`].
+    /// The next receipt, if it is not [`Receipt::Accepted`].
     next_receipt: Arc<Mutex<Option<Receipt>>>,
 }
 
@@ -60,8 +60,8 @@
             .lock()
             .expect("mutex is not poisoned")
             .take();
-        let receipt = receipt.unwrap_or(Receipt::Taken);
-        Ok(Json.answer("", Ok(receipt)).map(Full::new))
+        let receipt = receipt.unwrap_or(Receipt::Accepted);
+        Ok(Json.response("", Ok(receipt)).map(Full::new))
     }
 
     /// Counts the messages that match a predicate.
@@ -114,7 +114,7 @@
         "a registered engine is not announced with every heartbeat"
     );
 
-    *entry.next_receipt.lock().expect("mutex is not poisoned") = Some(Receipt::Announce);
+    *entry.next_receipt.lock().expect("mutex is not poisoned") = Some(Receipt::NotRegistered);
     wait_until(|| entry.count(is_announcement(1)) >= 2).await;
 
     engine.crash();
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use cornelhitch_standin::engine::Engine;
-use cornelhitch_target::client::{Client, Form, Generate, Part};
+use cornelhitch_target::client::{ApiFormat, Client, GenerateRequest, Part};
 use cornelhitch_target::error::Error;
 use cornelhitch_target::http::Http;
 use cornelhitch_types::model::Reference;
@@ -96,12 +96,12 @@
 }
 
 /// Returns a streamed or plain request for the model.
-pub fn generate(id: &str, stream: bool, resume_from: Option<u64>) -> Generate {
-    Generate {
+pub fn generate(id: &str, stream: bool, resume_from: Option<u64>) -> GenerateRequest {
+    GenerateRequest {
         request: id.into(),
         replica: 1,
         model: model(),
-        form: Form::Chat,
+        form: ApiFormat::Chat,
         body: BODY.into(),
         stream,
         priority: 1,
@@ -120,7 +120,7 @@
 }
 
 /// Sends a generation request and reads its response to the end.
-pub async fn collect(address: SocketAddr, generate: Generate) -> Collected {
+pub async fn collect(address: SocketAddr, generate: GenerateRequest) -> Collected {
     let http = Http::default();
     let mut text = String::new();
     let answer = http.generate(address, generate, Box::new(|| true)).await;
--- a/crates/standin/tests/contract.rs
+++ b/crates/standin/tests/contract.rs
@@ -11,7 +11,9 @@
 use common::wait_until;
 use cornelhitch_standin::engine::Engine;
 use cornelhitch_standin::service::Service;
-use cornelhitch_target::client::{Cache, Call, Client, Form, Generate, Part};
+use cornelhitch_target::client::{
+    ApiFormat, Client, GenerateRequest, KvCache, Part, ServiceRequest,
+};
 use cornelhitch_target::http::Http;
 use cornelhitch_target::inbound::{Json, Protocol, Receipt};
 use cornelhitch_types::order::{Order, Outcome};
@@ -44,9 +46,9 @@
     assert_eq!(inbound.len(), 5);
     for exchange in inbound {
         let request = &exchange.request;
-        assert!(Json.takes(request.path()));
+        assert!(Json.handles_path(request.path()));
         let message = Json.decode(&request.method(), request.path(), &request.body);
-        let answer = Json.answer("", message.map(|_| Receipt::Taken));
+        let answer = Json.response("", message.map(|_| Receipt::Accepted));
         let (head, body) = answer.into_parts();
         exchange
             .response
@@ -211,7 +213,7 @@
 /// Exports or imports a KV cache.
 async fn transfer_kv(http: &Http, address: SocketAddr, exchange: &Exchange) -> bool {
     let request = &exchange.request;
-    let cache = Cache {
+    let cache = KvCache {
         request: request.text("x-request-id").into(),
         replica: request.number("x-replica").expect("a replica"),
         model: request.text("x-model").parse().expect("a model"),
@@ -231,7 +233,7 @@
     let mut headers = http::HeaderMap::new();
     let key = request.text("idempotency-key").parse().expect("a key");
     headers.insert("idempotency-key", key);
-    let call = Call {
+    let call = ServiceRequest {
         request: request.text("x-request-id").into(),
         method: request.method(),
         path: request.path().to_owned(),
@@ -247,11 +249,11 @@
 /// Requests a generation and compares the joined parts with the documented body.
 async fn generate(http: &Http, address: SocketAddr, exchange: &Exchange) -> bool {
     let request = &exchange.request;
-    let generate = Generate {
+    let generate = GenerateRequest {
         request: request.text("x-request-id").into(),
         replica: request.number("x-replica").expect("a replica"),
         model: request.text("x-model").parse().expect("a model"),
-        form: request.path().parse::<Form>().expect("a form"),
+        form: request.path().parse::<ApiFormat>().expect("a form"),
         body: request.body.clone(),
         stream: request.text("accept") == "text/event-stream",
         priority: u32::try_from(request.number("x-priority").expect("a priority"))
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -8,7 +8,7 @@
     BODY, TOKENS, collect, engine, generate, load, load_model, model, order, send, wait_until,
 };
 use cornelhitch_standin::text;
-use cornelhitch_target::client::{Cache, Client};
+use cornelhitch_target::client::{Client, KvCache};
 use cornelhitch_target::error::Error;
 use cornelhitch_target::http::{Http, Version};
 use cornelhitch_types::order::{Action, Outcome, Reply};
@@ -45,7 +45,7 @@
 async fn http_2_serves_concurrent_requests() {
     let engine = engine(|builder| builder).await;
     load_model(&engine).await;
-    let http = Http::builder().version(Version::Two).build();
+    let http = Http::builder().version(Version::Http2).build();
     let asks = (0..20).map(|at| {
         let (http, address) = (http.clone(), engine.address());
         async move {
@@ -116,7 +116,7 @@
         .generate(engine.address(), generate("r1", true, None), shut)
         .await;
     let error = answer.err().expect("no answer");
-    assert!(matches!(error, Error::Withdrawn), "{error}");
+    assert!(matches!(error, Error::Cancelled), "{error}");
     let held = order(&engine, 2, 2, load(1));
     let outcome = http
         .order(engine.address(), &held, common::TIMEOUT, Box::new(|| false))
@@ -202,7 +202,7 @@
             .any(|copy| !copy.adapters.is_empty())
     })
     .await;
-    let generate = cornelhitch_target::client::Generate {
+    let generate = cornelhitch_target::client::GenerateRequest {
         model: with_adapter(),
         ..generate("r1", true, None)
     };
@@ -210,7 +210,7 @@
     assert_eq!(got.text, text::answer(&with_adapter(), BODY, TOKENS));
 
     let other = common::engine(|builder| builder).await;
-    let cache = Cache {
+    let cache = KvCache {
         request: "kv1".into(),
         replica: 1,
         model: model(),
@@ -232,7 +232,7 @@
 
 #[tokio::test]
 async fn a_connection_closed_by_a_crash_is_not_reused() {
-    for version in [Version::One, Version::Two] {
+    for version in [Version::Http1, Version::Http2] {
         let engine = engine(|builder| builder).await;
         let http = Http::builder().version(version).build();
         for incarnation in 1..4 {
--- a/crates/standin/tests/fault.rs
+++ b/crates/standin/tests/fault.rs
@@ -90,7 +90,7 @@
     engine.fault(Fault::Stall);
     let silence = std::time::Duration::from_secs(2);
     let http = cornelhitch_target::http::Http::builder()
-        .silence(silence)
+        .read_timeout(silence)
         .build();
     let client: &dyn cornelhitch_target::client::Client = &http;
     let gate = Box::new(|| true);
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -3,17 +3,17 @@
 mod common;
 
 use cornelhitch_standin::service::{Failure, Service};
-use cornelhitch_target::client::{Call, Client};
+use cornelhitch_target::client::{Client, ServiceRequest};
 use cornelhitch_target::http::Http;
 use cornelhitch_types::refusal::Run;
 use http::{HeaderMap, HeaderValue, Method};
 use tokio_util::sync::CancellationToken;
 
 /// Returns a request with an idempotency key.
-fn bid_with_key(key: &'static str) -> Call {
+fn bid_with_key(key: &'static str) -> ServiceRequest {
     let mut headers = HeaderMap::new();
     headers.insert("idempotency-key", HeaderValue::from_static(key));
-    Call {
+    ServiceRequest {
         request: "r-1".into(),
         method: Method::POST,
         path: "/lots/17/bids?lane=2".into(),
--- a/crates/target/examples/events.rs
+++ b/crates/target/examples/events.rs
@@ -6,7 +6,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use cornelhitch_target::sse::{Event, Splitter};
+use cornelhitch_target::sse::{Event, EventSplitter};
 
 /// Number of events in a run.
 const EVENTS: u64 = 200_000;
@@ -50,13 +50,13 @@
 /// Returns the duration of one run in seconds.
 fn run(bytes: &[u8], size: usize) -> f64 {
     let start = Instant::now();
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let mut tokens = 0;
     for piece in bytes.chunks(size) {
         splitter.push(piece);
-        while let Some(event) = splitter.event() {
+        while let Some(event) = splitter.next_event() {
             let position = Event::parse(&event).and_then(|event| event.position());
-            tokens += position.map_or(0, |position| position.to - position.from);
+            tokens += position.map_or(0, |position| position.end - position.start);
             black_box(&event);
         }
     }
--- a/crates/target/src/client.rs
+++ b/crates/target/src/client.rs
@@ -41,7 +41,7 @@
 
 /// The endpoint of the `OpenAI` API that a generation request uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumString, EnumIter)]
-pub enum Form {
+pub enum ApiFormat {
     /// Chat completion: the body holds the messages of a conversation.
     #[strum(serialize = "/v1/chat/completions")]
     Chat,
@@ -52,7 +52,7 @@
 
 /// A generation request to a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Generate {
+pub struct GenerateRequest {
     /// The id of the request.
     pub request: RequestId,
     /// The replica that is to answer.
@@ -60,7 +60,7 @@
     /// The model, version and adapter.
     pub model: Reference,
     /// The endpoint, which determines the format of the body.
-    pub form: Form,
+    pub form: ApiFormat,
     /// The caller's JSON, unchanged.
     pub body: Bytes,
     /// Whether the answer is streamed as server-sent events.
@@ -75,7 +75,7 @@
 
 /// A request to a service that runs no models.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Call {
+pub struct ServiceRequest {
     /// The id of the request.
     pub request: RequestId,
     /// The HTTP method.
@@ -94,7 +94,7 @@
 }
 
 /// The head of a model's answer, and a stream of its parts.
-pub struct Answer {
+pub struct GenerateResponse {
     /// The status, always a success.
     pub status: StatusCode,
     /// The response headers.
@@ -109,9 +109,9 @@
     /// A server-sent event, to be forwarded unchanged.
     Event {
         /// Tokens of the answer before the event.
-        from: u64,
+        start: u64,
         /// Tokens of the answer up to and including the event.
-        to: u64,
+        end: u64,
         /// The event, including the empty line that ends it.
         bytes: Bytes,
     },
@@ -124,7 +124,7 @@
 
 /// The complete response of a service, with any status.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reply {
+pub struct ServiceResponse {
     /// The response status.
     pub status: StatusCode,
     /// The response headers.
@@ -138,7 +138,7 @@
 
 /// A request that is forwarded unchanged.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Relay {
+pub struct ForwardedRequest {
     /// The id of the request, as the caller sent it.
     pub request: RequestId,
     /// The target that is to run it; another target that now has the address refuses it.
@@ -164,7 +164,7 @@
 /// The reason why a target did not run a forwarded request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Declined {
+pub enum DeclineReason {
     /// It has no capacity, or accepts no requests now.
     Busy,
     /// It is not the intended target, or does not hold the requested model.
@@ -172,13 +172,13 @@
 }
 
 /// The response to a forwarded request.
-pub struct Relayed {
+pub struct ForwardedResponse {
     /// The response status.
     pub status: StatusCode,
     /// The response headers.
     pub headers: HeaderMap,
     /// The reason why the target did not run the request, if it states that it did not.
-    pub declined: Option<Declined>,
+    pub declined: Option<DeclineReason>,
     /// The load that the target reported with the response.
     pub load: Option<Load>,
     /// The response body.
@@ -187,7 +187,7 @@
 
 /// The KV cache of a prompt prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Cache {
+pub struct KvCache {
     /// The id of the transfer.
     pub request: RequestId,
     /// The replica that the cache is fetched from or handed to.
@@ -236,9 +236,9 @@
     async fn generate(
         &self,
         _address: SocketAddr,
-        _generate: Generate,
+        _generate: GenerateRequest,
         _gate: Box<dyn Gate>,
-    ) -> Result<Answer, Error> {
+    ) -> Result<GenerateResponse, Error> {
         Err(Error::Unsupported { what: "generate" })
     }
 
@@ -252,9 +252,9 @@
     async fn relay(
         &self,
         _address: SocketAddr,
-        _relay: Relay,
+        _relay: ForwardedRequest,
         _gate: Box<dyn Gate>,
-    ) -> Result<Relayed, Error> {
+    ) -> Result<ForwardedResponse, Error> {
         Err(Error::Unsupported { what: "relay" })
     }
 
@@ -273,9 +273,9 @@
     async fn call(
         &self,
         _address: SocketAddr,
-        _call: Call,
+        _call: ServiceRequest,
         _gate: Box<dyn Gate>,
-    ) -> Result<Reply, Error> {
+    ) -> Result<ServiceResponse, Error> {
         Err(Error::Unsupported { what: "call" })
     }
 
@@ -283,7 +283,7 @@
     ///
     /// # Errors
     /// The worker did not return the cache, for example since it does not hold it.
-    async fn export(&self, _address: SocketAddr, _cache: &Cache) -> Result<Bytes, Error> {
+    async fn export(&self, _address: SocketAddr, _cache: &KvCache) -> Result<Bytes, Error> {
         Err(Error::Unsupported { what: "export" })
     }
 
@@ -291,7 +291,12 @@
     ///
     /// # Errors
     /// The worker did not accept the cache, for example for lack of room.
-    async fn import(&self, _address: SocketAddr, _cache: &Cache, _kv: Bytes) -> Result<(), Error> {
+    async fn import(
+        &self,
+        _address: SocketAddr,
+        _cache: &KvCache,
+        _kv: Bytes,
+    ) -> Result<(), Error> {
         Err(Error::Unsupported { what: "import" })
     }
 }
--- a/crates/target/src/error.rs
+++ b/crates/target/src/error.rs
@@ -35,10 +35,10 @@
     },
     /// The request's [`Gate`](crate::client::Gate) refused it.
     #[snafu(display("the request was cancelled before it was sent"))]
-    Withdrawn,
+    Cancelled,
     /// The connection broke after the request was sent.
     #[snafu(display("the connection to {address} broke: {detail}"))]
-    Broken {
+    ConnectionBroken {
         /// The target's address.
         address: SocketAddr,
         /// The cause.
@@ -49,17 +49,17 @@
         "the response is to {}, not to {expected}",
         found.as_deref().unwrap_or("no request")
     ))]
-    Crossed {
+    MismatchedResponse {
         /// The id of the request.
         expected: String,
         /// The id in the response, if it has one.
         found: Option<String>,
     },
     /// The response ended without its terminator, or tokens are missing in it.
-    #[snafu(display("the response was truncated after {to} tokens: {detail}"))]
+    #[snafu(display("the response was truncated after {tokens} tokens: {detail}"))]
     Truncated {
         /// Tokens received so far.
-        to: u64,
+        tokens: u64,
         /// What was missing or invalid.
         detail: String,
     },
@@ -76,16 +76,16 @@
         detail: String,
     },
     /// The target reported a failure in the middle of a stream.
-    #[snafu(display("the target reported a failure after {to} tokens: {detail}"))]
-    Reported {
+    #[snafu(display("the target reported a failure after {tokens} tokens: {detail}"))]
+    TargetFailed {
         /// Tokens received so far.
-        to: u64,
+        tokens: u64,
         /// The target's description of the failure.
         detail: String,
     },
     /// The response, or one of its events, exceeds the size limit.
     #[snafu(display("the response is larger than {limit} bytes"))]
-    Large {
+    TooLarge {
         /// The limit in bytes.
         limit: usize,
     },
@@ -98,8 +98,8 @@
     /// use cornelhitch_target::error::Error;
     /// use cornelhitch_types::refusal::Run;
     ///
-    /// assert_eq!(Error::Withdrawn.run(), Run::NotRun);
-    /// assert_eq!(Error::Large { limit: 10 }.run(), Run::Unknown);
+    /// assert_eq!(Error::Cancelled.run(), Run::NotRun);
+    /// assert_eq!(Error::TooLarge { limit: 10 }.run(), Run::Unknown);
     /// ```
     #[must_use]
     pub fn run(&self) -> Run {
@@ -107,13 +107,13 @@
             Self::Connect { .. }
             | Self::Unsendable { .. }
             | Self::Unsupported { .. }
-            | Self::Withdrawn => Run::NotRun,
+            | Self::Cancelled => Run::NotRun,
             Self::Status { run, .. } => *run,
-            Self::Reported { .. } => Run::Failed,
-            Self::Broken { .. }
-            | Self::Crossed { .. }
+            Self::TargetFailed { .. } => Run::Failed,
+            Self::ConnectionBroken { .. }
+            | Self::MismatchedResponse { .. }
             | Self::Truncated { .. }
-            | Self::Large { .. } => Run::Unknown,
+            | Self::TooLarge { .. } => Run::Unknown,
         }
     }
 }
--- a/crates/target/src/http.rs
+++ b/crates/target/src/http.rs
@@ -13,7 +13,10 @@
 use hyper::body::Body;
 use tokio::time::timeout;
 
-use crate::client::{Answer, Cache, Call, Chunks, Client, Gate, Generate, Reply, RequestId};
+use crate::client::{
+    Chunks, Client, Gate, GenerateRequest, GenerateResponse, KvCache, RequestId, ServiceRequest,
+    ServiceResponse,
+};
 use crate::error::Error;
 use crate::message::{
     REQUEST_ID, REQUESTS, broken_error, cache_request, check_id, generate_request, is_delimited,
@@ -23,7 +26,7 @@
 use crate::pool::{Pool, Sender};
 use crate::response_body::{self, ResponseBody};
 
-pub use crate::pool::{Outgoing, Version};
+pub use crate::pool::{OutgoingRequest, Version};
 
 /// Builds an [`Http`].
 #[derive(Debug, Clone)]
@@ -46,7 +49,7 @@
 impl Default for Builder {
     fn default() -> Self {
         Self {
-            version: Version::One,
+            version: Version::Http1,
             connect_timeout: Duration::from_secs(1),
             idle_timeout: Duration::from_secs(20),
             max_idle_per_target: 64,
@@ -67,15 +70,15 @@
 
     /// Sets the timeout for opening a connection.
     #[must_use]
-    pub fn connect(mut self, connect: Duration) -> Self {
-        self.connect_timeout = connect;
+    pub fn connect_timeout(mut self, connect_timeout: Duration) -> Self {
+        self.connect_timeout = connect_timeout;
         self
     }
 
     /// Sets how long a connection may stay idle; should be shorter than targets keep theirs open.
     #[must_use]
-    pub fn idle(mut self, idle: Duration) -> Self {
-        self.idle_timeout = idle;
+    pub fn idle_timeout(mut self, idle_timeout: Duration) -> Self {
+        self.idle_timeout = idle_timeout;
         self
     }
 
@@ -88,8 +91,8 @@
 
     /// Sets the longest time without data in a response body.
     #[must_use]
-    pub fn silence(mut self, silence: Duration) -> Self {
-        self.read_timeout = silence;
+    pub fn read_timeout(mut self, read_timeout: Duration) -> Self {
+        self.read_timeout = read_timeout;
         self
     }
 
@@ -102,8 +105,8 @@
 
     /// Sets the header in which responses repeat the request id.
     #[must_use]
-    pub fn id(mut self, id: HeaderName) -> Self {
-        self.id_header = id;
+    pub fn request_id_header(mut self, request_id_header: HeaderName) -> Self {
+        self.id_header = request_id_header;
         self
     }
 
@@ -131,7 +134,7 @@
 ///
 /// use cornelhitch_target::http::Http;
 ///
-/// let http = Http::builder().connect(Duration::from_millis(300)).build();
+/// let http = Http::builder().connect_timeout(Duration::from_millis(300)).build();
 /// # let _ = http;
 /// ```
 #[derive(Clone)]
@@ -177,7 +180,7 @@
     async fn send(
         &self,
         address: SocketAddr,
-        request: Outgoing,
+        request: OutgoingRequest,
         reuse: Reuse,
         gate: Box<dyn Gate>,
     ) -> Result<ReceivedResponse, Error> {
@@ -193,7 +196,7 @@
         };
         if !gate.pass().await {
             self.pool.put(address, sender, None);
-            return Err(Error::Withdrawn);
+            return Err(Error::Cancelled);
         }
         let received = self.send_on(address, request, sender, reused).await?;
         check_id(
@@ -212,7 +215,7 @@
     async fn send_on(
         &self,
         address: SocketAddr,
-        request: Outgoing,
+        request: OutgoingRequest,
         mut sender: Sender,
         reused: bool,
     ) -> Result<ReceivedResponse, Error> {
@@ -255,10 +258,10 @@
     ///
     /// # Errors
     /// [`Error::run`] of the error states whether the request may have run.
-    pub async fn pass(
+    pub async fn forward(
         &self,
         address: SocketAddr,
-        request: Outgoing,
+        request: OutgoingRequest,
         reuse: Reuse,
         gate: Box<dyn Gate>,
     ) -> Result<(http::response::Parts, Chunks), Error> {
@@ -271,17 +274,17 @@
     ///
     /// # Errors
     /// [`Error::run`] of the error states whether the request may have run.
-    pub async fn ask(
+    pub async fn request(
         &self,
         address: SocketAddr,
-        request: Outgoing,
+        request: OutgoingRequest,
         reuse: Reuse,
         gate: Box<dyn Gate>,
-    ) -> Result<Reply, Error> {
+    ) -> Result<ServiceResponse, Error> {
         let received = self.send(address, request, reuse, gate).await?;
         let (head, source) = self.split(address, received);
         let body = source.read_to_end(self.max_body_bytes).await?;
-        Ok(Reply {
+        Ok(ServiceResponse {
             status: head.status,
             headers: head.headers,
             body,
@@ -301,7 +304,7 @@
         let Ok(request) = order_request(address, order) else {
             return Outcome::Unsent;
         };
-        let asked = self.ask(address, request, Reuse::No, gate);
+        let asked = self.request(address, request, Reuse::No, gate);
         match timeout(limit, asked).await {
             Ok(Ok(reply)) => order_outcome(&reply),
             Ok(Err(error)) if error.run() == Run::NotRun => Outcome::Unsent,
@@ -312,9 +315,9 @@
     async fn generate(
         &self,
         address: SocketAddr,
-        generate: Generate,
+        generate: GenerateRequest,
         gate: Box<dyn Gate>,
-    ) -> Result<Answer, Error> {
+    ) -> Result<GenerateResponse, Error> {
         let id = generate.request.clone();
         let from = generate.resume_from.unwrap_or(0);
         let stream = generate.stream;
@@ -330,7 +333,7 @@
         } else {
             response_body::single_part(source, self.max_body_bytes)
         };
-        Ok(Answer {
+        Ok(GenerateResponse {
             status: head.status,
             headers: head.headers,
             parts,
@@ -341,7 +344,7 @@
         let path = format!("{REQUESTS}{request}");
         let outgoing = plain_request(address, Method::DELETE, &path, request, Bytes::new())?;
         let reply = self
-            .ask(address, outgoing, Reuse::Yes, Box::new(|| true))
+            .request(address, outgoing, Reuse::Yes, Box::new(|| true))
             .await?;
         if reply.status == StatusCode::NOT_FOUND {
             return Ok(());
@@ -352,9 +355,9 @@
     async fn call(
         &self,
         address: SocketAddr,
-        call: Call,
+        call: ServiceRequest,
         gate: Box<dyn Gate>,
-    ) -> Result<Reply, Error> {
+    ) -> Result<ServiceResponse, Error> {
         let reuse = if call.repeatable {
             Reuse::Yes
         } else {
@@ -366,21 +369,21 @@
         request.headers_mut().extend(call.headers);
         request.headers_mut().extend(own);
         set_deadline(request.headers_mut(), call.deadline);
-        self.ask(address, request, reuse, gate).await
+        self.request(address, request, reuse, gate).await
     }
 
-    async fn export(&self, address: SocketAddr, cache: &Cache) -> Result<Bytes, Error> {
+    async fn export(&self, address: SocketAddr, cache: &KvCache) -> Result<Bytes, Error> {
         let request = cache_request(address, Method::GET, cache, Bytes::new())?;
         let reply = self
-            .ask(address, request, Reuse::Yes, Box::new(|| true))
+            .request(address, request, Reuse::Yes, Box::new(|| true))
             .await?;
         require_success(reply).map(|reply| reply.body)
     }
 
-    async fn import(&self, address: SocketAddr, cache: &Cache, kv: Bytes) -> Result<(), Error> {
+    async fn import(&self, address: SocketAddr, cache: &KvCache, kv: Bytes) -> Result<(), Error> {
         let request = cache_request(address, Method::PUT, cache, kv)?;
         let reply = self
-            .ask(address, request, Reuse::Yes, Box::new(|| true))
+            .request(address, request, Reuse::Yes, Box::new(|| true))
             .await?;
         require_success(reply).map(drop)
     }
--- a/crates/target/src/inbound.rs
+++ b/crates/target/src/inbound.rs
@@ -33,12 +33,12 @@
     /// An announcement and a heartbeat in one message.
     Presence(Box<AnnouncedHeartbeat>),
     /// The target has terminated, or is about to.
-    Ended(Ended),
+    Ended(Terminated),
 }
 
 /// Notice that a target has terminated, or is about to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ended {
+pub struct Terminated {
     /// The target's name.
     pub target: TargetId,
     /// The incarnation that ended; `None` for the newest one that is known.
@@ -59,13 +59,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Receipt {
     /// The message was accepted.
-    Taken,
+    Accepted,
     /// The target is not registered and must announce itself again.
-    Announce,
+    NotRegistered,
     /// This host accepts no messages now; another one does.
-    Elsewhere,
+    Unavailable,
     /// The message was accepted; further ones should be sent to this address.
-    Steered(SocketAddr),
+    AcceptedRedirect(SocketAddr),
     /// This host accepts no messages now; the host at this address does.
     Redirect(SocketAddr),
 }
@@ -110,7 +110,7 @@
 /// Decodes the messages that targets send; implemented for each protocol that targets speak.
 pub trait Protocol: Send + Sync + 'static {
     /// Returns whether requests to this path are messages from targets.
-    fn takes(&self, path: &str) -> bool;
+    fn handles_path(&self, path: &str) -> bool;
 
     /// Decodes the message in a request.
     ///
@@ -119,7 +119,7 @@
     fn decode(&self, method: &Method, path: &str, body: &[u8]) -> Result<Message, Error>;
 
     /// Returns the response to a message that was sent to `path`.
-    fn answer(&self, path: &str, outcome: Result<Receipt, Error>) -> Response<Bytes>;
+    fn response(&self, path: &str, outcome: Result<Receipt, Error>) -> Response<Bytes>;
 }
 
 /// The JSON implementation of [`Protocol`], as `docs/INTERFACES.md` specifies it.
@@ -127,7 +127,7 @@
 pub struct Json;
 
 impl Protocol for Json {
-    fn takes(&self, path: &str) -> bool {
+    fn handles_path(&self, path: &str) -> bool {
         path.starts_with("/v1/targets/")
     }
 
@@ -140,11 +140,13 @@
         message
     }
 
-    fn answer(&self, _: &str, outcome: Result<Receipt, Error>) -> Response<Bytes> {
+    fn response(&self, _: &str, outcome: Result<Receipt, Error>) -> Response<Bytes> {
         let (status, detail) = match &outcome {
-            Ok(Receipt::Taken | Receipt::Steered(_)) => (StatusCode::NO_CONTENT, String::new()),
-            Ok(Receipt::Announce) => (StatusCode::GONE, "announce again".to_owned()),
-            Ok(Receipt::Elsewhere) => (StatusCode::SERVICE_UNAVAILABLE, "ask another".to_owned()),
+            Ok(Receipt::Accepted | Receipt::AcceptedRedirect(_)) => {
+                (StatusCode::NO_CONTENT, String::new())
+            }
+            Ok(Receipt::NotRegistered) => (StatusCode::GONE, "announce again".to_owned()),
+            Ok(Receipt::Unavailable) => (StatusCode::SERVICE_UNAVAILABLE, "ask another".to_owned()),
             Ok(Receipt::Redirect(address)) => {
                 (StatusCode::SERVICE_UNAVAILABLE, format!("ask {address}"))
             }
--- a/crates/target/src/message.rs
+++ b/crates/target/src/message.rs
@@ -13,9 +13,9 @@
 use http_body_util::Full;
 use hyper::Request;
 
-use crate::client::{Cache, Generate, Reply};
-use crate::error::{CrossedSnafu, Error};
-use crate::pool::Outgoing;
+use crate::client::{GenerateRequest, KvCache, ServiceResponse};
+use crate::error::{Error, MismatchedResponseSnafu};
+use crate::pool::OutgoingRequest;
 
 /// The id of the request, repeated in the response.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
@@ -51,7 +51,7 @@
     path: &str,
     id: &str,
     body: Bytes,
-) -> Result<Outgoing, Error> {
+) -> Result<OutgoingRequest, Error> {
     let uri: http::Uri = path
         .parse()
         .map_err(|error| unsendable_error("path", format!("{error}")))?;
@@ -71,7 +71,7 @@
 }
 
 /// Builds the request that carries an order.
-pub(crate) fn order_request(address: SocketAddr, order: &Order) -> Result<Outgoing, Error> {
+pub(crate) fn order_request(address: SocketAddr, order: &Order) -> Result<OutgoingRequest, Error> {
     let body =
         serde_json::to_vec(order).map_err(|error| unsendable_error("order", error.to_string()))?;
     let id = format!("order-{}-{}", order.fence, order.replica);
@@ -82,7 +82,10 @@
 }
 
 /// Builds a generation request.
-pub(crate) fn generate_request(address: SocketAddr, generate: Generate) -> Result<Outgoing, Error> {
+pub(crate) fn generate_request(
+    address: SocketAddr,
+    generate: GenerateRequest,
+) -> Result<OutgoingRequest, Error> {
     let path = generate.form.to_string();
     let id = generate.request;
     let mut request = plain_request(address, Method::POST, &path, &id, generate.body)?;
@@ -109,9 +112,9 @@
 pub(crate) fn cache_request(
     address: SocketAddr,
     method: Method,
-    cache: &Cache,
+    cache: &KvCache,
     body: Bytes,
-) -> Result<Outgoing, Error> {
+) -> Result<OutgoingRequest, Error> {
     let mut request = plain_request(address, method, CACHES, &cache.request, body)?;
     let headers = request.headers_mut();
     headers.insert(REPLICA, cache.replica.into());
@@ -150,7 +153,7 @@
 pub(crate) fn broken_error(address: SocketAddr, error: hyper::Error) -> Error {
     let detail = error.to_string();
     drop(error);
-    Error::Broken { address, detail }
+    Error::ConnectionBroken { address, detail }
 }
 
 /// Creates the error for a connection that was lost before any byte of the request was sent.
@@ -170,7 +173,7 @@
         return Ok(());
     }
     let text = |value: &HeaderValue| String::from_utf8_lossy(value.as_bytes()).into_owned();
-    CrossedSnafu {
+    MismatchedResponseSnafu {
         expected: expected.map(text).unwrap_or_default(),
         found: found.map(text),
     }
@@ -218,7 +221,7 @@
 }
 
 /// Returns the outcome that a worker's response to an order implies.
-pub(crate) fn order_outcome(reply: &Reply) -> Outcome {
+pub(crate) fn order_outcome(reply: &ServiceResponse) -> Outcome {
     let parsed = serde_json::from_slice::<OrderReply>(&reply.body);
     match parsed {
         Ok(parsed) if reply.status == StatusCode::OK => Outcome::Answered(parsed),
@@ -227,7 +230,7 @@
 }
 
 /// Returns the response, or an error if its status is not a success.
-pub(crate) fn require_success(reply: Reply) -> Result<Reply, Error> {
+pub(crate) fn require_success(reply: ServiceResponse) -> Result<ServiceResponse, Error> {
     if reply.status.is_success() {
         return Ok(reply);
     }
--- a/crates/target/src/pool.rs
+++ b/crates/target/src/pool.rs
@@ -19,15 +19,15 @@
 use crate::error::{ConnectSnafu, Error};
 
 /// A request with its whole body, ready to be sent.
-pub type Outgoing = Request<Full<Bytes>>;
+pub type OutgoingRequest = Request<Full<Bytes>>;
 
 /// The HTTP version of connections; there is no negotiation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Version {
     /// HTTP/1.1 with persistent connections.
-    One,
+    Http1,
     /// HTTP/2 without TLS, by prior knowledge.
-    Two,
+    Http2,
 }
 
 /// The sending half of a connection.
@@ -43,8 +43,8 @@
     /// Sends a request; the error returns the request if no byte of it was sent.
     pub async fn send(
         &mut self,
-        mut request: Outgoing,
-    ) -> Result<Response<Incoming>, TrySendError<Outgoing>> {
+        mut request: OutgoingRequest,
+    ) -> Result<Response<Incoming>, TrySendError<OutgoingRequest>> {
         match self {
             Self::Http1(sender) => {
                 *request.uri_mut() = origin_form(request.uri());
@@ -188,12 +188,12 @@
         socket.set_nodelay(true)?;
         let io = TokioIo::new(socket);
         match self.version {
-            Version::One => {
+            Version::Http1 => {
                 let (sender, driver) = http1::handshake(io).await.map_err(io::Error::other)?;
                 tokio::spawn(driver);
                 Ok(Sender::Http1(sender))
             }
-            Version::Two => {
+            Version::Http2 => {
                 let handshake = http2::handshake(TokioExecutor::new(), io).await;
                 let (sender, driver) = handshake.map_err(io::Error::other)?;
                 tokio::spawn(driver);
--- a/crates/target/src/response_body.rs
+++ b/crates/target/src/response_body.rs
@@ -12,7 +12,7 @@
 use crate::client::{Chunks, Part, Parts, RequestId};
 use crate::error::{Error, TruncatedSnafu};
 use crate::pool::{Pool, Sender};
-use crate::sse::{self, Event, Splitter};
+use crate::sse::{self, Event, EventSplitter};
 
 /// Time limit for the end of a body after its terminator; a connection whose body ends later is not
 /// reused.
@@ -40,7 +40,7 @@
     /// Returns the next bytes, or `None` at the end of the body.
     async fn next(&mut self) -> Result<Option<Bytes>, Error> {
         let address = self.address;
-        let broken = |detail: String| Error::Broken { address, detail };
+        let broken = |detail: String| Error::ConnectionBroken { address, detail };
         loop {
             let frame = timeout(self.read_timeout, self.body.frame()).await;
             let frame = frame
@@ -58,13 +58,13 @@
         let mut whole = BytesMut::new();
         while let Some(bytes) = self.next().await? {
             if whole.len() + bytes.len() > limit {
-                return Err(Error::Large { limit });
+                return Err(Error::TooLarge { limit });
             }
             whole.extend_from_slice(&bytes);
         }
         if !self.delimited {
             return TruncatedSnafu {
-                to: 0_u64,
+                tokens: 0_u64,
                 detail: "the body has neither a length nor chunks, so its end cannot be verified",
             }
             .fail();
@@ -119,7 +119,7 @@
 pub fn events(source: ResponseBody, request: RequestId, from: u64) -> Parts {
     let reader = EventReader {
         source,
-        splitter: Splitter::default(),
+        splitter: EventSplitter::default(),
         request,
         to: from,
     };
@@ -140,7 +140,7 @@
 /// Reads events and checks each against the request and the tokens before it.
 struct EventReader {
     source: ResponseBody,
-    splitter: Splitter,
+    splitter: EventSplitter,
     request: RequestId,
     /// Tokens received so far, those before a resumed stream included.
     to: u64,
@@ -150,13 +150,13 @@
     /// Returns the next part.
     async fn next(&mut self) -> Result<Part, Error> {
         loop {
-            while let Some(bytes) = self.splitter.event() {
+            while let Some(bytes) = self.splitter.next_event() {
                 if let Some(part) = self.check(bytes)? {
                     return Ok(part);
                 }
             }
-            if self.splitter.rest() > sse::MAX_EVENT_BYTES {
-                return Err(Error::Large {
+            if self.splitter.buffered_len() > sse::MAX_EVENT_BYTES {
+                return Err(Error::TooLarge {
                     limit: sse::MAX_EVENT_BYTES,
                 });
             }
@@ -177,35 +177,39 @@
         };
         if event.kind == Some("error") {
             let (to, detail) = (self.to, data.to_owned());
-            return Err(Error::Reported { to, detail });
+            return Err(Error::TargetFailed { tokens: to, detail });
         }
         let Some(position) = event.position() else {
             return Err(self.truncated("an event has no id of the form REQUEST/FROM/TO"));
         };
         if *position.request != *self.request {
-            return Err(Error::Crossed {
+            return Err(Error::MismatchedResponse {
                 expected: self.request.to_string(),
                 found: Some(position.request.to_owned()),
             });
         }
-        if position.from != self.to {
-            let detail = format!("the next event starts at token {}", position.from);
+        if position.start != self.to {
+            let detail = format!("the next event starts at token {}", position.start);
             return Err(self.truncated(&detail));
         }
-        let (from, to) = (position.from, position.to);
+        let (from, to) = (position.start, position.end);
         let done = data == sse::DONE;
         self.to = to;
         Ok(Some(if done {
             Part::Done { bytes }
         } else {
-            Part::Event { from, to, bytes }
+            Part::Event {
+                start: from,
+                end: to,
+                bytes,
+            }
         }))
     }
 
     /// Creates the error for a stream that is incomplete or invalid at this point.
     fn truncated(&self, detail: &str) -> Error {
         Error::Truncated {
-            to: self.to,
+            tokens: self.to,
             detail: detail.to_owned(),
         }
     }
--- a/crates/target/src/sse.rs
+++ b/crates/target/src/sse.rs
@@ -15,31 +15,31 @@
 /// Splits a stream of bytes into events.
 ///
 /// ```
-/// use cornelhitch_target::sse::Splitter;
+/// use cornelhitch_target::sse::EventSplitter;
 ///
-/// let mut splitter = Splitter::default();
+/// let mut splitter = EventSplitter::default();
 /// splitter.push(b"data: a\n");
-/// assert_eq!(splitter.event(), None);
+/// assert_eq!(splitter.next_event(), None);
 /// splitter.push(b"\ndata");
-/// assert_eq!(&splitter.event().unwrap()[..], b"data: a\n\n");
-/// assert_eq!(splitter.rest(), 4);
+/// assert_eq!(&splitter.next_event().unwrap()[..], b"data: a\n\n");
+/// assert_eq!(splitter.buffered_len(), 4);
 /// ```
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     /// Bytes that are not part of a returned event.
     buffer: BytesMut,
     /// Length of the prefix of the buffer that is known to hold no end of an event.
     searched: usize,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Appends the next bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
     /// Returns the next complete event, including the empty line that ends it.
-    pub fn event(&mut self) -> Option<Bytes> {
+    pub fn next_event(&mut self) -> Option<Bytes> {
         let Some(end) = event_end(&self.buffer, self.searched) else {
             self.searched = self.buffer.len();
             return None;
@@ -48,10 +48,10 @@
         Some(self.buffer.split_to(end).freeze())
     }
 
-    /// Returns the number of buffered bytes; after [`Splitter::event`] returned `None`, those of an
-    /// incomplete event.
+    /// Returns the number of buffered bytes; after [`EventSplitter::next_event`] returned `None`,
+    /// those of an incomplete event.
     #[must_use]
-    pub fn rest(&self) -> usize {
+    pub fn buffered_len(&self) -> usize {
         self.buffer.remaining()
     }
 }
@@ -90,7 +90,7 @@
     /// use cornelhitch_target::sse::Event;
     ///
     /// let event = Event::parse(b"id: r1/0/2\ndata: {}\n\n").unwrap();
-    /// assert_eq!(event.position().unwrap().to, 2);
+    /// assert_eq!(event.position().unwrap().end, 2);
     /// ```
     #[must_use]
     pub fn parse(bytes: &'a [u8]) -> Option<Self> {
@@ -113,10 +113,14 @@
     #[must_use]
     pub fn position(&self) -> Option<Position<'a>> {
         let mut parts = self.id?.rsplitn(3, '/');
-        let to = parts.next()?.parse().ok()?;
-        let from = parts.next()?.parse().ok()?;
+        let end = parts.next()?.parse().ok()?;
+        let start = parts.next()?.parse().ok()?;
         let request = parts.next()?;
-        (from <= to).then_some(Position { request, from, to })
+        (start <= end).then_some(Position {
+            request,
+            start,
+            end,
+        })
     }
 }
 
@@ -126,7 +130,7 @@
     /// The id of the request.
     pub request: &'a str,
     /// Tokens of the answer before the event.
-    pub from: u64,
+    pub start: u64,
     /// Tokens of the answer up to and including the event.
-    pub to: u64,
+    pub end: u64,
 }
--- a/crates/target/tests/inbound.rs
+++ b/crates/target/tests/inbound.rs
@@ -115,7 +115,7 @@
     ];
     for (method, path, body, status) in rows {
         let message = Json.decode(&method, path, body);
-        let answer = Json.answer("", message.map(|_| Receipt::Taken));
+        let answer = Json.response("", message.map(|_| Receipt::Accepted));
         assert_eq!(answer.status().as_u16(), status, "{method} {path} {body:?}");
         assert_eq!(answer.body().is_empty(), status == 204);
     }
--- a/crates/target/tests/keep_alive.rs
+++ b/crates/target/tests/keep_alive.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cornelhitch_target::http::{Http, Outgoing, Reuse};
+use cornelhitch_target::http::{Http, OutgoingRequest, Reuse};
 use http_body_util::Full;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -74,12 +74,12 @@
     ];
     for (name, header, pause, connections) in rows {
         let (address, accepted) = target(header).await;
-        let http = Http::builder().idle(IDLE_TIMEOUT).build();
+        let http = Http::builder().idle_timeout(IDLE_TIMEOUT).build();
         for _ in 0..2 {
-            let mut request = Outgoing::new(Full::new(Bytes::new()));
+            let mut request = OutgoingRequest::new(Full::new(Bytes::new()));
             *request.uri_mut() = http::Uri::from_static("/item");
             let gate = Box::new(|| true);
-            let reply = http.ask(address, request, Reuse::Yes, gate).await;
+            let reply = http.request(address, request, Reuse::Yes, gate).await;
             assert_eq!(reply.expect("a response").body, "ok", "{name}");
             tokio::time::sleep(pause).await;
         }
--- a/crates/target/tests/odd.rs
+++ b/crates/target/tests/odd.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cornelhitch_target::client::{Call, Client, Form, Generate, Part};
+use cornelhitch_target::client::{ApiFormat, Client, GenerateRequest, Part, ServiceRequest};
 use cornelhitch_target::error::Error;
 use cornelhitch_target::http::Http;
 use cornelhitch_types::model::Reference;
@@ -33,12 +33,15 @@
 /// Creates the client under test.
 fn http() -> Http {
     let long = Duration::from_secs(20);
-    Http::builder().silence(long).max_body_bytes(1_000).build()
+    Http::builder()
+        .read_timeout(long)
+        .max_body_bytes(1_000)
+        .build()
 }
 
 /// Sends a request to a service; returns the body, or whether the request ran and the error.
 async fn call(address: SocketAddr) -> Result<String, (Run, Error)> {
-    let call = Call {
+    let call = ServiceRequest {
         request: "r-1".into(),
         method: http::Method::POST,
         path: "/lots/17".into(),
@@ -48,7 +51,7 @@
         deadline: None,
     };
     let reply = http().call(address, call, Box::new(|| true)).await;
-    let text = |reply: cornelhitch_target::client::Reply| {
+    let text = |reply: cornelhitch_target::client::ServiceResponse| {
         String::from_utf8(reply.body.to_vec()).expect("UTF-8")
     };
     reply.map(text).map_err(|error| (error.run(), error))
@@ -56,11 +59,11 @@
 
 /// Reads a model's stream to its end; on failure, returns whether the request ran and the error.
 async fn stream(address: SocketAddr) -> Result<(), (Run, Error)> {
-    let generate = Generate {
+    let generate = GenerateRequest {
         request: "r-1".into(),
         replica: 1,
         model: Reference::base("report"),
-        form: Form::Chat,
+        form: ApiFormat::Chat,
         body: "{}".into(),
         stream: true,
         priority: 1,
--- a/crates/target/tests/sse.rs
+++ b/crates/target/tests/sse.rs
@@ -1,21 +1,21 @@
 //! Splitting a byte stream into events does not depend on how the bytes arrive, and loses or changes
 //! none of them.
 
-use cornelhitch_target::sse::{Event, Splitter};
+use cornelhitch_target::sse::{Event, EventSplitter};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 /// Splits pieces of a stream into events; returns them and the number of remaining bytes.
 fn split(pieces: &[&[u8]]) -> (Vec<Vec<u8>>, usize) {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let mut events = Vec::new();
     for piece in pieces {
         splitter.push(piece);
-        while let Some(event) = splitter.event() {
+        while let Some(event) = splitter.next_event() {
             events.push(event.to_vec());
         }
     }
-    (events, splitter.rest())
+    (events, splitter.buffered_len())
 }
 
 /// Returns a configuration with a fixed seed, so that each run has the same cases.
@@ -67,7 +67,7 @@
     for (id, expected) in rows {
         let text = format!("id: {id}\ndata: x\n\n");
         let event = Event::parse(text.as_bytes()).expect("UTF-8");
-        let position = event.position().map(|p| (p.request, p.from, p.to));
+        let position = event.position().map(|p| (p.request, p.start, p.end));
         assert_eq!(position, expected, "{id}");
     }
 }
