--- a/crates/cornelhitch/src/daemon.rs
+++ b/crates/cornelhitch/src/daemon.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use cornelhitch_node::dialect::Dialect;
 use cornelhitch_node::node::{self, Node};
+use cornelhitch_node::protocols::Protocols;
 use cornelhitch_node::socket::{self, Sockets};
 use cornelhitch_settings::process::{ProcessSettings, Protocol};
 use getopts::{Matches, Options};
@@ -261,16 +261,16 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let sockets = Sockets::bind(&process).await?;
-    let dialect = match process.protocol {
-        Protocol::Own => Dialect::default(),
-        Protocol::Platform => cornelhitch_platform::dialect(process.host),
+    let protocols = match process.protocol {
+        Protocol::Own => Protocols::default(),
+        Protocol::Platform => cornelhitch_platform::protocols(process.host),
     };
     let file = process.file.clone();
     tracing::info!(
         host = process.host, zone = &*process.zone, roles = ?process.roles, seeds = ?process.seeds,
         bootstrap = process.bootstrap, "starting"
     );
-    let node = Node::speak(process, sockets, dialect)?;
+    let node = Node::start_with(process, sockets, protocols)?;
     tracing::info!(addresses = ?node.addresses, "started");
     tokio::spawn(log::report_dropped_lines());
     if metrics_provider.is_none() {
@@ -280,10 +280,10 @@
         () = reload_on_change(&node, file) => {}
         _ = terminate.recv() => tracing::info!("received SIGTERM, shutting down"),
         _ = interrupt.recv() => tracing::info!("received SIGINT, shutting down"),
-        () = node.asked() => tracing::info!("shutdown requested by an operator"),
+        () = node.drain_requested() => tracing::info!("shutdown requested by an operator"),
     }
     node.drain();
-    node.ended().await;
+    node.wait().await;
     if let Some(provider) = metrics_provider {
         // The exporter waits for its own thread, which would block the runtime.
         let _ = tokio::task::spawn_blocking(move || provider.shutdown()).await;
--- a/crates/cornelhitch/src/telemetry.rs
+++ b/crates/cornelhitch/src/telemetry.rs
@@ -31,7 +31,7 @@
 pub async fn log_metrics(metrics: Metrics) {
     loop {
         tokio::time::sleep(LOG_INTERVAL).await;
-        let sums = serde_json::to_string(&metrics.sums()).unwrap_or_default();
+        let sums = serde_json::to_string(&metrics.totals()).unwrap_or_default();
         tracing::info!(sums, "metrics");
     }
 }
--- a/crates/node/src/datagrams.rs
+++ b/crates/node/src/datagrams.rs
@@ -45,7 +45,7 @@
     /// Cancelled when the process stops.
     pub stop: CancellationToken,
     /// Hosts with which nothing is exchanged, for tests of network partitions.
-    pub cut: watch::Receiver<Vec<HostId>>,
+    pub blocked_peers: watch::Receiver<Vec<HostId>>,
 }
 
 impl DatagramSocket {
@@ -111,7 +111,7 @@
 
 /// Seals and sends a datagram.
 async fn send(setup: &Setup, authenticator: &mut Authenticator, outgoing: &Outgoing) {
-    if setup.cut.borrow().contains(&outgoing.to.host) {
+    if setup.blocked_peers.borrow().contains(&outgoing.to.host) {
         return;
     }
     let identity = setup.identity.borrow().clone();
@@ -141,7 +141,7 @@
         Ok(pair) => pair,
         Err(error) => return refused(&error),
     };
-    if setup.cut.borrow().contains(&from.host) {
+    if setup.blocked_peers.borrow().contains(&from.host) {
         return;
     }
     match postcard::from_bytes(&payload) {
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -41,16 +41,16 @@
 
 /// A section of a prompt that other prompts may have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Section {
+pub struct PromptSection {
     /// The id of the section's content.
     pub id: u64,
     /// The length in tokens.
     pub tokens: u32,
 }
 
-/// The request metadata that an [`Ingress`] reads from the headers.
+/// The request metadata that an [`RoutedRequestProtocol`] reads from the headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestMetadata {
     /// The request id.
     pub id: RequestId,
     /// How long the caller waits, from the arrival of the request.
@@ -60,14 +60,14 @@
     /// The adapter to apply to the model.
     pub adapter: Option<Name>,
     /// The sections of the prompt, in order.
-    pub prompt: Vec<Section>,
+    pub prompt: Vec<PromptSection>,
     /// The id of the last event that the caller has, if it resumes a stream.
     pub resume: Option<u64>,
 }
 
 /// A request that this host answers itself, without a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Page {
+pub enum LocalRequest {
     /// Whether this host takes requests.
     Ready,
     /// Which entry hosts to connect to, for a caller at the given location.
@@ -75,24 +75,24 @@
 }
 
 /// A callers' protocol: how routed requests are read and answered.
-pub trait Ingress: Send + Sync + 'static {
+pub trait RoutedRequestProtocol: Send + Sync + 'static {
     /// Reads the metadata of a request from its headers.
     ///
     /// # Errors
     /// Returns a refusal that names the wrong header.
-    fn read(&self, headers: &HeaderMap) -> Result<Ask, Refusal>;
+    fn read_metadata(&self, headers: &HeaderMap) -> Result<RequestMetadata, Refusal>;
 
-    /// Returns the page asked for, or `None` if the request isn't for a page.
-    fn page(&self, method: &Method, uri: &Uri) -> Option<Page>;
+    /// Returns the local request that this is, or `None` if it needs a target.
+    fn local_request(&self, method: &Method, uri: &Uri) -> Option<LocalRequest>;
 
     /// Returns the response that tells the caller of a refusal.
-    fn refusal(&self, refusal: &Refusal) -> Response<Bytes>;
+    fn refusal_response(&self, refusal: &Refusal) -> Response<Bytes>;
 
-    /// Returns the response to [`Page::Ready`].
-    fn ready(&self, ready: bool) -> Response<Bytes>;
+    /// Returns the response to [`LocalRequest::Ready`].
+    fn ready_response(&self, ready: bool) -> Response<Bytes>;
 
-    /// Returns the response to [`Page::Entries`].
-    fn entries(&self, entries: &EntryHosts) -> Response<Bytes>;
+    /// Returns the response to [`LocalRequest::Entries`].
+    fn entries_response(&self, entries: &EntryHosts) -> Response<Bytes>;
 }
 
 /// The route table in force, indexed by host and path.
@@ -128,7 +128,7 @@
     /// The route table in force; `None` before the first one.
     pub routes: watch::Receiver<Option<Arc<Routes>>>,
     /// The callers' protocol.
-    pub ingress: Arc<dyn Ingress>,
+    pub protocol: Arc<dyn RoutedRequestProtocol>,
     /// The metrics of this process.
     pub metrics: Metrics,
     /// The id for the next request.
@@ -147,7 +147,7 @@
         let served = self.serve_request(parts, body, from).await;
         served.unwrap_or_else(|refusal| {
             self.metrics.refused(&refusal, since.elapsed());
-            self.ingress.refusal(&refusal).map(body::full)
+            self.protocol.refusal_response(&refusal).map(body::full)
         })
     }
 
@@ -229,7 +229,7 @@
         let route = routes
             .find(&parts)
             .ok_or_else(|| not_run(Reason::Unknown, "no route has this host and path"))?;
-        let metadata = self.ingress.read(&parts.headers)?;
+        let metadata = self.protocol.read_metadata(&parts.headers)?;
         let body = collect(body, routes.table.limits.max_body_bytes).await?;
         build_call(id, route, &routes.table, metadata, parts, body, from)
     }
@@ -270,7 +270,7 @@
     id: u64,
     route: &Route,
     table: &RouteTable,
-    metadata: Ask,
+    metadata: RequestMetadata,
     parts: Parts,
     body: Bytes,
     from: SocketAddr,
@@ -325,7 +325,7 @@
 fn requested(
     service: &Name,
     table: &RouteTable,
-    metadata: &Ask,
+    metadata: &RequestMetadata,
     method: &Method,
 ) -> RequestedResource {
     let engine = table.service(service).and_then(|it| it.engine.as_ref());
@@ -344,7 +344,7 @@
 
 /// Returns, for each section of a prompt, the digest and the length in tokens of the prompt up to
 /// its end.
-fn prefixes(prompt: &[Section]) -> (Vec<u64>, Vec<u32>) {
+fn prefixes(prompt: &[PromptSection]) -> (Vec<u64>, Vec<u32>) {
     use std::hash::Hasher;
     let mut hasher = std::hash::DefaultHasher::new();
     let mut length = 0_u32;
@@ -357,36 +357,41 @@
 }
 
 /// The HTTP service for requests that this host answers without a target.
-pub struct PageService {
+pub struct LocalRequestService {
     /// The entry task's input queue.
     pub inputs: mpsc::UnboundedSender<Input>,
     /// The callers' protocol.
-    pub ingress: Arc<dyn Ingress>,
+    pub protocol: Arc<dyn RoutedRequestProtocol>,
 }
 
-impl Service for PageService {
+impl Service for LocalRequestService {
     async fn serve(&self, request: Request<Incoming>, _: SocketAddr) -> Response<Body> {
-        let page = self.ingress.page(request.method(), request.uri());
-        let response = match page {
-            Some(Page::Ready) => {
+        let local_request = self.protocol.local_request(request.method(), request.uri());
+        let response = match local_request {
+            Some(LocalRequest::Ready) => {
                 let (answer, answered) = oneshot::channel();
                 let _ = self.inputs.send(Input::Ready(answer));
-                self.ingress.ready(answered.await.unwrap_or(false))
+                self.protocol
+                    .ready_response(answered.await.unwrap_or(false))
             }
-            Some(Page::Entries(location)) => {
+            Some(LocalRequest::Entries(location)) => {
                 let (answer, answered) = oneshot::channel();
                 let _ = self.inputs.send(Input::Nearest(location, answer));
                 match answered.await {
-                    Ok(entries) if !entries.addresses.is_empty() => self.ingress.entries(&entries),
+                    Ok(entries) if !entries.addresses.is_empty() => {
+                        self.protocol.entries_response(&entries)
+                    }
                     _ => {
                         let detail = "this host knows no entry hosts";
-                        self.ingress.refusal(&not_run(Reason::Unavailable, detail))
+                        self.protocol
+                            .refusal_response(&not_run(Reason::Unavailable, detail))
                     }
                 }
             }
             None => {
                 let detail = format!("nothing is at {}", request.uri().path());
-                self.ingress.refusal(&not_run(Reason::Unknown, detail))
+                self.protocol
+                    .refusal_response(&not_run(Reason::Unknown, detail))
             }
         };
         response.map(body::full)
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -112,7 +112,7 @@
     /// Queues of accepted links, by host; the newest link replaces an earlier one.
     accepted: Mutex<HashMap<HostId, AcceptedLink>>,
     /// Hosts with which nothing is exchanged, for tests of network partitions.
-    cut: watch::Receiver<Vec<HostId>>,
+    blocked_peers: watch::Receiver<Vec<HostId>>,
 }
 
 /// Everything that [`Links::start`] needs.
@@ -135,7 +135,7 @@
     /// Cancelled when the process stops.
     pub stop: CancellationToken,
     /// Hosts with which nothing is exchanged, for tests of network partitions.
-    pub cut: watch::Receiver<Vec<HostId>>,
+    pub blocked_peers: watch::Receiver<Vec<HostId>>,
 }
 
 impl Links {
@@ -163,7 +163,7 @@
             learned: Mutex::default(),
             dialed: Mutex::default(),
             accepted: Mutex::default(),
-            cut: setup.cut,
+            blocked_peers: setup.blocked_peers,
         });
         tokio::spawn(accept_links(shared.clone(), setup.listener));
         Self { shared }
@@ -259,7 +259,7 @@
 
     /// Queues a message for another host, if its address is known.
     fn send(self: &Arc<Self>, to: HostId, message: &mut LazyMessage) {
-        if self.cut.borrow().contains(&to) {
+        if self.blocked_peers.borrow().contains(&to) {
             return;
         }
         let Some(queue) = self.queue(to) else {
@@ -470,7 +470,7 @@
     let receiving = async {
         while let Ok(next) = timeout(SILENCE_TIMEOUT, receiver.next()).await {
             let Some(bytes) = next? else { return Ok(()) };
-            if bytes != KEEP_ALIVE_FRAME && !shared.cut.borrow().contains(&peer.host) {
+            if bytes != KEEP_ALIVE_FRAME && !shared.blocked_peers.borrow().contains(&peer.host) {
                 shared.deliver(peer, &bytes);
             }
         }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -109,7 +109,7 @@
 #[derive(Debug)]
 struct Instruments {
     counters: Vec<Counter<u64>>,
-    sums: Vec<AtomicU64>,
+    totals: Vec<AtomicU64>,
     /// Refusals, indexed by reason.
     reasons: Vec<AtomicU64>,
     /// Requests and repeats of each service, as last published by the entry task.
@@ -121,7 +121,7 @@
 /// Counter totals by name, for the dump.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
-pub struct Sums(pub BTreeMap<&'static str, u64>);
+pub struct Totals(pub BTreeMap<&'static str, u64>);
 
 impl From<&Meter> for Metrics {
     fn from(meter: &Meter) -> Self {
@@ -132,7 +132,7 @@
         };
         let instruments = Instruments {
             counters: Count::iter().map(counter).collect(),
-            sums: Count::iter().map(|_| AtomicU64::new(0)).collect(),
+            totals: Count::iter().map(|_| AtomicU64::new(0)).collect(),
             reasons: Reason::iter().map(|_| AtomicU64::new(0)).collect(),
             services: Mutex::default(),
             histograms: Timing::iter().map(histogram).collect(),
@@ -167,7 +167,7 @@
     /// Adds an amount to a counter.
     pub fn add(&self, count: Count, amount: u64) {
         self.instruments.counters[count as usize].add(amount, &[]);
-        self.instruments.sums[count as usize].fetch_add(amount, Ordering::Relaxed);
+        self.instruments.totals[count as usize].fetch_add(amount, Ordering::Relaxed);
     }
 
     /// Counts a message of this many bytes sent to a peer.
@@ -241,13 +241,13 @@
     /// Returns a counter's total since the start of the process.
     #[must_use]
     pub fn sum(&self, count: Count) -> u64 {
-        self.instruments.sums[count as usize].load(Ordering::Relaxed)
+        self.instruments.totals[count as usize].load(Ordering::Relaxed)
     }
 
     /// Returns all counters' totals since the start of the process.
     #[must_use]
-    pub fn sums(&self) -> Sums {
-        Sums(
+    pub fn totals(&self) -> Totals {
+        Totals(
             Count::iter()
                 .map(|count| (count.into(), self.sum(count)))
                 .collect(),
@@ -259,7 +259,7 @@
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
-        for (name, sum) in &self.sums().0 {
+        for (name, sum) in &self.totals().0 {
             let _ = writeln!(text, "{}_total {sum}", prometheus_name(name));
         }
         for reason in Reason::iter() {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -10,11 +10,11 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use crate::dialect::Dialect;
 use crate::entry::Input;
 pub use crate::error::Error;
 use crate::error::SystemSnafu;
 use crate::metrics::Metrics;
+use crate::protocols::Protocols;
 use crate::secret::Token;
 use crate::server;
 use crate::session;
@@ -30,7 +30,7 @@
     /// The addresses on which it listens.
     pub addresses: Addresses,
     /// Hosts with which nothing is exchanged, for tests of network partitions.
-    pub cut: watch::Sender<Vec<HostId>>,
+    pub blocked_peers: watch::Sender<Vec<HostId>>,
     /// The metrics of this process.
     pub metrics: Metrics,
     drain: Option<mpsc::UnboundedSender<Input>>,
@@ -53,34 +53,36 @@
     /// # Errors
     /// Returns an error if a file cannot be read or the data folder cannot be opened.
     pub fn start(process: ProcessSettings, sockets: Sockets) -> Result<Self, Error> {
-        Self::speak(process, sockets, Dialect::default())
+        Self::start_with(process, sockets, Protocols::default())
     }
 
     /// Starts a process that uses the given protocols with targets, callers and operators.
     ///
     /// # Errors
     /// Returns an error if a file cannot be read or the data folder cannot be opened.
-    pub fn speak(
+    pub fn start_with(
         process: ProcessSettings,
         sockets: Sockets,
-        dialect: Dialect,
+        protocols: Protocols,
     ) -> Result<Self, Error> {
         let token = process.token.as_deref().map(Token::read).transpose()?;
         let (inbox, control_inbox, session_inbox) = inboxes(&process);
-        let (cut, cuts) = watch::channel(Vec::new());
+        let (blocked_peers, blocked) = watch::channel(Vec::new());
         let Sockets {
             callers,
             operators,
-            links,
+            peer_links,
             datagrams,
             registry,
             pages,
             metrics,
         } = sockets;
-        let addresses = Addresses::of(&callers, &operators, &links);
+        let addresses = Addresses::of(&callers, &operators, &peer_links);
         let what = "cannot read the local addresses of the listeners";
         let addresses = addresses.context(SystemSnafu { what })?;
-        let startup = Startup::connect(process, dialect, addresses, links, datagrams, inbox, cuts)?;
+        let startup = Startup::connect(
+            process, protocols, addresses, peer_links, datagrams, inbox, blocked,
+        )?;
         let control = control_inbox.map(|inbox| startup.start_control(inbox));
         let (control, control_task) = control.transpose()?.unzip();
         let (host_state, host) = watch::channel(startup.host());
@@ -107,7 +109,7 @@
         let operators = tokio::spawn(serve);
         Ok(Self {
             addresses,
-            cut,
+            blocked_peers,
             metrics: startup.metrics,
             drain,
             stop: startup.stop,
@@ -137,12 +139,12 @@
     }
 
     /// Waits until an operator asks for a graceful shutdown.
-    pub async fn asked(&self) {
+    pub async fn drain_requested(&self) {
         self.drain_token.cancelled().await;
     }
 
     /// Waits until all requests in flight have ended, then stops the remaining tasks.
-    pub async fn ended(self) {
+    pub async fn wait(self) {
         for task in self.serving {
             let _ = task.await;
         }
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -271,7 +271,7 @@
             "session": self.session.status(),
             "entry": entry,
             "control": control,
-            "metrics": self.metrics.sums(),
+            "metrics": self.metrics.totals(),
         })
     }
 }
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/protocols.rs
@@ -7,35 +7,35 @@
 use cornelhitch_target::http::Http;
 use cornelhitch_target::inbound::{Json, Protocol};
 
-use crate::ingress::Ingress;
-use crate::registry::Documents;
+use crate::ingress::RoutedRequestProtocol;
+use crate::registry::RouteTableProtocol;
 
 /// The protocols that a process uses with others, except with its peers.
 #[derive(Clone)]
-pub struct Dialect {
+pub struct Protocols {
     /// The encoding of messages from targets.
-    pub targets: Arc<dyn Protocol>,
+    pub target_messages: Arc<dyn Protocol>,
     /// The client for requests and orders to targets.
-    pub client: Arc<dyn Client>,
+    pub target_client: Arc<dyn Client>,
     /// The callers' protocol for routed requests; `None` for the project's own caller interface.
-    pub callers: Option<Arc<dyn Ingress>>,
+    pub callers: Option<Arc<dyn RoutedRequestProtocol>>,
     /// The encoding of route tables from operators; `None` if they aren't taken.
-    pub documents: Option<Arc<dyn Documents>>,
+    pub route_tables: Option<Arc<dyn RouteTableProtocol>>,
 }
 
-impl Default for Dialect {
+impl Default for Protocols {
     /// Returns the project's own protocols.
     fn default() -> Self {
         Self {
-            targets: Arc::new(Json),
-            client: Arc::new(Http::default()),
+            target_messages: Arc::new(Json),
+            target_client: Arc::new(Http::default()),
             callers: None,
-            documents: None,
+            route_tables: None,
         }
     }
 }
 
-impl fmt::Debug for Dialect {
+impl fmt::Debug for Protocols {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut debug = f.debug_struct("Dialect");
         debug.field("routes", &self.callers.is_some());
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -31,7 +31,7 @@
 
 /// An operator's request about route tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verb {
+pub enum TableOperation {
     /// Bring a table in force.
     Publish,
     /// Return the table in force.
@@ -40,15 +40,15 @@
 
 /// The outcome of an operator's request about route tables.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum TableOutcome {
     /// The table, or a newer one, is in force.
     Accepted,
     /// The table is invalid, for this reason.
-    Faulty(String),
+    Invalid(String),
     /// The table in force, as it was submitted.
-    Text(Bytes),
+    Table(Bytes),
     /// There is no table yet.
-    Nothing,
+    NoTable,
     /// The host at this address is the leader and takes tables.
     Redirect(SocketAddr),
     /// The leader is unknown, or did not confirm the request in time; a table may have been
@@ -57,9 +57,9 @@
 }
 
 /// An operators' protocol for route tables.
-pub trait Documents: Send + Sync + 'static {
+pub trait RouteTableProtocol: Send + Sync + 'static {
     /// Returns what a request asks, or `None` if it isn't about route tables.
-    fn verb(&self, method: &Method, path: &str) -> Option<Verb>;
+    fn operation(&self, method: &Method, path: &str) -> Option<TableOperation>;
 
     /// Decodes a table.
     ///
@@ -68,7 +68,7 @@
     fn decode(&self, text: &Bytes) -> Result<RouteTable, String>;
 
     /// Returns the response for an outcome.
-    fn answer(&self, outcome: &Outcome) -> Response<Bytes>;
+    fn answer(&self, outcome: &TableOutcome) -> Response<Bytes>;
 }
 
 /// The error of a request to the control task of a host that does not lead.
@@ -87,7 +87,7 @@
     /// The encoding of targets' messages.
     pub targets: Arc<dyn Protocol>,
     /// The encoding of route tables; `None` if they aren't taken.
-    pub documents: Option<Arc<dyn Documents>>,
+    pub route_tables: Option<Arc<dyn RouteTableProtocol>>,
     /// The address of this listener, as given to targets.
     pub address: SocketAddr,
     /// The availability zones with their regions.
@@ -101,16 +101,18 @@
             Ok(body) => body,
             Err(refusal) => return Problem::from(&refusal).response(),
         };
-        if let Some(documents) = &self.documents
-            && let Some(verb) = documents.verb(&parts.method, parts.uri.path())
+        if let Some(route_tables) = &self.route_tables
+            && let Some(operation) = route_tables.operation(&parts.method, parts.uri.path())
         {
-            let outcome = self.document(documents.as_ref(), verb, body).await;
+            let outcome = self
+                .handle_table_operation(route_tables.as_ref(), operation, body)
+                .await;
             tracing::info!(
-                ?verb,
+                verb = ?operation,
                 outcome = outcome.name(),
                 "answered an operator's route table request"
             );
-            return documents.answer(&outcome).map(body::full);
+            return route_tables.answer(&outcome).map(body::full);
         }
         if self.targets.handles_path(parts.uri.path()) {
             return self.target(&parts, &body).await;
@@ -123,26 +125,31 @@
 
 impl Registry {
     /// Handles an operator's request about route tables.
-    async fn document(&self, documents: &dyn Documents, verb: Verb, text: Bytes) -> Outcome {
-        match verb {
-            Verb::Publish => {
-                let table = match documents.decode(&text) {
+    async fn handle_table_operation(
+        &self,
+        route_tables: &dyn RouteTableProtocol,
+        operation: TableOperation,
+        text: Bytes,
+    ) -> TableOutcome {
+        match operation {
+            TableOperation::Publish => {
+                let table = match route_tables.decode(&text) {
                     Ok(table) => table,
-                    Err(reason) => return Outcome::Faulty(reason),
+                    Err(reason) => return TableOutcome::Invalid(reason),
                 };
-                if let Some(fault) = table.validate().first() {
-                    return Outcome::Faulty(fault.to_string());
+                if let Some(error) = table.validate().first() {
+                    return TableOutcome::Invalid(error.to_string());
                 }
                 let table = Arc::new(table);
                 let submitted = SubmittedTable { table, text };
                 let taken = self
                     .ask_control(|answer| TaskMessage::Publish(submitted, answer))
                     .await;
-                taken.map_or_else(|| self.redirect(), |()| Outcome::Accepted)
+                taken.map_or_else(|| self.redirect(), |()| TableOutcome::Accepted)
             }
-            Verb::Read => match self.ask_control(TaskMessage::Read).await {
-                Some(Some(text)) => Outcome::Text(text),
-                Some(None) => Outcome::Nothing,
+            TableOperation::Read => match self.ask_control(TaskMessage::Read).await {
+                Some(Some(text)) => TableOutcome::Table(text),
+                Some(None) => TableOutcome::NoTable,
                 None => self.redirect(),
             },
         }
@@ -194,9 +201,9 @@
     }
 
     /// Returns the outcome of a request that cannot be handled here.
-    fn redirect(&self) -> Outcome {
+    fn redirect(&self) -> TableOutcome {
         self.leader()
-            .map_or(Outcome::Unavailable, Outcome::Redirect)
+            .map_or(TableOutcome::Unavailable, TableOutcome::Redirect)
     }
 
     /// Returns the leader's registry address, if the leader is another host.
@@ -206,14 +213,14 @@
     }
 }
 
-impl Outcome {
+impl TableOutcome {
     /// Returns the outcome's name for the log.
     fn name(&self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
-            Self::Faulty(_) => "faulty",
-            Self::Text(_) => "read",
-            Self::Nothing => "none yet",
+            Self::Invalid(_) => "faulty",
+            Self::Table(_) => "read",
+            Self::NoTable => "none yet",
             Self::Redirect(_) => "redirected",
             Self::Unavailable => "unavailable",
         }
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -41,8 +41,8 @@
     /// For operators.
     pub operators: TcpListener,
     /// For links from peers.
-    pub links: TcpListener,
-    /// For datagrams from peers, on the same port as `links`.
+    pub peer_links: TcpListener,
+    /// For datagrams from peers, on the same port as `peer_links`.
     pub datagrams: UdpSocket,
     /// For targets and operators, on a control host.
     pub registry: Option<TcpListener>,
@@ -72,7 +72,7 @@
         let callers = listen("cannot listen for callers", process.callers).await?;
         let operators = listen("cannot listen for operators", process.operators).await?;
         let listen_at = process.peers_listen.unwrap_or(process.peers);
-        let (links, datagrams) = bind_peers(listen_at).await?;
+        let (peer_links, datagrams) = bind_peers(listen_at).await?;
         let mut pages = Vec::new();
         for address in [process.directory, process.ready].into_iter().flatten() {
             pages.push(
@@ -86,7 +86,7 @@
         Ok(Self {
             callers,
             operators,
-            links,
+            peer_links,
             datagrams,
             registry: listen_optional("cannot listen for targets", process.registry).await?,
             pages,
@@ -100,7 +100,7 @@
     /// # Errors
     /// Returns an error if the system cannot report an address.
     pub fn addresses(&self) -> std::io::Result<Addresses> {
-        Addresses::of(&self.callers, &self.operators, &self.links)
+        Addresses::of(&self.callers, &self.operators, &self.peer_links)
     }
 }
 
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -30,15 +30,15 @@
 use crate::callers::Callers;
 use crate::control::{self, TaskMessage};
 use crate::datagrams::{self, DatagramSocket};
-use crate::dialect::Dialect;
 use crate::entry::{self, Input};
 use crate::error::{DataSnafu, Error, FleetSnafu, SystemSnafu};
 use crate::exposition::Exposition;
-use crate::ingress::{FIRST_TABLE_WAIT, PageService, RoutedService, Routes};
+use crate::ingress::{FIRST_TABLE_WAIT, LocalRequestService, RoutedService, Routes};
 use crate::links::{self, Inbox, Links};
 use crate::message::Incoming;
 use crate::metrics::Metrics;
 use crate::operators::Operators;
+use crate::protocols::Protocols;
 use crate::registry::Registry;
 use crate::secret::{self, Token};
 use crate::server;
@@ -60,7 +60,7 @@
     pub(crate) epoch: Instant,
     pub(crate) stop: CancellationToken,
     pub(crate) metrics: Metrics,
-    pub(crate) dialect: Dialect,
+    pub(crate) protocols: Protocols,
     pub(crate) links: Links,
     pub(crate) datagrams: DatagramSocket,
 }
@@ -69,12 +69,12 @@
     /// Starts the links and the datagram socket.
     pub(crate) fn connect(
         process: ProcessSettings,
-        dialect: Dialect,
+        protocols: Protocols,
         addresses: Addresses,
         listener: TcpListener,
         socket: UdpSocket,
         inbox: Inbox,
-        cut: watch::Receiver<Vec<HostId>>,
+        blocked_peers: watch::Receiver<Vec<HostId>>,
     ) -> Result<Self, Error> {
         let incarnation = incarnation();
         let (identity, identities) = watch::channel(Identity {
@@ -105,7 +105,7 @@
             inbox: inbox.clone(),
             metrics: metrics.clone(),
             stop: stop.clone(),
-            cut: cut.clone(),
+            blocked_peers: blocked_peers.clone(),
         });
         let datagrams = DatagramSocket::start(datagrams::Setup {
             identity: identities,
@@ -113,7 +113,7 @@
             inbox,
             metrics: metrics.clone(),
             stop: stop.clone(),
-            cut,
+            blocked_peers,
         });
         Ok(Self {
             process,
@@ -122,7 +122,7 @@
             epoch: Instant::now(),
             stop,
             metrics,
-            dialect,
+            protocols,
             links,
             datagrams,
         })
@@ -205,7 +205,7 @@
             task_sender: task_sender.clone(),
             links: self.links.clone(),
             datagrams: self.datagrams.clone(),
-            client: self.dialect.client.clone(),
+            client: self.protocols.target_client.clone(),
             metrics: self.metrics.clone(),
             initial_settings: self.initial_settings()?,
             registry: self.process.registry,
@@ -277,7 +277,7 @@
             input_sender: input.clone(),
             events,
             session: session.clone(),
-            client: self.dialect.client.clone(),
+            client: self.protocols.target_client.clone(),
             host_state,
             fleet,
             routes,
@@ -302,11 +302,11 @@
     ) -> JoinHandle<()> {
         let metrics = self.metrics.clone();
         let next = AtomicU64::new(1);
-        if let Some(ingress) = self.dialect.callers.clone() {
+        if let Some(protocol) = self.protocols.callers.clone() {
             let service = RoutedService {
                 inputs,
                 routes,
-                ingress,
+                protocol,
                 metrics,
                 next,
                 first_table_until: Instant::now() + FIRST_TABLE_WAIT,
@@ -317,7 +317,7 @@
         let callers = Callers {
             inputs,
             fleet,
-            protocol: self.dialect.targets.clone(),
+            protocol: self.protocols.target_messages.clone(),
             metrics,
             next,
         };
@@ -337,8 +337,8 @@
         let registry = Registry {
             control,
             session,
-            targets: self.dialect.targets.clone(),
-            documents: self.dialect.documents.clone(),
+            targets: self.protocols.target_messages.clone(),
+            route_tables: self.protocols.route_tables.clone(),
             address,
             zones: self.process.zones.clone(),
         };
@@ -384,13 +384,13 @@
         inputs: &mpsc::UnboundedSender<Input>,
         listeners: Vec<TcpListener>,
     ) {
-        let Some(ingress) = &self.dialect.callers else {
+        let Some(protocol) = &self.protocols.callers else {
             return;
         };
         for listener in listeners {
-            let pages = PageService {
+            let pages = LocalRequestService {
                 inputs: inputs.clone(),
-                ingress: ingress.clone(),
+                protocol: protocol.clone(),
             };
             tokio::spawn(server::run(listener, Arc::new(pages), self.stop.clone()));
         }
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -37,7 +37,7 @@
     };
     let (session, inbox) = mpsc::unbounded_channel();
     let (_, identity) = watch::channel(identity);
-    let (_, cut) = watch::channel(Vec::new());
+    let (_, blocked_peers) = watch::channel(Vec::new());
     let links = Links::start(Setup {
         identity,
         listener,
@@ -50,7 +50,7 @@
         },
         metrics: Metrics::default(),
         stop: CancellationToken::new(),
-        cut,
+        blocked_peers,
     });
     (links, inbox)
 }
--- a/crates/trial/src/cluster.rs
+++ b/crates/trial/src/cluster.rs
@@ -76,7 +76,7 @@
     #[must_use]
     pub fn drain(self, limit: Duration) -> bool {
         self.node.drain();
-        let ended = async { tokio::time::timeout(limit, self.node.ended()).await };
+        let ended = async { tokio::time::timeout(limit, self.node.wait()).await };
         let ended = self.runtime.block_on(ended);
         self.runtime.shutdown_background();
         ended.is_ok()
@@ -227,7 +227,7 @@
     /// the earlier list; an empty one restores all connections.
     pub fn partition(&self, index: usize, from: &[HostId]) {
         if let Some(node) = self.node(index) {
-            node.cut.send_replace(from.to_vec());
+            node.blocked_peers.send_replace(from.to_vec());
         }
     }
 
