--- a/crates/cornelhitch/tests/daemon.rs
+++ b/crates/cornelhitch/tests/daemon.rs
@@ -4,7 +4,7 @@
 
 use cornelhitch::daemon::{self, Command};
 use cornelhitch::settings::process::ProcessSettings;
-use cornelhitch_trial::cluster::{TOKEN, free_port};
+use cornelhitch_trial::cluster::{OPERATOR_TOKEN, free_port};
 use cornelhitch_trial::operator;
 use serde_json::Value;
 use tempfile::TempDir;
@@ -27,7 +27,7 @@
 /// Returns settings of one host on free ports.
 fn settings(folder: &Path) -> String {
     let keys = write(folder, "keys", "a secret that all peers share");
-    let token = write(folder, "token", TOKEN);
+    let token = write(folder, "token", OPERATOR_TOKEN);
     let data = folder.join("data").display().to_string();
     let [callers, operators, peers] = [(); 3].map(|()| free_port());
     format!(
@@ -84,7 +84,7 @@
 fn invalid_operator_commands_are_rejected_with_status_and_reason() {
     let folder = TempDir::new().expect("a folder");
     let faulty = write(folder.path(), "fleet.yaml", "modles: []\n");
-    let token = write(folder.path(), "token", TOKEN);
+    let token = write(folder.path(), "token", OPERATOR_TOKEN);
     let rows: [(&[&str], u8, &str); 7] = [
         (&[], 2, "no command given"),
         (&["shuffle"], 2, "unknown command \"shuffle\""),
--- a/crates/cornelhitch/tests/output.rs
+++ b/crates/cornelhitch/tests/output.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use cornelhitch_trial::cluster::{TOKEN, free_port};
+use cornelhitch_trial::cluster::{OPERATOR_TOKEN, free_port};
 use tempfile::TempDir;
 
 /// Attempts to reach the daemon before the test fails, and the pause between them.
@@ -50,7 +50,7 @@
         path.display().to_string()
     };
     let keys = write("keys", "a secret that all peers share");
-    let token = write("token", TOKEN);
+    let token = write("token", OPERATOR_TOKEN);
     let data = folder.path().join("data").display().to_string();
     let [callers, operators, peers] = [(); 3].map(|()| free_port());
     let settings = write(
--- a/crates/standin/examples/targets.rs
+++ b/crates/standin/examples/targets.rs
@@ -164,7 +164,7 @@
     if let Some(name) = config.service {
         let service = Service::builder()
             .name(format!("{name}-1"))
-            .runs(name.as_str());
+            .service(name.as_str());
         let service = service
             .region(config.region)
             .zone(config.zone)
--- a/crates/standin/src/counters.rs
+++ b/crates/standin/src/counters.rs
@@ -20,13 +20,13 @@
     /// Loads started, by model and replica.
     pub loads: BTreeMap<Load, u32>,
     /// Loads that became ready.
-    pub loaded: u32,
+    pub loads_completed: u32,
     /// Copies unloaded.
     pub unloads: u32,
     /// Maximum accelerator memory in use at once, in bytes.
-    pub memory_peak: u64,
+    pub memory_peak_bytes: u64,
     /// Load orders refused because not enough accelerator memory was free.
-    pub overcommits: u32,
+    pub loads_over_capacity: u32,
     /// Orders refused because of an old fencing token.
     pub fenced: u32,
     /// Tokens generated.
@@ -38,11 +38,11 @@
     /// Requests cancelled, or abandoned by their caller.
     pub cancelled: u32,
     /// Requests aborted because their model copy was unloaded.
-    pub cut: u32,
+    pub aborted_by_unload: u32,
     /// Crashes, whatever their cause.
     pub crashes: u32,
     /// Time from the leave message to the last new request; `None` if none arrived after it.
-    pub after_leaving: Option<Duration>,
+    pub last_request_after_leave: Option<Duration>,
     /// Maximum number of requests in the batch at once.
     pub batch_peak: u32,
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -141,7 +141,7 @@
     }
 
     /// Queues a fault, which is injected once at the next operation that it applies to.
-    pub fn fault(&self, fault: Fault) {
+    pub fn inject_fault(&self, fault: Fault) {
         self.shared.faults.add(fault);
     }
 
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -10,15 +10,19 @@
 #[strum(serialize_all = "kebab-case")]
 pub enum Fault {
     /// The response headers carry the id of another request.
-    CrossedHead,
+    #[strum(serialize = "crossed-head")]
+    WrongIdInHeaders,
     /// The second event of the stream carries the id of another request.
-    CrossedEvent,
+    #[strum(serialize = "crossed-event")]
+    WrongIdInEvent,
     /// The stream ends regularly after two tokens, but without its terminator.
     NoTerminator,
     /// The third token of a stream is omitted.
-    Gap,
+    #[strum(serialize = "gap")]
+    MissingToken,
     /// The connection is aborted after two tokens.
-    Break,
+    #[strum(serialize = "break")]
+    AbortStream,
     /// The stream stalls after two tokens with the connection open.
     Stall,
     /// The engine refuses the request and says that it did not run.
@@ -30,7 +34,8 @@
     /// The order is lost: neither executed nor replied to.
     LostOrder,
     /// The engine crashes halfway through the next load.
-    DieInLoad,
+    #[strum(serialize = "die-in-load")]
+    CrashDuringLoad,
 }
 
 /// Faults that are still to be injected.
--- a/crates/standin/src/generation.rs
+++ b/crates/standin/src/generation.rs
@@ -26,10 +26,10 @@
 
 /// Faults that are injected into a streamed response.
 const STREAM_FAULTS: [Fault; 5] = [
-    Fault::CrossedEvent,
+    Fault::WrongIdInEvent,
     Fault::NoTerminator,
-    Fault::Gap,
-    Fault::Break,
+    Fault::MissingToken,
+    Fault::AbortStream,
     Fault::Stall,
 ];
 
@@ -114,7 +114,7 @@
 
     /// Returns the JSON of the complete response.
     fn complete_json(&self) -> String {
-        let whole = text::answer(&self.model, &self.body, self.tokens);
+        let whole = text::response_text(&self.model, &self.body, self.tokens);
         let choice = if self.chat {
             let message = serde_json::json!({ "role": "assistant", "content": whole });
             serde_json::json!({ "index": 0, "finish_reason": "stop", "message": message })
@@ -181,7 +181,7 @@
         }
         if !self.process.state().memory.contains(self.copy_id) {
             self.finished = true;
-            self.process.shared.counters().cut += 1;
+            self.process.shared.counters().aborted_by_unload += 1;
             return Err(StopReason::Cut);
         }
         self.process.shared.counters().tokens += 1;
@@ -236,7 +236,11 @@
         rejection.headers_mut().insert(RETRY_AFTER, retry);
         return rejection;
     };
-    let wrong_id = process.shared.faults.take(&[Fault::CrossedHead]).is_some();
+    let wrong_id = process
+        .shared
+        .faults
+        .take(&[Fault::WrongIdInHeaders])
+        .is_some();
     let mut running = start(&process, request, copy_id, slot);
     if process.token.is_cancelled() {
         return std::future::pending().await;
@@ -286,7 +290,7 @@
 fn record_late_request(process: &Process) {
     let since = process.state().leaving;
     if let Some(since) = since {
-        process.shared.counters().after_leaving = Some(since.elapsed());
+        process.shared.counters().last_request_after_leave = Some(since.elapsed());
     }
 }
 
@@ -329,14 +333,14 @@
         match fault {
             Some(Fault::Stall) if after_two_tokens => running.stall(chunks).await,
             Some(Fault::NoTerminator) if after_two_tokens => return,
-            Some(Fault::Break) if after_two_tokens => return abort_connection(chunks).await,
-            Some(Fault::Gap) if after_two_tokens => continue,
+            Some(Fault::AbortStream) if after_two_tokens => return abort_connection(chunks).await,
+            Some(Fault::MissingToken) if after_two_tokens => continue,
             _ => (),
         }
         if running.next_token().await.is_err() {
             return abort_connection(chunks).await;
         }
-        let wrong_id = fault == Some(Fault::CrossedEvent) && offset == resume_from + 1;
+        let wrong_id = fault == Some(Fault::WrongIdInEvent) && offset == resume_from + 1;
         let id = if wrong_id {
             "another-request"
         } else {
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -112,10 +112,10 @@
             samples: VecDeque::new(),
         };
         let batch = Batch::new(
-            settings.batch,
-            settings.queue,
-            settings.token,
-            settings.rate,
+            settings.max_batch,
+            settings.max_queued,
+            settings.token_time,
+            settings.tokens_per_second,
         );
         Self {
             shared,
@@ -186,11 +186,12 @@
         match outcome {
             LoadOutcome::AlreadyPresent => Reply::Accepted,
             LoadOutcome::OutOfMemory => {
-                counters.overcommits += 1;
+                counters.loads_over_capacity += 1;
                 refused("it does not fit into accelerator memory")
             }
             LoadOutcome::Reserved(copy_id) => {
-                counters.memory_peak = counters.memory_peak.max(state.memory.used_bytes());
+                counters.memory_peak_bytes =
+                    counters.memory_peak_bytes.max(state.memory.used_bytes());
                 let load = counters::Load {
                     model: model.model.clone(),
                     replica: order.replica,
@@ -205,7 +206,7 @@
 
     /// Loads a copy stage by stage, and marks it ready. An injected crash comes halfway.
     async fn load_weights(&self, copy_id: CopyId, model: &Reference, bytes: u64) {
-        let crashes = self.shared.faults.take(&[Fault::DieInLoad]).is_some();
+        let crashes = self.shared.faults.take(&[Fault::CrashDuringLoad]).is_some();
         self.fetch(model, bytes, Stage::Memory).await;
         let time = self
             .shared
@@ -219,7 +220,7 @@
         }
         sleep(time / 2).await;
         if self.state().memory.mark_ready(copy_id) {
-            self.shared.counters().loaded += 1;
+            self.shared.counters().loads_completed += 1;
         }
         self.heartbeat_now.notify_one();
     }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -33,15 +33,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// The connection is aborted before the request runs.
-    BreakBefore,
+    AbortBeforeRun,
     /// The connection is aborted after the request has run.
-    BreakAfter,
+    AbortAfterRun,
     /// The request is refused and the response says that it did not run.
     Refuse,
     /// The request runs, but the response has status 500.
     Fail,
     /// The request runs, but the response carries the id of another request.
-    Crossed,
+    WrongRequestId,
 }
 
 /// Settings of a service; [`Builder`] has a method for each.
@@ -81,7 +81,7 @@
     }
 
     /// Adds a service that the target runs.
-    pub fn runs(mut self, service: impl Into<Name>) -> Self {
+    pub fn service(mut self, service: impl Into<Name>) -> Self {
         self.settings.services.push(service.into());
         self
     }
@@ -232,12 +232,12 @@
 
     /// Returns the number of runs for each idempotency key, or for each request id without a key.
     #[must_use]
-    pub fn runs(&self) -> BTreeMap<Name, u32> {
+    pub fn run_counts(&self) -> BTreeMap<Name, u32> {
         self.inner.state().runs.clone()
     }
 
     /// Queues a failure, which is injected into the next request.
-    pub fn fail(&self, failure: Failure) {
+    pub fn inject_failure(&self, failure: Failure) {
         self.inner.state().failures.push_back(failure);
     }
 
@@ -287,7 +287,7 @@
             return Err(io::ErrorKind::InvalidData.into());
         };
         let failure = self.inner.state().failures.pop_front();
-        if failure == Some(Failure::BreakBefore) {
+        if failure == Some(Failure::AbortBeforeRun) {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         if failure == Some(Failure::Refuse) {
@@ -299,13 +299,13 @@
         let key =
             header_str(&head.headers, &IDEMPOTENCY_KEY).or(header_str(&head.headers, &REQUEST_ID));
         let run = self.run(key.unwrap_or_default().into()).await;
-        if failure == Some(Failure::BreakAfter) {
+        if failure == Some(Failure::AbortAfterRun) {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         let mut response = self.respond(&head.uri, &bytes, run);
         match failure {
             Some(Failure::Fail) => *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
-            Some(Failure::Crossed) => {
+            Some(Failure::WrongRequestId) => {
                 let wrong_id = http::HeaderValue::from_static("another-request");
                 response.headers_mut().insert(REQUEST_ID, wrong_id);
             }
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -39,13 +39,13 @@
     /// Weight store that remote models are loaded from.
     pub store: Store,
     /// Maximum number of requests in the batch.
-    pub batch: u32,
+    pub max_batch: u32,
     /// Maximum number of requests that wait for the batch.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Time between two tokens of a request while the batch is small.
-    pub token: Duration,
+    pub token_time: Duration,
     /// Throughput limit over all requests, in tokens per second.
-    pub rate: f64,
+    pub tokens_per_second: f64,
     /// Time to process a prompt whose prefix is not cached.
     pub prefill: Duration,
     /// Number of tokens to generate if the request sets none.
@@ -82,11 +82,13 @@
             stages: BTreeMap::new(),
             disk_time_per_gib: Duration::from_millis(40),
             memory_time_per_gib: Duration::from_millis(8),
-            store: Store::builder().gib(Duration::from_millis(100)).build(),
-            batch: 16,
-            queue: 64,
-            token: Duration::from_millis(2),
-            rate: 5_000.0,
+            store: Store::builder()
+                .time_per_gib(Duration::from_millis(100))
+                .build(),
+            max_batch: 16,
+            max_queued: 64,
+            token_time: Duration::from_millis(2),
+            tokens_per_second: 5_000.0,
             prefill: Duration::from_millis(5),
             default_tokens: 16,
             max_prefixes: 128,
@@ -136,10 +138,10 @@
     disk_time_per_gib: Duration, "Sets the load time per gibibyte from disk to host memory.";
     memory_time_per_gib: Duration, "Sets the load time per gibibyte from host memory to accelerator memory.";
     store: Store, "Sets the weight store that remote models are loaded from.";
-    batch: u32, "Sets the maximum number of requests in the batch.";
-    queue: usize, "Sets the maximum number of requests that wait for the batch.";
-    token: Duration, "Sets the time between two tokens of a request while the batch is small.";
-    rate: f64, "Sets the throughput limit over all requests, in tokens per second.";
+    max_batch: u32, "Sets the maximum number of requests in the batch.";
+    max_queued: usize, "Sets the maximum number of requests that wait for the batch.";
+    token_time: Duration, "Sets the time between two tokens of a request while the batch is small.";
+    tokens_per_second: f64, "Sets the throughput limit over all requests, in tokens per second.";
     prefill: Duration, "Sets the time to process a prompt whose prefix is not cached.";
     default_tokens: u64, "Sets the number of tokens to generate if the request sets none.";
     max_prefixes: usize, "Sets the maximum number of cached prompt prefixes.";
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -41,8 +41,8 @@
 impl Builder {
     /// Sets the limit on load starts, per second; starts above it are delayed.
     #[must_use]
-    pub fn starts(mut self, starts: f64) -> Self {
-        self.starts_per_second = starts;
+    pub fn starts_per_second(mut self, starts_per_second: f64) -> Self {
+        self.starts_per_second = starts_per_second;
         self
     }
 
@@ -55,8 +55,8 @@
 
     /// Sets the load time per gibibyte at full speed.
     #[must_use]
-    pub fn gib(mut self, gib: Duration) -> Self {
-        self.time_per_gib = gib;
+    pub fn time_per_gib(mut self, time_per_gib: Duration) -> Self {
+        self.time_per_gib = time_per_gib;
         self
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Sets the factor on all load times: 1 is normal, larger is slower, the minimum is 0.01.
-    pub fn slow(&self, slowness: f64) {
+    pub fn set_slowness(&self, slowness: f64) {
         self.state().slowness = slowness.max(0.01);
     }
 
--- a/crates/standin/tests/announce.rs
+++ b/crates/standin/tests/announce.rs
@@ -135,7 +135,7 @@
 async fn a_service_announces_itself_and_reports_that_it_leaves() {
     let entry = Entry::default();
     let entries = vec![entry.start().await];
-    let service = Service::builder().runs("bids").entries(entries);
+    let service = Service::builder().service("bids").entries(entries);
     let service = service
         .start(CancellationToken::new())
         .await
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -35,7 +35,7 @@
 pub async fn engine(settings: impl FnOnce(Builder) -> Builder) -> Engine {
     let fast = Duration::from_millis(1);
     let builder = Engine::builder()
-        .token(fast)
+        .token_time(fast)
         .prefill(fast)
         .restart_delay(fast)
         .stage("report", Stage::Memory);
--- a/crates/standin/tests/contract.rs
+++ b/crates/standin/tests/contract.rs
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn fakes_respond_as_documented() {
     let worker = start_worker().await;
-    let bids = Service::builder().name("auction-1").runs("bids");
+    let bids = Service::builder().name("auction-1").service("bids");
     let bids = bids
         .start(CancellationToken::new())
         .await
@@ -118,7 +118,7 @@
     let fast = Duration::from_millis(1);
     let builder = Engine::builder().name("worker-1").incarnation(7_u64);
     let builder = builder
-        .token(fast)
+        .token_time(fast)
         .prefill(fast)
         .stage("report", Stage::Disk);
     builder
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -19,8 +19,8 @@
 async fn responses_are_complete_plain_streamed_and_resumed() {
     let engine = engine(|builder| builder).await;
     load_model(&engine).await;
-    let whole = text::answer(&model(), BODY, TOKENS);
-    let first = text::answer(&model(), BODY, 4);
+    let whole = text::response_text(&model(), BODY, TOKENS);
+    let first = text::response_text(&model(), BODY, 4);
     let rows = [
         ("plain", false, None, whole.as_str()),
         ("stream", true, None, whole.as_str()),
@@ -99,7 +99,10 @@
         send(engine.address(), &order(&engine, 1, replica, load(bytes))).await;
     }
     let counters = engine.counters();
-    assert_eq!((counters.overcommits, counters.memory_peak), (1, 100));
+    assert_eq!(
+        (counters.loads_over_capacity, counters.memory_peak_bytes),
+        (1, 100)
+    );
     let unload = Action::Unload { model: model() };
     send(engine.address(), &order(&engine, 1, 1, unload)).await;
     assert_eq!(engine.used_bytes(), 40);
@@ -156,7 +159,7 @@
 #[tokio::test]
 async fn cancelling_and_disconnecting_both_free_the_batch_slot() {
     let slow = Duration::from_secs(30);
-    let engine = engine(|builder| builder.token(slow).batch(1_u32)).await;
+    let engine = engine(|builder| builder.token_time(slow).max_batch(1_u32)).await;
     load_model(&engine).await;
     let http = Http::default();
     let answer = http
@@ -207,7 +210,7 @@
         ..generate("r1", true, None)
     };
     let got = collect(engine.address(), generate).await;
-    assert_eq!(got.text, text::answer(&with_adapter(), BODY, TOKENS));
+    assert_eq!(got.text, text::response_text(&with_adapter(), BODY, TOKENS));
 
     let other = common::engine(|builder| builder).await;
     let cache = KvCache {
--- a/crates/standin/tests/fault.rs
+++ b/crates/standin/tests/fault.rs
@@ -25,20 +25,20 @@
 /// The faults, except a stall, that a streamed request can meet.
 const STREAM_FAULTS: [StreamFault; 6] = [
     case(
-        Fault::CrossedHead,
+        Fault::WrongIdInHeaders,
         Run::Unknown,
         0,
         "is to another-request, not to r1",
     ),
     case(
-        Fault::CrossedEvent,
+        Fault::WrongIdInEvent,
         Run::Unknown,
         1,
         "is to another-request, not to r1",
     ),
     case(Fault::NoTerminator, Run::Unknown, 2, "no terminator"),
-    case(Fault::Gap, Run::Unknown, 2, "starts at token 3"),
-    case(Fault::Break, Run::Unknown, 2, "broke"),
+    case(Fault::MissingToken, Run::Unknown, 2, "starts at token 3"),
+    case(Fault::AbortStream, Run::Unknown, 2, "broke"),
     case(Fault::Refuse, Run::NotRun, 0, "503"),
 ];
 
@@ -57,7 +57,7 @@
     let engine = engine(|builder| builder).await;
     load_model(&engine).await;
     for case in STREAM_FAULTS {
-        engine.fault(case.fault);
+        engine.inject_fault(case.fault);
         let got = collect(engine.address(), generate("r1", true, None)).await;
         let error = got
             .error
@@ -65,8 +65,8 @@
         let text = error.to_string();
         assert!(text.contains(case.error_text), "{}: {text}", case.fault);
         assert_eq!(error.run(), case.run, "{}", case.fault);
-        let sent = text::answer(&model(), BODY, case.tokens);
-        if case.fault == Fault::Break {
+        let sent = text::response_text(&model(), BODY, case.tokens);
+        if case.fault == Fault::AbortStream {
             assert!(sent.starts_with(&got.text), "{}", got.text);
         } else {
             assert_eq!(got.text, sent, "{}", case.fault);
@@ -75,7 +75,7 @@
         let whole = collect(engine.address(), generate("r2", true, None)).await;
         assert_eq!(
             whole.text,
-            text::answer(&model(), BODY, TOKENS),
+            text::response_text(&model(), BODY, TOKENS),
             "after {}",
             case.fault
         );
@@ -87,7 +87,7 @@
 async fn a_stalled_stream_fails_after_the_silence_timeout() {
     let engine = engine(|builder| builder).await;
     load_model(&engine).await;
-    engine.fault(Fault::Stall);
+    engine.inject_fault(Fault::Stall);
     let silence = std::time::Duration::from_secs(2);
     let http = cornelhitch_target::http::Http::builder()
         .read_timeout(silence)
@@ -109,7 +109,7 @@
 async fn a_lost_order_and_a_lost_reply_are_both_reported_as_unknown() {
     for (fault, loads) in [(Fault::LostReply, 1), (Fault::LostOrder, 0)] {
         let engine = engine(|builder| builder).await;
-        engine.fault(fault);
+        engine.inject_fault(fault);
         let load = order(&engine, 1, 1, load(1 << 20));
         assert_eq!(
             send(engine.address(), &load).await,
@@ -127,11 +127,14 @@
 #[tokio::test]
 async fn a_crash_during_a_load_leaves_no_memory_in_use() {
     let engine = engine(|builder| builder).await;
-    engine.fault(Fault::DieInLoad);
+    engine.inject_fault(Fault::CrashDuringLoad);
     send(engine.address(), &order(&engine, 1, 1, load(1 << 20))).await;
     engine.wait_for_restart(1).await;
     let counters = engine.counters();
-    assert_eq!((counters.loads_of("report"), counters.loaded), (1, 0));
+    assert_eq!(
+        (counters.loads_of("report"), counters.loads_completed),
+        (1, 0)
+    );
     assert_eq!(engine.used_bytes(), 0);
     engine.stop().await;
 }
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -31,25 +31,25 @@
         (None, 1, None),
         (Some(Failure::Fail), 1, None),
         (Some(Failure::Refuse), 0, None),
-        (Some(Failure::BreakBefore), 0, Some(Run::Unknown)),
-        (Some(Failure::BreakAfter), 1, Some(Run::Unknown)),
-        (Some(Failure::Crossed), 1, Some(Run::Unknown)),
+        (Some(Failure::AbortBeforeRun), 0, Some(Run::Unknown)),
+        (Some(Failure::AbortAfterRun), 1, Some(Run::Unknown)),
+        (Some(Failure::WrongRequestId), 1, Some(Run::Unknown)),
     ];
     for (failure, runs, run) in rows {
-        let service = Service::builder().name("auction-1").runs("bids");
+        let service = Service::builder().name("auction-1").service("bids");
         let service = service
             .start(CancellationToken::new())
             .await
             .expect("bind a port");
         if let Some(failure) = failure {
-            service.fail(failure);
+            service.inject_failure(failure);
         }
         let gate = Box::new(|| true);
         let reply = Http::default()
             .call(service.address(), bid_with_key("k1"), gate)
             .await;
         assert_eq!(reply.err().map(|error| error.run()), run, "{failure:?}");
-        let counted = service.runs().get("k1").copied().unwrap_or(0);
+        let counted = service.run_counts().get("k1").copied().unwrap_or(0);
         assert_eq!(counted, runs, "{failure:?}");
         service.stop();
     }
@@ -57,7 +57,7 @@
 
 #[tokio::test]
 async fn two_requests_with_one_key_count_as_two_runs() {
-    let service = Service::builder().runs("bids");
+    let service = Service::builder().service("bids");
     let service = service
         .start(CancellationToken::new())
         .await
--- a/crates/standin/tests/store.rs
+++ b/crates/standin/tests/store.rs
@@ -31,9 +31,11 @@
         (1_000.0, 4, 4, 3.0, 3.0),
     ];
     for (starts, concurrency, count, slowness, seconds) in rows {
-        let builder = Store::builder().starts(starts).concurrency(concurrency);
-        let store = builder.gib(Duration::from_secs(1)).build();
-        store.slow(slowness);
+        let builder = Store::builder()
+            .starts_per_second(starts)
+            .concurrency(concurrency);
+        let store = builder.time_per_gib(Duration::from_secs(1)).build();
+        store.set_slowness(slowness);
         let elapsed = time_loads(&store, count).await;
         let error = elapsed.abs_diff(Duration::from_secs_f64(seconds));
         assert!(
--- a/crates/trial/examples/burst.rs
+++ b/crates/trial/examples/burst.rs
@@ -115,7 +115,9 @@
         workers: 6,
         memory: 8 << 30,
         token: Duration::from_millis(2),
-        store: Store::builder().gib(Duration::from_millis(100)).build(),
+        store: Store::builder()
+            .time_per_gib(Duration::from_millis(100))
+            .build(),
     };
     let outcome = runtime.block_on(async {
         let hosts = cluster.caller_addresses();
--- a/crates/trial/examples/faults/checks.rs
+++ b/crates/trial/examples/faults/checks.rs
@@ -204,7 +204,7 @@
     let runs: u32 = trial
         .services
         .iter()
-        .filter_map(|service| service.runs().get(bid.key.as_str()).copied())
+        .filter_map(|service| service.run_counts().get(bid.key.as_str()).copied())
         .sum();
     if runs > 1 {
         return Some(format!("{} ran {runs} times: {:?}", bid.key, bid.attempts));
@@ -234,22 +234,25 @@
     let mut loaded: BTreeMap<Load, u32> = BTreeMap::new();
     for engine in &trial.engines {
         let counters = engine.counters();
-        if counters.overcommits > 0 || counters.memory_peak > memory {
+        if counters.loads_over_capacity > 0 || counters.memory_peak_bytes > memory {
             violations.push(format!(
                 "worker memory was overcommitted, limit {memory} bytes: {counters:?}"
             ));
         }
         if counters
-            .after_leaving
+            .last_request_after_leave
             .is_some_and(|after| after > LEAVE_TIMEOUT)
         {
             violations.push(format!(
                 "a worker got work after it began to leave, up to {:?} later",
-                counters.after_leaving
+                counters.last_request_after_leave
             ));
         }
-        if counters.cut > 0 {
-            violations.push(format!("unloads interrupted {} requests", counters.cut));
+        if counters.aborted_by_unload > 0 {
+            violations.push(format!(
+                "unloads interrupted {} requests",
+                counters.aborted_by_unload
+            ));
         }
         for (load, times) in counters.loads {
             *loaded.entry(load).or_default() += times;
@@ -324,7 +327,7 @@
     let loads: u32 = trial
         .engines
         .iter()
-        .map(|engine| engine.counters().loaded)
+        .map(|engine| engine.counters().loads_completed)
         .sum();
     println!(
         "  {counts:?}, {loads} loads, {} settings accepted",
--- a/crates/trial/examples/faults/main.rs
+++ b/crates/trial/examples/faults/main.rs
@@ -138,8 +138,8 @@
     let stop = CancellationToken::new();
     let hosts = cluster.caller_addresses();
     let store = Store::builder()
-        .starts(4.0)
-        .gib(Duration::from_millis(100))
+        .starts_per_second(4.0)
+        .time_per_gib(Duration::from_millis(100))
         .build();
     let spec = workers::WorkerSpec {
         regions,
@@ -189,7 +189,7 @@
     for (index, region) in regions.iter().cycle().take(SERVICE_WORKERS).enumerate() {
         let service = Service::builder()
             .name(format!("auction-{}", index + 1))
-            .runs("auction")
+            .service("auction")
             .region(region.as_str())
             .zone(format!("{region}-1"))
             .delay(Duration::from_millis(30))
--- a/crates/trial/examples/faults/schedule.rs
+++ b/crates/trial/examples/faults/schedule.rs
@@ -49,7 +49,7 @@
         tracing::warn!(?kind, at = ?trial.started.elapsed(), "fault");
         inject(trial, kind, &mut random);
     }
-    trial.store.slow(1.0);
+    trial.store.set_slowness(1.0);
 }
 
 /// Injects one fault and undoes it if it does not end by itself.
@@ -74,24 +74,24 @@
         FaultKind::Crash => engine.crash(),
         FaultKind::Engine => {
             let faults: Vec<Fault> = Fault::iter().collect();
-            engine.fault(faults[random.random_range(0..faults.len())]);
+            engine.inject_fault(faults[random.random_range(0..faults.len())]);
         }
         FaultKind::Service => {
             use cornelhitch_standin::service::Failure;
             let failures = [
-                Failure::BreakBefore,
-                Failure::BreakAfter,
+                Failure::AbortBeforeRun,
+                Failure::AbortAfterRun,
                 Failure::Refuse,
                 Failure::Fail,
-                Failure::Crossed,
+                Failure::WrongRequestId,
             ];
             let service = &trial.services[random.random_range(0..trial.services.len())];
-            service.fail(failures[random.random_range(0..failures.len())]);
+            service.inject_failure(failures[random.random_range(0..failures.len())]);
         }
         FaultKind::Store => {
-            trial.store.slow(random.random_range(2.0..6.0));
+            trial.store.set_slowness(random.random_range(2.0..6.0));
             std::thread::sleep(duration);
-            trial.store.slow(1.0);
+            trial.store.set_slowness(1.0);
         }
     }
 }
--- a/crates/trial/examples/quickstart.rs
+++ b/crates/trial/examples/quickstart.rs
@@ -97,8 +97,8 @@
         memory: 8 << 30,
         token: Duration::from_millis(2),
         store: Store::builder()
-            .starts(4.0)
-            .gib(Duration::from_millis(100))
+            .starts_per_second(4.0)
+            .time_per_gib(Duration::from_millis(100))
             .build(),
     };
     let hosts = cluster.caller_addresses();
@@ -112,7 +112,7 @@
             results.iter().flat_map(ModelResult::violations).collect();
         for engine in &engines {
             let counters = engine.counters();
-            if counters.overcommits > 0 || counters.memory_peak > spec.memory {
+            if counters.loads_over_capacity > 0 || counters.memory_peak_bytes > spec.memory {
                 violations.push(format!("a worker's memory was overcommitted: {counters:?}"));
             }
         }
--- a/crates/trial/examples/rolling.rs
+++ b/crates/trial/examples/rolling.rs
@@ -72,8 +72,8 @@
         memory: 4 << 30,
         token: Duration::from_millis(5),
         store: Store::builder()
-            .starts(4.0)
-            .gib(Duration::from_millis(100))
+            .starts_per_second(4.0)
+            .time_per_gib(Duration::from_millis(100))
             .build(),
     };
     let _engines = runtime.block_on(workers::start(&spec, &hosts, &stop))?;
--- a/crates/trial/examples/warm.rs
+++ b/crates/trial/examples/warm.rs
@@ -206,12 +206,16 @@
     let engine = Engine::builder()
         .region("north")
         .zone("north-1")
-        .batch(4_096_u32)
-        .queue(4_096_usize)
-        .rate(1e12)
+        .max_batch(4_096_u32)
+        .max_queued(4_096_usize)
+        .tokens_per_second(1e12)
         .prefill(Duration::from_millis(prefill))
-        .token(Duration::from_millis(token))
-        .store(Store::builder().gib(Duration::from_millis(10)).build())
+        .token_time(Duration::from_millis(token))
+        .store(
+            Store::builder()
+                .time_per_gib(Duration::from_millis(10))
+                .build(),
+        )
         .entries(vec![host]);
     Ok(engine.start(stop.child_token()).await?)
 }
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -299,7 +299,7 @@
     body: &[u8],
     started: Instant,
 ) -> Outcome {
-    let expected = text::answer(&model_request.model, body, model_request.tokens);
+    let expected = text::response_text(&model_request.model, body, model_request.tokens);
     let mut first_token = None;
     let result = if model_request.stream {
         read_streamed_text(response, &mut first_token, started).await
--- a/crates/trial/src/cluster.rs
+++ b/crates/trial/src/cluster.rs
@@ -24,7 +24,7 @@
 const REBIND_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Bearer token of the operators' interface.
-pub const TOKEN: &str = "a token for operators";
+pub const OPERATOR_TOKEN: &str = "a token for operators";
 
 /// Secret that the peers share.
 const PEER_SECRET: &str = "a secret that all peers of the cluster share";
@@ -111,7 +111,7 @@
     pub fn start(spec: &ClusterSpec) -> Result<Self, Error> {
         let directory = TempDir::new()?;
         std::fs::write(directory.path().join("keys"), PEER_SECRET)?;
-        std::fs::write(directory.path().join("token"), TOKEN)?;
+        std::fs::write(directory.path().join("token"), OPERATOR_TOKEN)?;
         std::fs::write(directory.path().join("fleet.yaml"), &spec.fleet)?;
         let mut bound = Vec::new();
         for index in 0..spec.hosts {
--- a/crates/trial/src/operator.rs
+++ b/crates/trial/src/operator.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioExecutor;
 use serde_json::Value;
 
-use crate::cluster::{Cluster, TOKEN};
+use crate::cluster::{Cluster, OPERATOR_TOKEN};
 
 /// Timeout of one call, including the response body.
 const CALL_TIMEOUT: Duration = Duration::from_secs(12);
@@ -35,7 +35,7 @@
     let request = Request::builder()
         .method(method)
         .uri(format!("http://{host}{path}"))
-        .header("authorization", format!("Bearer {TOKEN}"))
+        .header("authorization", format!("Bearer {OPERATOR_TOKEN}"))
         .body(Full::new(body));
     let Ok(request) = request else {
         return Value::Null;
--- a/crates/trial/src/workers.rs
+++ b/crates/trial/src/workers.rs
@@ -42,7 +42,7 @@
             .region(region.as_str())
             .zone(format!("{region}-1"))
             .memory(spec.memory)
-            .token(spec.token)
+            .token_time(spec.token)
             .fencing(index % 2 == 0)
             .store(spec.store.clone())
             .entries(entries.to_vec())
--- a/crates/trial/tests/input.rs
+++ b/crates/trial/tests/input.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::time::Duration;
 
-use cornelhitch_trial::cluster::{Cluster, ClusterSpec, TOKEN};
+use cornelhitch_trial::cluster::{Cluster, ClusterSpec, OPERATOR_TOKEN};
 
 /// Limit and interval of the attempts until a host is ready.
 const ATTEMPTS: usize = 600;
@@ -81,7 +81,7 @@
 fn send(address: SocketAddr, case: &Case) -> String {
     let token = match case.port {
         Port::Callers => String::new(),
-        Port::Operators => format!("authorization: Bearer {TOKEN}\r\n"),
+        Port::Operators => format!("authorization: Bearer {OPERATOR_TOKEN}\r\n"),
     };
     let (line, headers) = case.head.split_once('\n').unwrap_or((case.head, ""));
     let headers: Vec<&str> = headers.lines().chain([""]).collect();
--- a/crates/trial/tests/stream.rs
+++ b/crates/trial/tests/stream.rs
@@ -48,7 +48,9 @@
         workers: 2,
         memory: 4 << 30,
         token: Duration::from_millis(2),
-        store: Store::builder().gib(Duration::from_millis(10)).build(),
+        store: Store::builder()
+            .time_per_gib(Duration::from_millis(10))
+            .build(),
     };
     let runtime = tokio::runtime::Runtime::new().expect("runtime");
     let stop = CancellationToken::new();
@@ -72,16 +74,16 @@
         assert!(answered, "no request was answered in {ATTEMPTS} attempts");
         let faults = [
             Fault::Stall,
-            Fault::Break,
+            Fault::AbortStream,
             Fault::NoTerminator,
-            Fault::Gap,
-            Fault::CrossedHead,
-            Fault::CrossedEvent,
+            Fault::MissingToken,
+            Fault::WrongIdInHeaders,
+            Fault::WrongIdInEvent,
             Fault::Refuse,
         ];
         for fault in faults {
-            for engine in engines.iter().filter(|engine| engine.counters().loaded > 0) {
-                engine.fault(fault);
+            for engine in engines.iter().filter(|e| e.counters().loads_completed > 0) {
+                engine.inject_fault(fault);
             }
             let outcome = caller
                 .request_model(hosts[0], &model_request(&fault.to_string(), true))
