--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -126,9 +126,7 @@
         fingerprint: u64,
     },
     /// Records that a target is leaving and gets no new work in this incarnation.
-    #[serde(rename = "Leave")]
-    #[strum_discriminants(strum(serialize = "leave"))]
-    RecordLeaving {
+    Leave {
         /// The target that leaves.
         target: TargetId,
         /// Its incarnation.
@@ -164,7 +162,7 @@
     /// The result of [`Command::Apply`].
     Settings(current_settings::ApplyResult),
     /// The result of [`Command::Register`], [`Command::Deregister`], [`Command::RecordSilence`],
-    /// [`Command::RecordLeaving`] and [`Command::RecordHeld`].
+    /// [`Command::Leave`] and [`Command::RecordHeld`].
     Target(fleet::Answer),
     /// The result of [`Command::Decide`], [`Command::Ready`], [`Command::Retire`] and
     /// [`Command::Release`].
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -171,7 +171,7 @@
                 incarnation,
                 silent,
             } => Reply::Target(self.fleet.record_silence(&target, incarnation, silent)),
-            Command::RecordLeaving {
+            Command::Leave {
                 target,
                 incarnation,
             } => Reply::Target(self.fleet.record_leaving(&target, incarnation)),
--- a/crates/control/src/term_state.rs
+++ b/crates/control/src/term_state.rs
@@ -231,7 +231,7 @@
             (Command::Register(announcement), Reply::Target(answer)) => {
                 self.on_registered(&announcement.target, answer, ctx);
             }
-            (Command::RecordLeaving { target, .. }, Reply::Target(fleet::Answer::Done)) => {
+            (Command::Leave { target, .. }, Reply::Target(fleet::Answer::Done)) => {
                 self.on_leave(&target, ctx);
             }
             (_, Reply::Document(current_table::Answer::Accepted)) => {
--- a/crates/control/tests/hosting/main.rs
+++ b/crates/control/tests/hosting/main.rs
@@ -207,7 +207,7 @@
 #[test]
 fn leaving_worker_stays_closed_under_later_leaders() {
     let (mut bench, mut worker) = bench();
-    bench.commit(&Command::RecordLeaving {
+    bench.commit(&Command::Leave {
         target: "w1".into(),
         incarnation: 1_000,
     });
@@ -244,7 +244,7 @@
 fn incarnation_that_left_unregistered_is_never_registered() {
     let (mut bench, _) = bench();
     for (name, left, again) in [("x1", 1_500, 1_501), ("w1", 2_000, 2_001)] {
-        bench.commit(&Command::RecordLeaving {
+        bench.commit(&Command::Leave {
             target: name.into(),
             incarnation: left,
         });
@@ -267,7 +267,7 @@
 #[test]
 fn worker_is_closed_when_a_newer_incarnation_leaves() {
     let (mut bench, _) = bench();
-    bench.commit(&Command::RecordLeaving {
+    bench.commit(&Command::Leave {
         target: "w1".into(),
         incarnation: 2_000,
     });
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -231,7 +231,7 @@
     for left in [false, true] {
         let mut bench = bench();
         if left {
-            bench.commit(&Command::RecordLeaving {
+            bench.commit(&Command::Leave {
                 target: "w1".into(),
                 incarnation: 1,
             });
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -363,7 +363,7 @@
             Some(Waiter::Host { host, call }) => self.send_committed(host, call, &reply),
             Some(Waiter::Local(answer)) => {
                 let (index, term) = (entry.index, entry.term);
-                if let Command::RecordLeaving { target, .. } = &command {
+                if let Command::Leave { target, .. } = &command {
                     tracing::info!(
                         target = &**target,
                         index,
--- a/crates/node/src/control/requests.rs
+++ b/crates/node/src/control/requests.rs
@@ -72,7 +72,7 @@
             incarnation,
             "committing that a target leaves"
         );
-        let command = Command::RecordLeaving {
+        let command = Command::Leave {
             target,
             incarnation,
         };
--- a/crates/node/src/entry/background.rs
+++ b/crates/node/src/entry/background.rs
@@ -37,7 +37,7 @@
         receipt: oneshot::Sender<Receipt>,
     ) {
         let session = self.setup.session.clone();
-        let leave = Command::RecordLeaving {
+        let leave = Command::Leave {
             target,
             incarnation,
         };
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -60,7 +60,7 @@
 
 /// An operator's request to bring a settings text in force.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, rename = "Proposal")]
 pub struct ApplyRequest {
     /// The operator's name.
     pub operator: String,
--- a/crates/node/src/upward.rs
+++ b/crates/node/src/upward.rs
@@ -56,7 +56,7 @@
                 target,
                 incarnation,
             } => {
-                let leave = Command::RecordLeaving {
+                let leave = Command::Leave {
                     target,
                     incarnation,
                 };
