--- a/crates/entry/src/fleet_view.rs
+++ b/crates/entry/src/fleet_view.rs
@@ -55,6 +55,7 @@
     /// All known entry hosts.
     pub hosts: BTreeMap<HostId, entry::Host>,
     /// Load time of models that no target has stored nearby.
+    #[serde(rename = "outlooks")]
     cold_start_estimates: BTreeMap<ModelId, Time>,
     /// Replicas by model.
     models: BTreeMap<ModelId, BTreeSet<ReplicaId>>,
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -192,9 +192,9 @@
 /// use tokio_util::sync::CancellationToken;
 ///
 /// # tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(async {
-/// let bids = Service::builder().name("auction-1").runs("bids");
+/// let bids = Service::builder().name("auction-1").service("bids");
 /// let bids = bids.start(CancellationToken::new()).await?;
-/// assert!(bids.runs().is_empty());
+/// assert!(bids.run_counts().is_empty());
 /// bids.stop();
 /// # Ok::<(), std::io::Error>(())
 /// # }).unwrap();
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -130,7 +130,7 @@
 ///
 /// # let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
 /// # runtime.block_on(async {
-/// let store = Store::builder().gib(Duration::from_millis(10)).build();
+/// let store = Store::builder().time_per_gib(Duration::from_millis(10)).build();
 /// store.load(1 << 30).await;
 /// assert_eq!(store.counters().started, 1);
 /// # });
