--- a/crates/control/examples/scale.rs
+++ b/crates/control/examples/scale.rs
@@ -17,7 +17,7 @@
 use cornelhitch_types::entry;
 use cornelhitch_types::id::Time;
 use cornelhitch_types::model::Reference;
-use cornelhitch_types::target::{Announcement, Heartbeat, Kind, Load, ModelCopy, Stage};
+use cornelhitch_types::target::{Announcement, Heartbeat, Holding, Kind, Load, Stage};
 use cornelhitch_types::view::View;
 
 /// The number of models at the later size.
@@ -396,7 +396,7 @@
 }
 
 fn heartbeat(at: usize, sequence: u64) -> Heartbeat {
-    let copy = ModelCopy {
+    let copy = Holding {
         model: Reference::base(model(at)),
         replica: None,
         stage: Stage::Ready,
--- a/crates/control/src/heartbeats.rs
+++ b/crates/control/src/heartbeats.rs
@@ -3,7 +3,7 @@
 use cornelhitch_types::id::{Incarnation, ReplicaId, TargetId};
 use cornelhitch_types::order::Action;
 use cornelhitch_types::target::{
-    AnnouncedHeartbeat, Announcement, CacheEvent, Heartbeat, ModelCopy, Stage,
+    AnnouncedHeartbeat, Announcement, CacheEvent, Heartbeat, Holding, Stage,
 };
 use cornelhitch_types::view::{self, Change, State};
 
@@ -204,7 +204,7 @@
     fn on_replica_shown(
         &mut self,
         replica: &Replica,
-        copy: &ModelCopy,
+        copy: &Holding,
         sequence: u64,
         ctx: &mut Context,
     ) {
--- a/crates/control/src/hosting.rs
+++ b/crates/control/src/hosting.rs
@@ -17,7 +17,7 @@
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::order::{self, Order, Outcome};
 use cornelhitch_types::route::{Model, RouteTable, WorkerCapacity};
-use cornelhitch_types::target::{Inspection, ModelCopy, Stage};
+use cornelhitch_types::target::{Holding, Inspection, Stage};
 use cornelhitch_types::view::{Change, State};
 
 use self::worker_orders::{InFlightOrder, REFUSED_BACKOFF, WorkerOrders, held};
@@ -102,7 +102,7 @@
     }
 
     /// Returns the adapters of a copy, and whether it takes requests.
-    pub(crate) fn copy_status(&self, target: &str, copy: &ModelCopy) -> (Vec<Name>, State) {
+    pub(crate) fn copy_status(&self, target: &str, copy: &Holding) -> (Vec<Name>, State) {
         let Some(worker_orders) = self.workers.get(target) else {
             return (copy.adapters.clone(), State::Ready);
         };
--- a/crates/control/src/hosting/worker_orders.rs
+++ b/crates/control/src/hosting/worker_orders.rs
@@ -6,7 +6,7 @@
 use cornelhitch_planner::hosting::{Action, HeldModel};
 use cornelhitch_types::id::{Incarnation, ModelId, Name, Time};
 use cornelhitch_types::order::{Order, Outcome, Reply};
-use cornelhitch_types::target::{ModelCopy, Stage};
+use cornelhitch_types::target::{Holding, Stage};
 
 use crate::workers::LastHeartbeat;
 
@@ -146,7 +146,7 @@
 
     /// Returns the adapters of a copy according to heartbeats and recent orders; `accepted_only` excludes
     /// orders that the worker has not accepted yet.
-    pub(super) fn adapters(&self, copy: &ModelCopy, accepted_only: bool) -> Vec<Name> {
+    pub(super) fn adapters(&self, copy: &Holding, accepted_only: bool) -> Vec<Name> {
         let mut adapters = copy.adapters.clone();
         let ordered = self.recent.iter().filter(|it| it.model == copy.model.model);
         let ordered = ordered.filter(|it| it.accepted || !accepted_only);
@@ -197,7 +197,7 @@
     }
 
     /// Replaces the recent orders by the inventory that the worker reported.
-    pub(super) fn replace_recent(&mut self, inventory: &[ModelCopy], at: Time) {
+    pub(super) fn replace_recent(&mut self, inventory: &[Holding], at: Time) {
         self.recent.clear();
         for copy in inventory {
             let model = &copy.model.model;
--- a/crates/control/src/term_state.rs
+++ b/crates/control/src/term_state.rs
@@ -4,7 +4,7 @@
 
 use cornelhitch_planner::Planner;
 use cornelhitch_types::id::{ModelId, Name, ReplicaId, TargetId, Term, Time};
-use cornelhitch_types::target::{Heartbeat, ModelCopy};
+use cornelhitch_types::target::{Heartbeat, Holding};
 use cornelhitch_types::view::{self, Change};
 
 use crate::command::{Command, Reply};
@@ -106,7 +106,7 @@
                 worker.restore_held(&known.held);
             }
             if announcement.takes_numbered_orders() {
-                let shown = |copy: &ModelCopy| (copy.adapters.clone(), view::State::Ready);
+                let shown = |copy: &Holding| (copy.adapters.clone(), view::State::Ready);
                 worker.observe(&target, shown, None, ctx.now);
                 term_state
                     .hosting
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -5,7 +5,7 @@
 use cornelhitch_settings::fleet::FleetSettings as Settings;
 use cornelhitch_types::id::{Incarnation, ModelId, Name, ReplicaId, TargetId, Time};
 use cornelhitch_types::model::Reference;
-use cornelhitch_types::target::{Heartbeat, Load, ModelCopy, Stage};
+use cornelhitch_types::target::{Heartbeat, Holding, Load, Stage};
 use cornelhitch_types::view;
 
 use crate::mutation::{self, Mutation};
@@ -17,7 +17,7 @@
     /// Its sequence number.
     pub(crate) sequence: u64,
     /// The copies that the target holds.
-    pub(crate) inventory: Vec<ModelCopy>,
+    pub(crate) inventory: Vec<Holding>,
     /// The load of the target.
     pub(crate) load: Load,
 }
@@ -129,7 +129,7 @@
 
     /// Restores what the worker held under an earlier leader, until its first heartbeat.
     pub(crate) fn restore_held(&mut self, held: &[Reference]) {
-        let copy = |model: &Reference| ModelCopy {
+        let copy = |model: &Reference| Holding {
             model: model.clone(),
             replica: None,
             stage: Stage::Ready,
@@ -254,7 +254,7 @@
     pub(crate) fn observe(
         &mut self,
         target: &TargetId,
-        shown: impl Fn(&ModelCopy) -> (Vec<Name>, view::State),
+        shown: impl Fn(&Holding) -> (Vec<Name>, view::State),
         pending_load: Option<PendingLoad>,
         now: Time,
     ) -> bool {
@@ -308,7 +308,7 @@
     }
 
     /// Returns an orphan, with what is known of it from earlier heartbeats.
-    fn orphan(&self, copy: &ModelCopy, sequence: u64, now: Time) -> Orphan {
+    fn orphan(&self, copy: &Holding, sequence: u64, now: Time) -> Orphan {
         let same = |it: &&Orphan| it.model == copy.model && it.replica == copy.replica;
         let old = self.orphans.iter().find(same);
         Orphan {
@@ -327,7 +327,7 @@
 /// Returns whether a copy belongs to a replica.
 ///
 /// Workers that report replica ids are matched by id, others by model and version.
-pub(crate) fn is_copy_of(replica: &Replica, copy: &ModelCopy) -> bool {
+pub(crate) fn is_copy_of(replica: &Replica, copy: &Holding) -> bool {
     if let Some(id) = copy.replica {
         return id == replica.id;
     }
@@ -340,7 +340,7 @@
 
 /// Returns the copies in accelerator memory that belong to no replica; each replica accounts for
 /// one.
-fn unmatched_copies<'a>(inventory: &'a [ModelCopy], replicas: &[&Replica]) -> Vec<&'a ModelCopy> {
+fn unmatched_copies<'a>(inventory: &'a [Holding], replicas: &[&Replica]) -> Vec<&'a Holding> {
     let mut matched = Vec::new();
     let mut left = Vec::new();
     for copy in inventory.iter().filter(|it| it.stage >= Stage::Loading) {
@@ -354,11 +354,7 @@
 }
 
 /// Returns an unmanaged copy as entry hosts see it, under an id that no decided replica gets.
-fn observed_replica(
-    target: &TargetId,
-    incarnation: Incarnation,
-    copy: &ModelCopy,
-) -> view::Replica {
+fn observed_replica(target: &TargetId, incarnation: Incarnation, copy: &Holding) -> view::Replica {
     let mut hasher = blake3::Hasher::new();
     hasher.update(target.as_bytes());
     hasher.update(&incarnation.to_le_bytes());
@@ -383,7 +379,7 @@
     pending_load: &PendingLoad,
     now: Time,
 ) -> view::Replica {
-    let copy = ModelCopy {
+    let copy = Holding {
         model: Reference::base(pending_load.model.clone()),
         replica: None,
         stage: Stage::Loading,
--- a/crates/control/tests/common/fake.rs
+++ b/crates/control/tests/common/fake.rs
@@ -3,7 +3,7 @@
 use cornelhitch_types::id::ReplicaId;
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::order::{Action, Order, Reply};
-use cornelhitch_types::target::{Announcement, Heartbeat, ModelCopy, Stage};
+use cornelhitch_types::target::{Announcement, Heartbeat, Holding, Stage};
 
 /// How a kind of worker handles orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -85,8 +85,8 @@
         }
     }
 
-    fn copy(&self, held: &Held) -> ModelCopy {
-        ModelCopy {
+    fn copy(&self, held: &Held) -> Holding {
+        Holding {
             model: held.model.clone(),
             replica: held.replica.filter(|_| self.capabilities.ids),
             stage: if held.seconds_left > 0 {
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -18,7 +18,7 @@
 use cornelhitch_types::id::{HostId, ReplicaId, Time};
 use cornelhitch_types::model::Reference;
 use cornelhitch_types::order::Order;
-use cornelhitch_types::target::{Announcement, Heartbeat, Kind, Load, ModelCopy, Stage};
+use cornelhitch_types::target::{Announcement, Heartbeat, Holding, Kind, Load, Stage};
 use cornelhitch_types::view::{Change, State as ReplicaState};
 
 /// Two models of 40 bytes, one of 50, and one of 10 in an unmanaged group.
@@ -56,7 +56,7 @@
     name: &str,
     incarnation: u64,
     sequence: u64,
-    inventory: Vec<ModelCopy>,
+    inventory: Vec<Holding>,
 ) -> Heartbeat {
     Heartbeat {
         target: name.into(),
@@ -70,8 +70,8 @@
     }
 }
 
-pub fn model_copy(model: &str, replica: Option<ReplicaId>, stage: Stage, bytes: u64) -> ModelCopy {
-    ModelCopy {
+pub fn model_copy(model: &str, replica: Option<ReplicaId>, stage: Stage, bytes: u64) -> Holding {
+    Holding {
         model: Reference::base(model),
         replica,
         stage,
--- a/crates/control/tests/hosting/worker.rs
+++ b/crates/control/tests/hosting/worker.rs
@@ -11,7 +11,7 @@
 use cornelhitch_types::order::{Action, Order, Outcome, Reply as Answer};
 use cornelhitch_types::route::{Model, RouteTable, Service, WorkerCapacity};
 use cornelhitch_types::target::{
-    AnnouncedHeartbeat, Announcement, Heartbeat, Inspection, Kind, Load, ModelCopy, Stage,
+    AnnouncedHeartbeat, Announcement, Heartbeat, Holding, Inspection, Kind, Load, Stage,
 };
 
 /// The models, more than two workers can hold.
@@ -154,8 +154,8 @@
         true
     }
 
-    pub fn inventory(&self) -> Vec<ModelCopy> {
-        let held = self.held.iter().map(|(model, adapters)| ModelCopy {
+    pub fn inventory(&self) -> Vec<Holding> {
+        let held = self.held.iter().map(|(model, adapters)| Holding {
             model: Reference::base(model.as_str()),
             replica: None,
             stage: Stage::Ready,
@@ -167,7 +167,7 @@
 
     pub fn presence(&mut self, leaving: bool) -> AnnouncedHeartbeat {
         self.heartbeats += 1;
-        let disk = self.disk.iter().map(|model| ModelCopy {
+        let disk = self.disk.iter().map(|model| Holding {
             model: Reference::base(model.as_str()),
             replica: None,
             stage: Stage::Disk,
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -8,7 +8,7 @@
 use cornelhitch_control::strikes::Strike;
 use cornelhitch_control::{claims, current_settings};
 use cornelhitch_types::order::Action;
-use cornelhitch_types::target::{Heartbeat, Load, ModelCopy, Stage};
+use cornelhitch_types::target::{Heartbeat, Holding, Load, Stage};
 use cornelhitch_types::view::{Change, View};
 
 /// A leader with one worker that has sent heartbeats.
@@ -22,7 +22,7 @@
 }
 
 /// Lets seconds pass, each with a heartbeat that shows copies and running requests.
-fn run_seconds(bench: &mut Bench, first: u64, seconds: u64, held: &[ModelCopy], running: u32) {
+fn run_seconds(bench: &mut Bench, first: u64, seconds: u64, held: &[Holding], running: u32) {
     for sequence in first..first + seconds {
         let load = Load {
             running,
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -60,8 +60,8 @@
 
 /// An operator's request to bring a settings text in force.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, rename = "Proposal")]
-pub struct ApplyRequest {
+#[serde(deny_unknown_fields)]
+pub struct Proposal {
     /// The operator's name.
     pub operator: String,
     /// The id of this request; a resend with the same id gets the first answer.
@@ -72,7 +72,7 @@
     pub text: String,
 }
 
-/// The outcome of an [`ApplyRequest`].
+/// The outcome of an [`Proposal`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "result")]
 pub enum ApplyOutcome {
@@ -237,7 +237,7 @@
 
     /// Submits a settings text.
     async fn apply(&self, body: Bytes) -> Result<Response<Body>, Refusal> {
-        let proposal: ApplyRequest = serde_json::from_slice(&body)
+        let proposal: Proposal = serde_json::from_slice(&body)
             .map_err(|error| not_run(Reason::Malformed, format!("the body: {error}")))?;
         let command = Command::Apply(Apply {
             operator: proposal.operator.into(),
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -6,7 +6,7 @@
 
 use cornelhitch_target::inbound::Leaving;
 use cornelhitch_types::id::Incarnation;
-use cornelhitch_types::target::{Announcement, Heartbeat, ModelCopy};
+use cornelhitch_types::target::{Announcement, Heartbeat, Holding};
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioExecutor, TokioIo};
 use hyper_util::server::conn::auto;
@@ -116,7 +116,7 @@
 
     /// Returns the inventory that the next heartbeat would list.
     #[must_use]
-    pub fn inventory(&self) -> Vec<ModelCopy> {
+    pub fn inventory(&self) -> Vec<Holding> {
         let process = self.process.borrow().clone();
         let state = process.state();
         state.memory.inventory()
--- a/crates/standin/src/memory.rs
+++ b/crates/standin/src/memory.rs
@@ -152,8 +152,8 @@
     }
 
     /// Lists all copies for a heartbeat, accelerator memory first.
-    pub fn inventory(&self) -> Vec<target::ModelCopy> {
-        let copies = self.copies.iter().map(|copy| target::ModelCopy {
+    pub fn inventory(&self) -> Vec<target::Holding> {
+        let copies = self.copies.iter().map(|copy| target::Holding {
             model: copy.model.clone(),
             replica: self.tracks_replicas.then_some(copy.replica),
             stage: if copy.ready {
@@ -164,7 +164,7 @@
             bytes: copy.bytes,
             adapters: copy.adapters.clone(),
         });
-        let below = self.stages.iter().map(|(model, stage)| target::ModelCopy {
+        let below = self.stages.iter().map(|(model, stage)| target::Holding {
             model: Reference::base(model.clone()),
             replica: None,
             stage: *stage,
--- a/crates/trial/examples/idle.rs
+++ b/crates/trial/examples/idle.rs
@@ -18,7 +18,7 @@
 use cornelhitch_trial::cluster::{self, Cluster};
 use cornelhitch_trial::{operator, process_stats};
 use cornelhitch_types::model::Reference;
-use cornelhitch_types::target::{Announcement, Heartbeat, Kind, Load, ModelCopy, Stage};
+use cornelhitch_types::target::{Announcement, Heartbeat, Holding, Kind, Load, Stage};
 use futures_util::future::join_all;
 use http::Request;
 use http_body_util::{BodyExt, Full};
@@ -267,7 +267,7 @@
         incarnation: announcement.incarnation,
         sequence,
         fence: 0,
-        inventory: vec![ModelCopy {
+        inventory: vec![Holding {
             model: Reference::base("summary"),
             replica: None,
             stage: Stage::Disk,
--- a/crates/types/src/target.rs
+++ b/crates/types/src/target.rs
@@ -98,8 +98,8 @@
 
 /// One copy of a model on a worker, as the worker reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, rename = "Holding")]
-pub struct ModelCopy {
+#[serde(deny_unknown_fields)]
+pub struct Holding {
     /// The model and its version.
     pub model: Reference,
     /// The replica that the load order named; `None` if the worker does not keep it.
@@ -169,7 +169,7 @@
     #[serde(default)]
     pub fence: Term,
     /// All copies of models that it holds.
-    pub inventory: Vec<ModelCopy>,
+    pub inventory: Vec<Holding>,
     /// The current load.
     pub load: Load,
     /// Changes to its prefix caches since the previous heartbeat.
@@ -198,5 +198,5 @@
     /// Whether an order is in progress.
     pub busy: bool,
     /// The copies in accelerator memory.
-    pub inventory: Vec<ModelCopy>,
+    pub inventory: Vec<Holding>,
 }
