--- a/crates/entry/examples/policy/bench.rs
+++ b/crates/entry/examples/policy/bench.rs
@@ -69,7 +69,7 @@
     pub attempt: Attempt,
 }
 
-/// What is known of a request outside the cores.
+/// The state of a request outside the cores.
 pub struct RequestInfo {
     pub at: Time,
     pub class: &'static str,
--- a/crates/entry/src/action.rs
+++ b/crates/entry/src/action.rs
@@ -100,7 +100,8 @@
         /// The refusal to send.
         refusal: Refusal,
     },
-    /// End a response that has begun with an error that the caller can tell from a regular end.
+    /// End a response that has begun with an error that the caller can distinguish from a regular
+    /// end.
     StreamError {
         /// The request whose response is ended.
         id: CallId,
@@ -114,7 +115,7 @@
         /// The recorded response, in the owner's own encoding.
         recorded: Bytes,
     },
-    /// Tell control that a target failed with this request in flight.
+    /// Report to control that a target failed with this request in flight.
     Strike {
         /// The request's fingerprint.
         fingerprint: u64,
@@ -123,7 +124,7 @@
         /// The incarnation of the target.
         incarnation: Incarnation,
     },
-    /// Tell control that a target cannot be reached from this host.
+    /// Report to control that a target cannot be reached from this host.
     Suspect {
         /// The unreachable target.
         target: TargetId,
@@ -165,7 +166,7 @@
         /// The error found in them.
         error: String,
     },
-    /// Close the listener: callers have had time to learn other addresses.
+    /// Close the listener: the addresses that callers have cached have expired.
     CloseListener,
     /// All requests have ended: the process may exit.
     Drained,
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Releases a claim that was granted after its request had ended unsent.
+    /// Releases a claim that was granted only after its request had ended without being sent.
     fn release_late_grant(&mut self, id: CallId, reply: &Reply) {
         if *reply != Reply::Granted {
             return;
--- a/crates/entry/src/affinity.rs
+++ b/crates/entry/src/affinity.rs
@@ -2,7 +2,7 @@
 //! or lost.
 //!
 //! An event is only a hint: acting on a wrong one costs a prefill and nothing else. A gap in a
-//! target's sequence numbers halves the trust in what is known of it, since the lost events may
+//! target's sequence numbers halves the trust in its known prefixes, since the lost events may
 //! have been evictions. A late event never overwrites a newer one for the same prefix.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -28,7 +28,7 @@
 /// Number of tokens in one block, where the sizes of prefixes are known.
 const BLOCK_TOKENS: f64 = 177.0;
 
-/// What is known of one prefix on one target.
+/// The last known state of one prefix on one target.
 #[derive(Debug, Clone, Copy, Serialize)]
 struct Entry {
     /// Sequence number of the event that reported it.
@@ -66,7 +66,7 @@
     }
 
     /// Records a prompt that was sent to a target: the target will soon hold most of it, but its
-    /// cache event only comes later. Only prefixes whose length is a power of two are recorded, and
+    /// cache event arrives later. Only prefixes whose length is a power of two are recorded, and
     /// the longest one.
     pub fn expect_prompt(&mut self, target: &TargetId, model: &ModelId, prefixes: &[u64]) {
         let noted = prefixes.iter().enumerate().filter(|(index, _)| {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Forgets a target when it is gone or has restarted.
+    /// Drops the prefixes of a target that was removed or has restarted.
     pub fn forget(&mut self, target: &str) {
         self.targets.remove(target);
     }
@@ -126,10 +126,10 @@
 /// expected number of blocks of the shared part that it holds. `None` if there is no shared part or
 /// no target.
 ///
-/// Hosts do not tell one another which prompts they send, so without a common preference each would
+/// Hosts do not share which prompts they send, so without a common preference each would
 /// fill the caches of all replicas with the same prefixes. The choice uses rendezvous hashing
 /// (Thaler and Ravishankar 1998): hosts that know the same targets agree, and few prompts move when
-/// a target comes or goes.
+/// a target is added or removed.
 ///
 /// ```
 /// use cornelhitch_entry::affinity::preferred;
@@ -162,12 +162,12 @@
             self.reduce_trust();
         }
         self.newest = self.newest.max(event.sequence);
-        let at = (event.model, event.prefix);
-        if let Some(known) = self.entries.get(&at) {
+        let key = (event.model, event.prefix);
+        if let Some(known) = self.entries.get(&key) {
             if known.sequence >= event.sequence {
                 return;
             }
-            let old = (known.sequence, at.0.clone(), at.1);
+            let old = (known.sequence, key.0.clone(), key.1);
             self.order.remove(&old);
         }
         let entry = Entry {
@@ -175,19 +175,19 @@
             held: event.held,
             trust: 1.0,
         };
-        self.order.insert((event.sequence, at.0.clone(), at.1));
-        self.entries.insert(at, entry);
+        self.order.insert((event.sequence, key.0.clone(), key.1));
+        self.entries.insert(key, entry);
         self.trim();
     }
 
     /// Records a prefix that the target is expected to hold soon.
     fn expect(&mut self, model: ModelId, prefix: u64) {
-        let at = (model, prefix);
-        if self.entries.get(&at).is_some_and(|known| known.held) {
+        let key = (model, prefix);
+        if self.entries.get(&key).is_some_and(|known| known.held) {
             return;
         }
-        if let Some(known) = self.entries.get(&at) {
-            let old = (known.sequence, at.0.clone(), at.1);
+        if let Some(known) = self.entries.get(&key) {
+            let old = (known.sequence, key.0.clone(), key.1);
             self.order.remove(&old);
         }
         let entry = Entry {
@@ -195,8 +195,8 @@
             held: true,
             trust: EXPECTED_TRUST,
         };
-        self.order.insert((self.newest, at.0.clone(), at.1));
-        self.entries.insert(at, entry);
+        self.order.insert((self.newest, key.0.clone(), key.1));
+        self.entries.insert(key, entry);
         self.trim();
     }
 
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -24,14 +24,14 @@
 /// more than a hundred times the 37 ms between tokens that users expect.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How far a response that is not streamed may overrun its deadline if it began before it.
+/// How long a non-streamed response may continue past its deadline if it began before it.
 pub const MAX_OVERRUN: Duration = Duration::from_secs(5);
 
 /// Share of the route's latency objective that a target may take to begin its response before the
 /// request is retried on another one.
 const FIRST_BYTE_OBJECTIVE_SHARE: f64 = 0.75;
 
-/// A response is slow if it takes this many times the mean time to first byte.
+/// A target is slow if it takes this many times the mean response time to begin its response.
 const SLOW_RESPONSE_FACTOR: f64 = 2.5;
 
 /// Maximum number of attempts for one request.
@@ -100,9 +100,9 @@
         )
     }
 
-    /// Cancels an attempt that has not begun to respond and retries it, if another target can run the
-    /// request; else checks again after the same time. Returns `false` if the request cannot be
-    /// retried, or its response has begun or is overdue.
+    /// Cancels an attempt that has not begun to respond and retries it, if another target can run
+    /// the request; otherwise checks again after the same timeout. Returns `false` if the request
+    /// cannot be retried, or its response has begun or is overdue.
     pub(crate) fn retry_slow_target(&mut self, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
@@ -302,8 +302,8 @@
         }
     }
 
-    /// Removes a place that does not hold what the fleet view says, until control publishes it
-    /// again.
+    /// Removes the replica of a place from the fleet view, until control publishes it again, or
+    /// ejects the target of a service: the target does not match what the view says.
     fn remove_missing_place(&mut self, run: &RunningAttempt) {
         match run.place.replica {
             Some(replica) => self.fleet_view.remove_replica(replica),
--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -3,7 +3,7 @@
 //! A host that counts only for itself has a token bucket. Hosts that share a budget count each
 //! service over a sliding window: a host may retry a fraction of the requests that it sent for the
 //! first time, plus its [`HostShare`] of a slack. Nothing is saved up beyond the window, so that
-//! the sum over all hosts stays within the total budget, whatever hosts start, stop or take over
+//! the sum over all hosts stays within the total budget, even while hosts start, stop or take over
 //! callers.
 
 use std::collections::BTreeMap;
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Adds what a first send earns.
+    /// Adds the fraction of a retry that each first send earns.
     fn earn(&mut self) {
         self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(BUCKET_SIZE);
     }
@@ -195,11 +195,11 @@
     /// This host's share of the slack.
     #[serde(rename = "part")]
     host_share: HostShare,
-    /// What this host sent, by service.
+    /// First sends and retries of this host, by service.
     accounts: BTreeMap<Name, Account>,
 }
 
-/// What a host sent for one service.
+/// First sends and retries of a host for one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 struct Account {
     /// Requests sent for the first time.
--- a/crates/entry/src/cancelled.rs
+++ b/crates/entry/src/cancelled.rs
@@ -30,7 +30,7 @@
 /// Attempts that were cancelled after they were allowed to write their first byte.
 #[derive(Debug, Default)]
 pub struct CancelledAttempts {
-    /// What each attempt ran, and where.
+    /// The suspect of each attempt.
     runs: BTreeMap<(CallId, Attempt), Suspect>,
     /// Attempts in the order of their cancellation, with their expiry.
     order: VecDeque<(Time, (CallId, Attempt))>,
--- a/crates/entry/src/catalogue.rs
+++ b/crates/entry/src/catalogue.rs
@@ -20,8 +20,8 @@
     pub version: Option<Name>,
     /// Class of requests that name none.
     pub class: Option<ClassId>,
-    /// Whether cornelhitch loads the model; if not, requests are only routed to where it already
-    /// is.
+    /// Whether cornelhitch loads the model; if not, requests are only routed to replicas that
+    /// already exist.
     pub managed: bool,
     /// The adapters that requests may name.
     pub adapters: BTreeSet<Name>,
@@ -165,8 +165,8 @@
         self.fleet.class(name)
     }
 
-    /// Returns how long a request waits that gives no deadline: as its class says, else its model,
-    /// else the general setting.
+    /// Returns the default deadline of a request that gives none: that of its class, else of its
+    /// model, else the general setting.
     #[must_use]
     pub fn deadline(&self, what: &RequestedResource, class: Option<&Class>) -> Duration {
         let of_class = class.and_then(|class| class.deadline_ms);
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -14,7 +14,7 @@
 
 use crate::event::CallId;
 
-/// How long to watch for a late grant of a claim whose reply never came.
+/// How long to watch for a late grant of a claim that got no reply.
 pub const LATE_GRANT_WATCH: Duration = Duration::from_mins(10);
 
 /// Control's reply to a claim.
@@ -48,7 +48,7 @@
     NotRun,
     /// It was answered in full; the response is kept for resends.
     Answered,
-    /// It was sent, and how it ended is unknown.
+    /// It was sent, and its result is unknown.
     Unknown,
 }
 
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -19,8 +19,8 @@
 use crate::route::{Candidate, Place};
 use crate::share::Sharers;
 
-/// Number of requests at the head of a lane that are considered first. The rest is searched only while
-/// there is capacity left, because those before wait for an adapter or a target of their own.
+/// Number of requests at the head of a lane that are considered first. The rest is searched only
+/// while capacity is left, because those before it wait for an adapter or for a target of their own.
 const SCAN_LIMIT: usize = 64;
 
 /// Interval at which requests that are held back by the retry budget are tried again.
@@ -331,7 +331,7 @@
         }
     }
 
-    /// Refuses the requests for which the retry budget has no retry soon.
+    /// Refuses the requests whose expected wait for the retry budget is too long.
     fn refuse_over_budget(&mut self) {
         for (id, wait) in std::mem::take(&mut self.over_budget) {
             let unsent = self
@@ -367,8 +367,8 @@
         let Some(targets) = self.in_flight_fingerprints.get(&fingerprint) else {
             return true;
         };
-        let left = self.strike_limit().saturating_sub(strikes) as usize;
-        targets.len() < left || targets.contains_key(&option.candidate.place.target)
+        let strikes_left = self.strike_limit().saturating_sub(strikes) as usize;
+        targets.len() < strikes_left || targets.contains_key(&option.candidate.place.target)
     }
 
     /// Filters the places to those reserved for this host's suspects. If there are none, asks
@@ -391,11 +391,11 @@
         if !reserved.is_empty() || !self.calls.contains_key(&id) {
             return reserved;
         }
-        let lives: Vec<TargetInstance> = fitting
+        let instances: Vec<TargetInstance> = fitting
             .iter()
             .map(|index| options[*index].instance())
             .collect();
-        if let Some((target, incarnation)) = self.quarantine.next_to_reserve(&lives, self.now) {
+        if let Some((target, incarnation)) = self.quarantine.next_to_reserve(&instances, self.now) {
             self.actions.push(Action::Reserve {
                 target,
                 incarnation,
--- a/crates/entry/src/dump.rs
+++ b/crates/entry/src/dump.rs
@@ -27,7 +27,7 @@
     pub leased: bool,
     /// The state of the host's shutdown.
     pub drain: Drain,
-    /// The sequence number up to which the fleet view is known.
+    /// The sequence number up to which changes of the fleet view have been applied.
     pub view: u64,
     /// Waiting requests, one row per lane.
     pub lanes: Vec<Lane>,
@@ -86,7 +86,7 @@
     pub what: String,
     /// What the request is waiting for.
     pub stage: String,
-    /// How far the request has got.
+    /// The request's progress.
     #[serde(rename = "reach")]
     pub progress: Progress,
     /// The state of the request's claim.
--- a/crates/entry/src/entries.rs
+++ b/crates/entry/src/entries.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 /// Maximum fraction by which the age of an answer is randomly shortened, so that callers do not all
-/// come back at the same time.
+/// return at the same time.
 const MAX_AGE_JITTER: f64 = 0.3;
 
 /// Maximum number of addresses in one answer.
@@ -40,9 +40,9 @@
 
 /// Chooses the entry hosts for a caller from those that are not draining.
 ///
-/// Hosts in the caller's region come first. The less busy of two random ones among them leads, with
-/// a bonus for the caller's zone. Choosing the least busy of all would send every caller to the
-/// same host while the load figures are stale.
+/// Hosts in the caller's region are listed first, led by the less busy of two random ones among
+/// them, with a bonus for the caller's zone. Choosing the least busy of all would send every caller
+/// to the same host while the load figures are stale.
 ///
 /// ```
 /// use cornelhitch_entry::entries::{CallerLocation, answer};
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -57,11 +57,12 @@
     pub class: Option<ClassId>,
     /// How long the caller waits, counted from arrival; `None` for the default from the settings.
     pub deadline: Option<Duration>,
-    /// The idempotency key; a request with one runs at most once, whatever it is for.
+    /// The idempotency key; a request with one runs at most once, whether it is for a model or a
+    /// service.
     pub key: Option<Name>,
     /// `false` if the caller forbids retries that the settings would allow.
     pub repeatable: bool,
-    /// The fingerprint of the body and what it is for; see [`crate::fingerprint::of`].
+    /// The fingerprint of the body and the requested resource; see [`crate::fingerprint::of`].
     pub fingerprint: u64,
     /// Digest of the request, to detect a different body under the same key.
     pub digest: Digest,
@@ -71,7 +72,7 @@
     pub streaming: bool,
     /// Size of the body in bytes.
     pub bytes: u64,
-    /// The limits of the request's route, or `None` if it did not come through one.
+    /// The limits of the request's route, or `None` if it did not arrive through one.
     pub terms: Option<Box<RouteLimits>>,
 }
 
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Subtracts time that passed before the request came in from the caller's deadline and the
-    /// route's limit.
+    /// Subtracts the time that passed before the request arrived from the caller's deadline and
+    /// the route's limit.
     pub fn deduct_elapsed(&mut self, time: Duration) {
         self.deadline = self.deadline.map(|left| left.saturating_sub(time));
         if let Some(terms) = &mut self.terms {
@@ -292,6 +293,6 @@
     },
     /// The process was asked to shut down.
     Drain,
-    /// The time returned by `next_wake` has come.
+    /// The time returned by `next_wake` has been reached.
     Tick,
 }
--- a/crates/entry/src/fleet_view.rs
+++ b/crates/entry/src/fleet_view.rs
@@ -1,5 +1,4 @@
-//! The fleet as this host knows it: the view that control publishes, built from incremental
-//! changes.
+//! This host's copy of the fleet view that control publishes, kept current by incremental changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,20 +32,20 @@
 /// The result of merging a view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Merge {
-    /// The view continues what is known and is to be applied.
+    /// The view follows the changes applied so far and is to be applied.
     Applied,
-    /// The view has nothing newer than what is known.
+    /// The view holds no change newer than those already applied.
     Stale,
     /// Changes before this view are missing.
     Gap,
 }
 
-/// The fleet as this host knows it.
+/// This host's copy of the fleet view.
 #[derive(Debug, Default, Serialize)]
 pub struct FleetView {
     /// The newest term in which a view was published.
     pub term: Term,
-    /// The sequence number up to which changes are known.
+    /// The sequence number up to which changes have been applied.
     pub sequence: u64,
     /// All known replicas.
     pub replicas: BTreeMap<ReplicaId, Replica>,
@@ -65,10 +64,10 @@
 
 impl FleetView {
     /// Checks a view's position in the sequence and advances to it; a complete view first clears
-    /// what was known.
+    /// the previous state.
     ///
-    /// Changes carry absolute state, so a view may repeat some that are already known before new
-    /// ones.
+    /// Changes carry absolute state, so a view may repeat some that are already applied before
+    /// new ones.
     pub fn merge(&mut self, view: &View) -> Merge {
         if view.term < self.term {
             return Merge::Stale;
--- a/crates/entry/src/health.rs
+++ b/crates/entry/src/health.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Forgets a target when it is gone or has restarted.
+    /// Drops the record of a target that was removed or has restarted.
     pub fn forget(&mut self, target: &str) {
         self.records.remove(target);
     }
--- a/crates/entry/src/host_share.rs
+++ b/crates/entry/src/host_share.rs
@@ -1,12 +1,12 @@
 //! This host's share of an allowance that all entry hosts use together.
 //!
-//! The shares of all hosts must not add up to more than the whole over any window, even while hosts
-//! start, stop or lose contact with the leader. Therefore a host
+//! The shares of all hosts must not add up to more than the allowance in any window, even while
+//! hosts start, stop or lose contact with the leader. Therefore a host
 //!
-//! - has no share until it has been listed for a whole window: what its previous incarnation, or a
-//!   host whose share it takes over, has spent lies in the window before;
-//! - divides by the largest number of hosts listed in the last window: a host that is gone may have
-//!   spent its share in it;
+//! - has no share until it has been listed for a full window: what its previous incarnation, or a
+//!   host whose share it takes over, has spent then falls into an earlier window;
+//! - divides by the largest number of hosts listed in the last window: a host that has left may
+//!   have spent its share in it;
 //! - has no share without a lease: hosts that are no longer listed are not counted by the others.
 
 use std::collections::VecDeque;
@@ -15,7 +15,7 @@
 use cornelhitch_types::id::Time;
 use serde::Serialize;
 
-/// The number of listed hosts from a time on.
+/// The number of listed hosts, starting at a given time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 struct HostCount {
     since: Time,
--- a/crates/entry/src/quarantine.rs
+++ b/crates/entry/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Limits how many targets a request that crashes them can take down to two.
+//! Limits the number of targets that a request can crash to two.
 //!
 //! When a target dies, every request in flight on it gets a strike, since any of them may be the
 //! cause. A request with a strike (a suspect) runs only on a target that is reserved for this
@@ -24,7 +24,7 @@
 /// How long to wait for the answer to a reservation.
 const RESERVATION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long to wait before asking again after a reservation was denied or released.
+/// How long to wait before requesting a reservation again after it was denied or released.
 const RESERVATION_BACKOFF: Duration = Duration::from_millis(500);
 
 /// A target with its incarnation.
@@ -33,7 +33,7 @@
 /// The strikes of one fingerprint.
 #[derive(Debug, Default, Serialize)]
 struct Record {
-    /// Targets that this host saw die while the fingerprint was in flight on them.
+    /// Targets that died, as observed by this host, while the fingerprint was in flight on them.
     seen: BTreeSet<TargetInstance>,
     /// Number of strikes that control published.
     published: u32,
@@ -47,7 +47,7 @@
 /// The state of a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 enum Reservation {
-    /// Control was asked for it.
+    /// Requested from control and not answered yet.
     Asked {
         /// When to stop waiting for an answer.
         until: Time,
@@ -59,7 +59,7 @@
     },
     /// Denied by control, or released by this host.
     Denied {
-        /// When it may be asked for again.
+        /// When it may be requested again.
         until: Time,
     },
 }
@@ -145,7 +145,7 @@
         rows.collect()
     }
 
-    /// Returns how much longer a fingerprint is refused, where strikes are kept for `kept`.
+    /// Returns how much longer a fingerprint is refused, if strikes are kept for `kept`.
     #[must_use]
     pub fn time_left(&self, fingerprint: u64, kept: Duration, now: Time) -> Duration {
         let record = self.records.get(&fingerprint);
@@ -169,9 +169,9 @@
         free.map(|(instance, _)| instance.clone()).collect()
     }
 
-    /// Picks the next target to ask control for, out of those that can run a waiting suspect.
-    /// Returns `None` if all are already reserved or denied, or this host has its maximum of
-    /// reservations.
+    /// Picks the next target to request a reservation for, out of those that can run a waiting
+    /// suspect. Returns `None` if all are already reserved or denied, or this host has its maximum
+    /// of reservations.
     pub fn next_to_reserve(
         &mut self,
         targets: &[TargetInstance],
@@ -202,12 +202,12 @@
 
     /// Applies control's answer. Returns whether the reservation was still wanted.
     pub fn on_reservation(&mut self, instance: &TargetInstance, granted: bool, now: Time) -> bool {
-        let asked = match self.slots.get(instance) {
+        let requested = match self.slots.get(instance) {
             Some(Reservation::Held { .. }) => return true,
             Some(Reservation::Asked { .. }) => true,
             _ => false,
         };
-        if asked {
+        if requested {
             let reservation = if granted {
                 Reservation::Held { running: 0 }
             } else {
@@ -217,7 +217,7 @@
             };
             self.slots.insert(instance.clone(), reservation);
         }
-        asked
+        requested
     }
 
     /// Counts a suspect that was sent. Returns whether the target is reserved for it.
@@ -238,7 +238,7 @@
 
     /// Releases the reservations that are idle and not `kept`, and returns their targets.
     ///
-    /// They are not asked for again at once: a new reservation request that overtook the release
+    /// They are not requested again at once: a new reservation request that overtook the release
     /// would be granted and then undone by it.
     pub fn release_idle(
         &mut self,
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -7,7 +7,7 @@
 use crate::queue::{QueueKey, Rank};
 use crate::route::Place;
 
-/// How far a request has got over all its attempts; it never goes back, except by
+/// The progress of a request over all its attempts; it never decreases, except by
 /// [`Call::undo_run`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Progress {
@@ -28,7 +28,7 @@
     pub place: Place,
     /// The incarnation of the target.
     pub incarnation: Incarnation,
-    /// How far this attempt has got.
+    /// The progress of this attempt.
     #[serde(rename = "reach")]
     pub progress: Progress,
     /// When it was sent.
@@ -57,7 +57,7 @@
 pub enum Claim {
     /// The request needs no claim.
     None,
-    /// Control was asked to commit it.
+    /// Control has been asked to commit it and has not answered.
     Asked,
     /// Control has committed it.
     Granted,
@@ -86,7 +86,7 @@
     pub claim: Claim,
     /// What it waits for.
     pub stage: Stage,
-    /// How far it has got.
+    /// Its progress over all attempts.
     #[serde(rename = "reach")]
     pub progress: Progress,
     /// Number of tokens that the caller has received.
@@ -103,9 +103,9 @@
     /// End of the current retry backoff.
     #[serde(rename = "pause")]
     pub retry_at: Time,
-    /// Whether the caller has its final response or has left.
+    /// Whether the caller has its final response or has disconnected.
     pub answered: bool,
-    /// Whether its response stalled once and was taken from the target.
+    /// Whether its response stalled once and the attempt was cancelled for it.
     pub stalled: bool,
 }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Takes back an attempt that its target declares not to have run.
+    /// Undoes the count of an attempt that its target declares not to have run.
     pub fn undo_run(&mut self) {
         self.runs = self.runs.saturating_sub(1);
         if self.runs == 0 && self.progress == Progress::Sent {
--- a/crates/entry/src/route.rs
+++ b/crates/entry/src/route.rs
@@ -1,9 +1,9 @@
 //! Chooses the replica for a request.
 //!
 //! Each cost term estimates a part of the expected delay in milliseconds, so that terms can be
-//! added up and left out one by one. The router samples two candidates at random, adds the one with
-//! the longest cached prefix and the nearest one, and takes the cheapest of these (power of two
-//! choices, Mitzenmacher 2001). Taking the cheapest of all candidates would send every host to the
+//! added up, and each can be left out. The router samples two candidates at random, adds the one
+//! with the longest cached prefix and the nearest one, and takes the cheapest of these (power of
+//! two choices, Mitzenmacher 2001). Taking the cheapest of all candidates would send every host to the
 //! same replica while load reports lag.
 
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     pub replica: Option<ReplicaId>,
 }
 
-/// A place that can take the request now, with what its cost depends on.
+/// A place that can accept the request now, with the inputs of its cost.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
     /// The place itself.
@@ -52,7 +52,7 @@
     pub price: f64,
 }
 
-/// What a cost term may depend on besides the candidate.
+/// The inputs of a cost term besides the candidate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CostContext {
     /// Mean duration of a response in milliseconds.
@@ -78,7 +78,8 @@
 /// whose weight decays with the age of the report.
 ///
 /// The cost grows with the fourth power of the utilization: a batching engine hardly slows down
-/// with one more request while it has room, which would not justify going to another region.
+/// with one more request while it has free capacity, which would not justify the latency of another
+/// region.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadCost {
     /// Age at which a report has half its weight, as a fraction of the mean response time: by then,
--- a/crates/entry/src/share.rs
+++ b/crates/entry/src/share.rs
@@ -101,7 +101,7 @@
         self.limits.insert(place.clone(), limit);
     }
 
-    /// Forgets a place that is gone.
+    /// Drops the limit of a place that was removed.
     pub fn forget(&mut self, place: &Place) {
         self.limits.remove(place);
     }
--- a/crates/entry/src/tests/plan.rs
+++ b/crates/entry/src/tests/plan.rs
@@ -35,7 +35,7 @@
     pub urgent: bool,
     /// The number of its caller.
     pub caller: u8,
-    /// When its caller leaves, in milliseconds after the arrival, if it does.
+    /// When its caller disconnects, in milliseconds after the arrival; `None` if it does not.
     pub leaves: Option<u64>,
 }
 
--- a/crates/entry/src/tests/request_log.rs
+++ b/crates/entry/src/tests/request_log.rs
@@ -28,7 +28,7 @@
     pub poison: Option<usize>,
     /// Number of attempts that were allowed to write.
     pub proceeds: u32,
-    /// Whether its caller left.
+    /// Whether its caller disconnected.
     pub left: bool,
     /// When and how it ended; `None` for a complete response.
     pub ends: Vec<(Time, Option<Run>)>,
--- a/crates/entry/src/tests/simulation.rs
+++ b/crates/entry/src/tests/simulation.rs
@@ -163,7 +163,7 @@
         wakes.chain(due).min().map(|next| next.max(self.now))
     }
 
-    /// Wakes the cores, each at exactly the time that it asked for.
+    /// Sends `Tick` to the cores, each at exactly the time of its `next_wake`.
     fn tick(&mut self, until: Time) -> Result<(), Violation> {
         for core in 0..self.cores.len() {
             while let Some(wake) = self.cores[core].next_wake().filter(|wake| *wake <= until) {
--- a/crates/entry/src/updates.rs
+++ b/crates/entry/src/updates.rs
@@ -81,7 +81,7 @@
         self.fleet_view.remove_replica(id);
     }
 
-    /// Updates a target that is new, has changed or has reported its load.
+    /// Handles a target that is new, has changed or has reported its load.
     fn on_target(&mut self, target: view::Target) {
         let id = target.target.clone();
         let load = target.load;
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Removes a target and all that is known of it.
+    /// Removes a target and all state kept for it.
     fn on_target_removed(&mut self, target: &TargetId) {
         self.fleet_view.remove_target(target);
         self.ejections.readmit(target);
--- a/crates/entry/tests/entries.rs
+++ b/crates/entry/tests/entries.rs
@@ -1,4 +1,4 @@
-//! The entry hosts that a caller is told to connect to.
+//! The choice of entry hosts for a caller to connect to.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/entry/tests/faults.rs
+++ b/crates/entry/tests/faults.rs
@@ -18,7 +18,7 @@
 services: [{ name: bids }]
 ";
 
-/// How far an attempt has got when it fails.
+/// The progress of an attempt when it fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Unsent,
--- a/crates/entry/tests/repeats/main.rs
+++ b/crates/entry/tests/repeats/main.rs
@@ -92,8 +92,8 @@
 }
 
 /// Guards against counting moved callers twice: in one window, the hosts that the callers left
-/// spend what they earned before, and the hosts they moved to spend what they earn then. Found with
-/// soak seeds 7003 and 7402.
+/// spend the retries earned before, and the hosts that they moved to spend the retries earned in
+/// it. Found with soak seeds 7003 and 7402.
 #[test]
 fn callers_that_move_between_hosts_do_not_double_the_budget() {
     let mut traffic = OVERLOADED;
--- a/crates/entry/tests/repeats/simulation.rs
+++ b/crates/entry/tests/repeats/simulation.rs
@@ -74,7 +74,7 @@
     pub traffic: [Traffic; 2],
     random: SmallRng,
     hosts: Vec<Option<Host>>,
-    /// Hosts that can neither reach the leader nor hear from it.
+    /// Hosts that are partitioned from the leader in both directions.
     partitioned: BTreeSet<usize>,
     /// Hosts that callers use, if not all.
     used_hosts: Option<Vec<usize>>,
@@ -174,7 +174,7 @@
         self.used_hosts = Some(hosts.to_vec());
     }
 
-    /// Elects another leader, which has not heard from any host yet.
+    /// Elects another leader, which has received no lease renewals yet.
     pub fn elect_leader(&mut self) {
         self.term += 1;
         self.sequence = 1;
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Lets the leader process renewals and publish changes of the list of hosts.
+    /// Processes renewals at the leader and publishes changes of the list of hosts.
     fn run_leader(&mut self) {
         for at in 0..self.len() {
             let Some(host) = self.hosts[at].as_mut() else {
@@ -282,7 +282,7 @@
         }
     }
 
-    /// Lets callers send requests to a host.
+    /// Sends the callers' requests to a host.
     fn send_requests(&mut self, at: usize) {
         if self.hosts[at].is_none() {
             return;
--- a/crates/entry/tests/routed.rs
+++ b/crates/entry/tests/routed.rs
@@ -362,7 +362,7 @@
     assert_eq!(core.load(), 2, "both still wait");
 }
 
-/// A request that did not come through a route depends on the settings.
+/// A request that did not arrive through a route depends on the settings.
 #[test]
 fn a_waiting_request_is_refused_when_the_settings_drop_its_service() {
     let mut core = core(vec![]);
--- a/crates/planner/src/adapters.rs
+++ b/crates/planner/src/adapters.rs
@@ -15,7 +15,7 @@
         let limit = self.policy.catalog.fleet().loading.adapters_in_flight;
         let pending = u32::try_from(self.policy.pending.adapter_loads()).unwrap_or(u32::MAX);
         let in_flight = self.fleet.fleet_state.adapters_in_flight;
-        let mut left = limit.saturating_sub(in_flight.saturating_add(pending));
+        let mut loads_left = limit.saturating_sub(in_flight.saturating_add(pending));
         let mut waiting: Vec<&ModelDemand> = self
             .demands
             .iter()
@@ -24,11 +24,11 @@
         waiting.sort_by_key(|demand| (demand.urgency(self.now), &demand.key));
         for demand in waiting {
             for adapter in &demand.adapters {
-                if left == 0 {
+                if loads_left == 0 {
                     return;
                 }
                 if self.load_adapter(demand, adapter) {
-                    left -= 1;
+                    loads_left -= 1;
                 }
             }
         }
@@ -51,13 +51,13 @@
         {
             return false;
         }
-        let near = |replica: &Replica| {
+        let in_region = |replica: &Replica| {
             let worker = self.fleet.worker_index(&replica.target);
             worker.is_some_and(|worker| self.fleet.worker(worker).region == demand.region)
         };
         let best = replicas
             .into_iter()
-            .min_by_key(|replica| (!near(replica), replica.running, replica.replica));
+            .min_by_key(|replica| (!in_region(replica), replica.running, replica.replica));
         let Some(best) = best else {
             return false;
         };
--- a/crates/planner/src/catalog.rs
+++ b/crates/planner/src/catalog.rs
@@ -19,7 +19,6 @@
     /// a heavier class.
     pub patient: bool,
     /// The weight of the model's class, at least 1.
-    /// The weight of its class.
     pub weight: u32,
 }
 
--- a/crates/planner/src/convert.rs
+++ b/crates/planner/src/convert.rs
@@ -34,6 +34,6 @@
     let clamped = number.ceil().clamp(1.0, f64::from(u32::MAX));
     // The clamp above keeps the cast exact.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let whole = clamped as u32;
-    whole
+    let integer = clamped as u32;
+    integer
 }
--- a/crates/planner/src/gap.rs
+++ b/crates/planner/src/gap.rs
@@ -66,13 +66,13 @@
         let mut from = MIN_GAP.as_secs_f64();
         self.counts.iter().filter_map(move |count| {
             let to = from * BUCKET_GROWTH;
-            let whole = Bucket {
+            let bucket = Bucket {
                 from,
                 to,
                 share: count + prior,
             };
             from = to;
-            whole.beyond(idle)
+            bucket.beyond(idle)
         })
     }
 
@@ -84,9 +84,9 @@
         let mut all = 0.0;
         let mut soon = 0.0;
         for bucket in self.after(idle) {
-            let left = bucket.midpoint() - idle.as_secs_f64();
+            let time_left = bucket.midpoint() - idle.as_secs_f64();
             all += bucket.share;
-            soon += bucket.share * horizon / (horizon + left.max(0.0));
+            soon += bucket.share * horizon / (horizon + time_left.max(0.0));
         }
         if all > 0.0 { soon / all } else { 0.0 }
     }
@@ -101,11 +101,11 @@
         if idle >= self.to {
             return None;
         }
-        let left = (self.to - idle) / (self.to - self.from);
+        let fraction_left = (self.to - idle) / (self.to - self.from);
         Some(Self {
             from: idle,
             to: self.to,
-            share: self.share * left,
+            share: self.share * fraction_left,
         })
     }
 
--- a/crates/planner/src/hosting.rs
+++ b/crates/planner/src/hosting.rs
@@ -1,4 +1,5 @@
-//! Placement of models on the workers of one service, where each worker takes one order at a time.
+//! Placement of models on the workers of one service, where each worker accepts one order at a
+//! time.
 //!
 //! This policy is for services with many models, most of which are requested every few seconds.
 //! They do not all fit into accelerator memory, while the workers' disks hold several copies of
@@ -160,22 +161,24 @@
     fn resume_planned_loads(&mut self, pass: &mut PlanningPass) {
         let plans = std::mem::take(&mut self.planned_loads);
         for (target, plan) in plans {
-            let at = pass
+            let worker_index = pass
                 .service_state
                 .workers
                 .iter()
                 .position(|it| it.target == target);
-            let Some(at) = at.filter(|at| pass.service_state.workers[*at].open) else {
+            let Some(worker_index) =
+                worker_index.filter(|worker_index| pass.service_state.workers[*worker_index].open)
+            else {
                 continue;
             };
             if pass.copies(&plan.model) > 0 && plan.reason != Reason::Overloaded {
                 continue;
             }
-            if !pass.free[at] {
+            if !pass.free[worker_index] {
                 self.planned_loads.insert(target, plan);
                 continue;
             }
-            if let Some(candidate) = pass.candidate(at, &plan.model) {
+            if let Some(candidate) = pass.candidate(worker_index, &plan.model) {
                 self.accept(pass, candidate, plan);
             }
         }
@@ -215,12 +218,14 @@
         }
     }
 
-    /// Places a model on the worker with the least cost, provided that it takes an order now.
+    /// Places a model on the worker with the least cost, provided that it accepts an order now.
     ///
     /// If the cheapest worker is busy but has a local copy, waiting for it is faster than
     /// loading the model elsewhere.
     fn place(&mut self, pass: &mut PlanningPass, model: &ModelId) {
-        let candidate = pass.best(model).filter(|candidate| pass.free[candidate.at]);
+        let candidate = pass
+            .best(model)
+            .filter(|candidate| pass.free[candidate.worker_index]);
         if let Some(candidate) = candidate {
             let plan = PlannedLoad {
                 model: model.clone(),
@@ -285,7 +290,9 @@
             .collect();
         models.sort_by_key(|(_, order)| *order);
         for (model, _) in models {
-            let candidates = with_room.iter().filter_map(|at| pass.candidate(*at, model));
+            let candidates = with_room
+                .iter()
+                .filter_map(|worker_index| pass.candidate(*worker_index, model));
             let candidates = candidates.filter(|candidate| candidate.victim.is_none());
             let Some(candidate) = cheapest(candidates) else {
                 continue;
@@ -297,7 +304,7 @@
                     model: model.clone(),
                     reason: Reason::Expected,
                 };
-                with_room.retain(|at| *at != candidate.at);
+                with_room.retain(|worker_index| *worker_index != candidate.worker_index);
                 self.accept(pass, candidate, plan);
             }
             if with_room.is_empty() {
@@ -308,9 +315,15 @@
 
     /// Acts on a candidate: loads the model, or unloads another one first.
     fn accept(&mut self, pass: &mut PlanningPass, candidate: Candidate, plan: PlannedLoad) {
-        let target = pass.service_state.workers[candidate.at].target.clone();
+        let target = pass.service_state.workers[candidate.worker_index]
+            .target
+            .clone();
         if let Some(model) = candidate.victim {
-            pass.order(candidate.at, Action::Unload { model }, Reason::Room);
+            pass.order(
+                candidate.worker_index,
+                Action::Unload { model },
+                Reason::Room,
+            );
             self.planned_loads.insert(target, plan);
             return;
         }
@@ -319,7 +332,11 @@
             pass.store_open = false;
         }
         let (model, from) = (plan.model, candidate.from);
-        pass.order(candidate.at, Action::Load { model, from }, plan.reason);
+        pass.order(
+            candidate.worker_index,
+            Action::Load { model, from },
+            plan.reason,
+        );
     }
 
     /// Returns whether a worker is making room for the model.
--- a/crates/planner/src/hosting/pass.rs
+++ b/crates/planner/src/hosting/pass.rs
@@ -21,8 +21,8 @@
 /// Cost of evicting a copy whose requests other copies can serve.
 const REDUNDANT_COPY_COST: f64 = 0.05;
 
-/// Cost of evicting a copy with running requests: the worker takes no other order until the last of
-/// them has ended.
+/// Cost of evicting a copy with running requests: the worker accepts no other order until the last
+/// of them has ended.
 const BUSY_COST: f64 = 3.0;
 
 /// Cost of evicting a copy if that crowds the remaining copies of its model.
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(super) struct Candidate {
     /// The worker's position.
-    pub(super) at: usize,
+    pub(super) worker_index: usize,
     /// The total cost in seconds.
     pub(super) cost: f64,
     /// The part of the cost that comes from evicting another model.
@@ -57,7 +57,7 @@
     pub(super) service_state: &'a ServiceState<'a>,
     /// Copies of each model that serve requests or are being loaded.
     pub(super) copies: BTreeMap<&'a ModelId, u32>,
-    /// Whether each worker takes an order, by position.
+    /// Whether each worker accepts an order, by position.
     pub(super) free: Vec<bool>,
     pub(super) orders: Vec<PlannedOrder>,
     pub(super) store_loads_in_flight: u32,
@@ -70,7 +70,7 @@
         self.copies.get(model).copied().unwrap_or(0)
     }
 
-    /// Returns the workers that take an order now and have room for the smallest model.
+    /// Returns the workers that accept an order now and have room for the smallest model.
     pub(super) fn workers_with_room(&self) -> Vec<usize> {
         let smallest = self
             .service_state
@@ -79,22 +79,22 @@
             .map(|model| model.bytes)
             .min();
         let smallest = smallest.unwrap_or(u64::MAX);
-        let free = (0..self.free.len()).filter(|at| self.free[*at]);
-        let with_room = free.filter(|at| {
+        let free = (0..self.free.len()).filter(|worker_index| self.free[*worker_index]);
+        let with_room = free.filter(|worker_index| {
             let used = self
                 .service_state
-                .used_bytes(&self.service_state.workers[*at]);
+                .used_bytes(&self.service_state.workers[*worker_index]);
             used.saturating_add(smallest) <= self.service_state.engine.memory
         });
         with_room.collect()
     }
 
-    /// Adds an order to a worker, which then takes no other in this pass.
-    pub(super) fn order(&mut self, at: usize, action: Action, reason: Reason) {
-        self.free[at] = false;
+    /// Adds an order to a worker, which then accepts no other in this pass.
+    pub(super) fn order(&mut self, worker_index: usize, action: Action, reason: Reason) {
+        self.free[worker_index] = false;
         let model = action.model();
         self.orders.push(PlannedOrder {
-            target: self.service_state.workers[at].target.clone(),
+            target: self.service_state.workers[worker_index].target.clone(),
             reason,
             demand: self
                 .service_state
@@ -109,18 +109,20 @@
 
     /// Returns the cheapest worker for a model, including those that are busy now.
     pub(super) fn best(&self, model: &ModelId) -> Option<Candidate> {
-        cheapest((0..self.free.len()).filter_map(|at| self.candidate(at, model)))
+        cheapest(
+            (0..self.free.len()).filter_map(|worker_index| self.candidate(worker_index, model)),
+        )
     }
 
-    /// Returns the candidates for a model among the workers that take an order now.
+    /// Returns the candidates for a model among the workers that accept an order now.
     pub(super) fn free_candidates(&self, model: &ModelId) -> impl Iterator<Item = Candidate> {
-        let free = (0..self.free.len()).filter(|at| self.free[*at]);
-        free.filter_map(|at| self.candidate(at, model))
+        let free = (0..self.free.len()).filter(|worker_index| self.free[*worker_index]);
+        free.filter_map(|worker_index| self.candidate(worker_index, model))
     }
 
     /// Returns the cost of loading a model on one worker, or `None` if that is not possible.
-    pub(super) fn candidate(&self, at: usize, model: &ModelId) -> Option<Candidate> {
-        let worker = &self.service_state.workers[at];
+    pub(super) fn candidate(&self, worker_index: usize, model: &ModelId) -> Option<Candidate> {
+        let worker = &self.service_state.workers[worker_index];
         let known = self.service_state.models.get(model)?;
         if !worker.open || worker.holds(model) || worker.loading.as_ref() == Some(model) {
             return None;
@@ -150,7 +152,7 @@
         };
         let extra_order = if victim.is_some() { EXTRA_ORDER_S } else { 0.0 };
         Some(Candidate {
-            at,
+            worker_index,
             cost: wait + load + extra_order + loss,
             loss,
             victim,
@@ -195,8 +197,8 @@
             return REDUNDANT_COPY_COST;
         };
         if copies > 1 {
-            let left = demand.current_load() / f64::from(copies - 1);
-            let crowding = if left > CROWDING_THRESHOLD {
+            let load_per_remaining_copy = demand.current_load() / f64::from(copies - 1);
+            let crowding = if load_per_remaining_copy > CROWDING_THRESHOLD {
                 CROWDING_COST
             } else {
                 0.0
@@ -234,12 +236,19 @@
         }) {
             return;
         }
-        let free = (0..self.free.len()).filter(|at| self.free[*at]);
-        let holds = free.filter(|at| self.service_state.workers[*at].held.iter().any(has));
-        let Some(at) = holds.min_by_key(|at| self.service_state.workers[*at].adapters()) else {
+        let free = (0..self.free.len()).filter(|worker_index| self.free[*worker_index]);
+        let holds = free.filter(|worker_index| {
+            self.service_state.workers[*worker_index]
+                .held
+                .iter()
+                .any(has)
+        });
+        let Some(worker_index) =
+            holds.min_by_key(|worker_index| self.service_state.workers[*worker_index].adapters())
+        else {
             return;
         };
-        let worker = &self.service_state.workers[at];
+        let worker = &self.service_state.workers[worker_index];
         let known = self.service_state.models.get(model);
         let bytes = known.map_or(0, |known| known.adapter_bytes);
         let slot_free = worker.adapters() < self.service_state.engine.adapters as usize;
@@ -260,7 +269,7 @@
             Action::Adapter { .. } => Reason::Waiting,
             _ => Reason::Room,
         };
-        self.order(at, action, reason);
+        self.order(worker_index, action, reason);
     }
 
     /// Returns the unload of a worker's oldest adapter that no request waits for.
--- a/crates/planner/src/hosting/service_state.rs
+++ b/crates/planner/src/hosting/service_state.rs
@@ -23,7 +23,7 @@
     pub local_copies: Arc<BTreeMap<ModelId, Stage>>,
     /// The model that it is loading.
     pub loading: Option<ModelId>,
-    /// Time until it takes an order; `None` if not known.
+    /// Time until it accepts the next order; `None` if not known.
     pub time_until_free: Option<Time>,
     /// Whether it may be given new work.
     pub open: bool,
@@ -35,7 +35,7 @@
         self.held.iter().any(|held| held.model == *model)
     }
 
-    /// Returns whether it takes an order now.
+    /// Returns whether it accepts an order now.
     pub(super) fn is_free(&self) -> bool {
         self.open && self.time_until_free == Some(Time::ZERO)
     }
--- a/crates/planner/src/keep_alive.rs
+++ b/crates/planner/src/keep_alive.rs
@@ -158,9 +158,9 @@
         }
         expected_idle += bucket.share * (bucket.midpoint() - idle);
         called_share += bucket.share;
-        let left = total_share - called_share;
+        let share_left = total_share - called_share;
         let until = bucket.to.min(last) - idle;
-        let cost = idle_price * (expected_idle + left * until) + cold_price * left;
+        let cost = idle_price * (expected_idle + share_left * until) + cold_price * share_left;
         if cost < best.0 {
             best = (cost, duration_from_secs(until), called_share / total_share);
         }
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -40,7 +40,7 @@
     /// The same calls in the same order return the same decisions.
     fn plan(&mut self, fleet_state: &FleetState, now: Time) -> Vec<Decision>;
 
-    /// Returns what the planner knows about a model and its latest decisions on it, one line
+    /// Returns the planner's statistics of a model and its latest decisions on it, one line
     /// each, for operators.
     fn explain(&self, model: &str, now: Time) -> Vec<String>;
 }
--- a/crates/planner/src/load.rs
+++ b/crates/planner/src/load.rs
@@ -26,7 +26,8 @@
             .iter()
             .filter(|demand| demand.waiting > 0)
             .collect();
-        // Models that fitted nowhere go last, so that they cannot use up the search budget.
+        // Models for which no worker was found are tried last, so that they cannot use up the
+        // search budget.
         waiting.sort_by_key(|demand| {
             let unplaced = self.policy.unplaced.contains(&demand.key);
             (unplaced, demand.urgency(self.now), &demand.key)
@@ -110,9 +111,9 @@
                 continue;
             }
             supply.loading += 1;
-            let whole = store.load_time(replica.bytes, replica.from);
+            let load_time = store.load_time(replica.bytes, replica.from);
             let elapsed = self.now.saturating_sub(replica.decided_at);
-            supply.next_ready = supply.next_ready.min(remaining(whole, elapsed));
+            supply.next_ready = supply.next_ready.min(remaining(load_time, elapsed));
         }
         supply
     }
@@ -193,15 +194,16 @@
                 placement.from
             );
         }
-        let left = format_seconds(demand.deadline.saturating_sub(self.now));
+        let time_left = format_seconds(demand.deadline.saturating_sub(self.now));
         format!(
-            "{} requests wait, the nearest deadline is in {left}; ready from {} in {ready}",
+            "{} requests wait, the nearest deadline is in {time_left}; ready from {} in {ready}",
             demand.waiting, placement.from,
         )
     }
 }
 
-/// Returns the remaining time of a load; an overdue load is assumed to take as long again.
-fn remaining(whole: Duration, elapsed: Duration) -> Duration {
-    whole.checked_sub(elapsed).unwrap_or(elapsed)
+/// Returns the remaining time of a load; an overdue one is assumed to take as long again as it has
+/// taken so far.
+fn remaining(expected: Duration, elapsed: Duration) -> Duration {
+    expected.checked_sub(elapsed).unwrap_or(elapsed)
 }
--- a/crates/planner/src/pass.rs
+++ b/crates/planner/src/pass.rs
@@ -45,7 +45,7 @@
         if replica.running == 0 && !self.has_waiting_requests(replica) {
             return self.policy.keep_alive.eviction_cost(&inputs);
         }
-        // Its running requests drain on it, and its waiting requests stay in the queue.
+        // Running requests finish during the drain, and waiting requests stay in the queue.
         let movable = entry.patient && demand.waiting > 0 && demand.weight > entry.weight;
         let drain = history
             .service_s
--- a/crates/planner/src/placement.rs
+++ b/crates/planner/src/placement.rs
@@ -83,7 +83,7 @@
 }
 
 impl<'a> PlacementSearch<'a, '_> {
-    /// Returns the best worker for one more replica, or `None` if it fits nowhere.
+    /// Returns the best worker for one more replica, or `None` if no worker has room for it.
     #[must_use]
     pub fn best(&self, demand: &ModelDemand, entry: &ModelEntry) -> Option<Placement<'a>> {
         let zones = self.occupied_zones(demand);
--- a/crates/planner/src/scale.rs
+++ b/crates/planner/src/scale.rs
@@ -30,19 +30,19 @@
 /// Returns how many replicas are wanted in addition to the existing ones.
 ///
 /// One if there is none. Otherwise more only if the existing replicas cannot serve the waiting
-/// requests before their deadline, and an additional one would be ready before those are done.
+/// requests before their deadline, and an additional one would be ready before they have done so.
 #[must_use]
 pub fn additional_replicas(demand: &ModelDemand, supply: &Supply, now: Time) -> u32 {
     if demand.waiting == 0 {
         return 0;
     }
-    let have = supply.ready + supply.loading;
-    if have == 0 {
+    let existing = supply.ready + supply.loading;
+    if existing == 0 {
         return 1;
     }
-    let left = demand.deadline.saturating_sub(now);
+    let time_left = demand.deadline.saturating_sub(now);
     let done = time_to_serve(demand, supply);
-    if done <= left || supply.additional_ready >= done {
+    if done <= time_left || supply.additional_ready >= done {
         return 0;
     }
     let service = supply
@@ -50,18 +50,22 @@
         .unwrap_or(DEFAULT_SERVICE_S)
         .max(f64::EPSILON);
     let slots = to_f64(u64::from(supply.concurrency.max(1)));
-    let rounds = (left.saturating_sub(supply.additional_ready).as_secs_f64() / service).max(1.0);
+    let rounds = (time_left
+        .saturating_sub(supply.additional_ready)
+        .as_secs_f64()
+        / service)
+        .max(1.0);
     let work = f64::from(demand.waiting) + f64::from(demand.running);
     let wanted = ceil_to_u32(work / (slots * rounds));
-    wanted.saturating_sub(have).max(1)
+    wanted.saturating_sub(existing).max(1)
 }
 
 /// Returns the time from now until the existing replicas have served the waiting requests.
 #[must_use]
 pub fn time_to_serve(demand: &ModelDemand, supply: &Supply) -> Duration {
     let service = supply.service_s.unwrap_or(DEFAULT_SERVICE_S);
-    let have = (supply.ready + supply.loading).max(1);
-    let slots = f64::from(have) * f64::from(supply.concurrency.max(1));
+    let existing = (supply.ready + supply.loading).max(1);
+    let slots = f64::from(existing) * f64::from(supply.concurrency.max(1));
     let rounds = (f64::from(demand.waiting) + f64::from(demand.running)) / slots;
     let start = if supply.ready > 0 {
         Duration::ZERO
