--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -57,9 +57,9 @@
         }
         self.queue.add_caller_request(&call.request.caller);
         self.timers.insert((call.timer, id));
-        let claims = call.claim == Claim::Asked;
+        let needs_claim = call.claim == Claim::Asked;
         self.calls.insert(id, call);
-        if claims {
+        if needs_claim {
             self.request_claim(id);
         } else {
             self.enqueue(id);
@@ -73,8 +73,8 @@
             return refuse(Reason::Draining, "this host is shutting down")
                 .map(|rejection| self.with_other_hosts(rejection));
         }
-        let held = self.lease.holds(self.catalogue.version, self.now);
-        if !held && self.config.serving.isolated == IsolationPolicy::Refuse {
+        let has_lease = self.lease.holds(self.catalogue.version, self.now);
+        if !has_lease && self.config.serving.isolated == IsolationPolicy::Refuse {
             let detail = "this host has no lease on the settings";
             return refuse(Reason::Isolated, detail)
                 .map(|rejection| self.with_other_hosts(rejection));
@@ -127,7 +127,7 @@
         };
         let model = self.catalogue.models.get(&reference.model)?;
         let named = reference.version.as_ref();
-        let other = named.is_some() && named != model.version.as_ref();
+        let other_version = named.is_some() && named != model.version.as_ref();
         let held = self
             .fleet_view
             .replicas_of_model(&reference.model)
@@ -138,7 +138,7 @@
         if held {
             return None;
         }
-        if other {
+        if other_version {
             let detail = format!("{what}: this version is not in force and nothing holds it");
             return Some(Rejection::not_run(Reason::Unknown, &detail));
         }
@@ -152,12 +152,12 @@
 
     /// Returns the refusal for a fingerprint that has reached the strike limit.
     pub(crate) fn quarantine_rejection(&self, fingerprint: u64) -> Rejection {
-        let kept = Duration::from_secs(self.catalogue.fleet.refusing.quarantine_s);
-        let left = self.quarantine.time_left(fingerprint, kept, self.now);
+        let retention = Duration::from_secs(self.catalogue.fleet.refusing.quarantine_s);
+        let time_left = self.quarantine.time_left(fingerprint, retention, self.now);
         Rejection {
             reason: Reason::Quarantined,
             run: Run::Failed,
-            retry: Some(left),
+            retry: Some(time_left),
             detail: "targets failed while they ran this request".into(),
         }
     }
@@ -194,11 +194,11 @@
         let deadline = self.now + wait;
         let weight = class.map_or(1, |class| class.weight);
         let weight = terms.map_or(weight, |terms| terms.weight());
-        let keyed = request.key.is_some();
+        let has_key = request.key.is_some();
         let allowed = terms.is_some() || self.catalogue.repeatable(&request.what);
-        let repeatable = !keyed && request.repeatable && allowed;
+        let repeatable = !has_key && request.repeatable && allowed;
         let margin = REFUSAL_MARGIN.min(wait / REFUSAL_MARGIN_DIVISOR);
-        let late = if self.has_fault(Fault::LateTimer) {
+        let injected_delay_s = if self.has_fault(Fault::LateTimer) {
             3
         } else {
             0
@@ -208,10 +208,10 @@
             weight,
             arrived: self.now,
             deadline,
-            timer: deadline.saturating_sub(margin) + Time::from_secs(late),
+            timer: deadline.saturating_sub(margin) + Time::from_secs(injected_delay_s),
             rank: Rank { weight, deadline },
             repeatable,
-            claim: if keyed { Claim::Asked } else { Claim::None },
+            claim: if has_key { Claim::Asked } else { Claim::None },
             stage: Stage::Claiming,
             progress: Progress::Unsent,
             offset: 0,
@@ -360,9 +360,9 @@
         call.stage = Stage::Waiting;
         let (key, rank) = (call.key.clone(), call.rank);
         let first = self.queue.waiting(&key) == 0;
-        let bare = self.lacks_adapter(id);
+        let adapter_missing = self.lacks_adapter(id);
         self.queue.push(&key, rank, id);
-        if bare || (first && !self.is_ready(&key)) {
+        if adapter_missing || (first && !self.is_ready(&key)) {
             self.actions.push(Action::Report);
         }
         self.dirty.insert(key);
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -152,7 +152,7 @@
             .is_none_or(|replica| self.fleet_view.is_ready(replica))
     }
 
-    /// Handles `ResponseStarted`: the response started.
+    /// Handles `ResponseStarted`: allows the owner to forward the response.
     pub(crate) fn on_response_started(&mut self, id: CallId, attempt: Attempt) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
@@ -200,14 +200,14 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let at = if let Some(terms) = &call.request.terms {
+        let fires_at = if let Some(terms) = &call.request.terms {
             call.arrived + terms.limit
         } else if call.request.streaming {
             self.now + STALL_TIMEOUT
         } else {
             call.deadline + MAX_OVERRUN
         };
-        self.set_timer(id, at);
+        self.set_timer(id, fires_at);
     }
 
     /// Handles `ResponseEnded`: the terminator of the response arrived.
@@ -266,9 +266,9 @@
             call.failed.push(run.place.target.clone());
         }
         // Targets behind routes guarantee that a request that they decline was not run.
-        let promised = call.request.terms.is_some();
+        let routed = call.request.terms.is_some();
         let declined = matches!(failure, Failure::Refused | Failure::WrongTarget);
-        if promised && declined && run.progress == Progress::Sent {
+        if routed && declined && run.progress == Progress::Sent {
             call.undo_run();
         }
         let (repeatable, progress) = (call.repeatable, call.progress);
@@ -362,22 +362,22 @@
         if self.quarantine.strikes(fingerprint) < self.strike_limit() {
             return;
         }
-        let same = self.calls.values().filter(|call| {
+        let unsent_requests = self.calls.values().filter(|call| {
             let unsent = call
                 .current_attempt()
                 .is_none_or(|run| run.progress == Progress::Unsent);
             call.request.fingerprint == fingerprint && unsent && !call.answered
         });
-        let mut same: Vec<CallId> = same.map(|call| call.request.id).collect();
-        same.sort_unstable();
-        for id in same {
+        let mut ids: Vec<CallId> = unsent_requests.map(|call| call.request.id).collect();
+        ids.sort_unstable();
+        for id in ids {
             let rejection = self.quarantine_rejection(fingerprint);
             self.refuse(id, rejection);
         }
     }
 
-    /// Puts a request back into the queue for another attempt after a pause.
-    fn requeue(&mut self, id: CallId, pause: Duration) {
+    /// Puts a request back into the queue for another attempt after a backoff.
+    fn requeue(&mut self, id: CallId, delay: Duration) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -390,8 +390,8 @@
         if call.progress == Progress::Begun {
             call.rank.weight = RESUME_WEIGHT;
         }
-        if !pause.is_zero() {
-            call.retry_at = now + pause;
+        if !delay.is_zero() {
+            call.retry_at = now + delay;
             self.backoffs.insert((call.retry_at, id));
         }
         self.enqueue(id);
@@ -424,10 +424,10 @@
     /// Resumes a partial response, on the same replica if it is still available.
     fn resume(&mut self, id: CallId, run: &RunningAttempt, failure: Failure) {
         let reachable = failure != Failure::Connect && failure != Failure::Refused;
-        let same = self.resume_candidate(id, run);
+        let same_place = self.resume_candidate(id, run);
         let service = self.calls.get(&id).map(|call| call.key.service());
         let within_budget = service.is_some_and(|service| self.budget_allows(&service));
-        match same {
+        match same_place {
             Some(candidate) if reachable && within_budget => {
                 if let Some(call) = self.calls.get_mut(&id) {
                     call.stage = Stage::Waiting;
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -202,11 +202,11 @@
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         let timer = self.timers.first().map(|(time, _)| *time);
-        let pause = self.backoffs.first().map(|(time, _)| *time);
+        let backoff_end = self.backoffs.first().map(|(time, _)| *time);
         let next_sweep = (!self.queue.is_empty()).then_some(self.next_sweep);
         let wakes = [
             timer,
-            pause,
+            backoff_end,
             next_sweep,
             self.budget_retry_at,
             self.ejections.next_probe(),
@@ -401,8 +401,8 @@
 
     /// Drops expired records and refuses waiting requests that can no longer meet their deadline.
     fn sweep_expired(&mut self) {
-        let kept = Time::from_secs(self.catalogue.fleet.refusing.quarantine_s);
-        self.quarantine.expire(kept, self.now);
+        let retention = Time::from_secs(self.catalogue.fleet.refusing.quarantine_s);
+        self.quarantine.expire(retention, self.now);
         self.orphaned_claims.expire(self.now);
         self.cancelled.expire(self.now);
         if self.config.uses(Guard::Early) {
--- a/crates/planner/src/history.rs
+++ b/crates/planner/src/history.rs
@@ -80,17 +80,17 @@
     /// Updates the average load time with one finished load.
     pub fn record_load(&mut self, took: Duration) {
         let took = took.as_secs_f64();
-        let known = self.load_time.map_or(took, |load| load.as_secs_f64());
-        self.load_time = Some(duration_from_secs(known + SMOOTHING * (took - known)));
+        let average = self.load_time.map_or(took, |load| load.as_secs_f64());
+        self.load_time = Some(duration_from_secs(average + SMOOTHING * (took - average)));
     }
 
     /// Updates the average burst size with the burst that ended, and starts a new one.
     fn learn_burst(&mut self) {
-        let last = to_f64(self.current_burst);
+        let ended_burst = to_f64(self.current_burst);
         self.burst = if self.burst > 0.0 {
-            self.burst + SMOOTHING * (last - self.burst)
+            self.burst + SMOOTHING * (ended_burst - self.burst)
         } else {
-            last
+            ended_burst
         };
         self.current_burst = 0;
     }
@@ -103,8 +103,8 @@
         }
         let elapsed = now.saturating_sub(self.observed_at).as_secs_f64();
         let seconds = elapsed * f64::from(demand.running) / to_f64(ended);
-        let known = self.service_s.unwrap_or(seconds);
-        self.service_s = Some(known + SMOOTHING * (seconds - known));
+        let average = self.service_s.unwrap_or(seconds);
+        self.service_s = Some(average + SMOOTHING * (seconds - average));
     }
 
     /// Returns the time since the last request, or since time zero if there was none.
--- a/crates/planner/src/hosting/pass.rs
+++ b/crates/planner/src/hosting/pass.rs
@@ -123,7 +123,7 @@
     /// Returns the cost of loading a model on one worker, or `None` if that is not possible.
     pub(super) fn candidate(&self, worker_index: usize, model: &ModelId) -> Option<Candidate> {
         let worker = &self.service_state.workers[worker_index];
-        let known = self.service_state.models.get(model)?;
+        let model_settings = self.service_state.models.get(model)?;
         if !worker.open || worker.holds(model) || worker.loading.as_ref() == Some(model) {
             return None;
         }
@@ -134,17 +134,17 @@
             .copied()
             .unwrap_or(Stage::Remote);
         let load = match from {
-            Stage::Memory => known.from_memory.as_secs_f64(),
-            Stage::Disk => known.from_disk.as_secs_f64(),
+            Stage::Memory => model_settings.from_memory.as_secs_f64(),
+            Stage::Disk => model_settings.from_disk.as_secs_f64(),
             _ if !self.store_open || self.store_loads_in_flight >= MAX_STORE_LOADS => return None,
-            _ => known.from_store.as_secs_f64(),
+            _ => model_settings.from_store.as_secs_f64(),
         };
         let room = self
             .service_state
             .engine
             .memory
             .saturating_sub(self.service_state.used_bytes(worker));
-        let (victim, loss) = if known.bytes <= room {
+        let (victim, loss) = if model_settings.bytes <= room {
             (None, 0.0)
         } else {
             let (victim, loss) = self.victim(worker, model)?;
@@ -224,37 +224,37 @@
 
     /// Loads one adapter on the free worker that holds its model and has the fewest adapters.
     fn load_adapter(&mut self, model: &ModelId, adapter: &Name) {
-        let has = |held: &HeldModel| held.model == *model && !held.unloading;
+        let holds_model = |held: &HeldModel| held.model == *model && !held.unloading;
         let mut copies = self
             .service_state
             .workers
             .iter()
             .filter(|worker| worker.open);
         if copies.any(|worker| {
-            let mut held = worker.held.iter().filter(|held| has(held));
+            let mut held = worker.held.iter().filter(|held| holds_model(held));
             held.any(|held| held.adapters.contains(adapter))
         }) {
             return;
         }
         let free = (0..self.free.len()).filter(|worker_index| self.free[*worker_index]);
-        let holds = free.filter(|worker_index| {
+        let holders = free.filter(|worker_index| {
             self.service_state.workers[*worker_index]
                 .held
                 .iter()
-                .any(has)
+                .any(holds_model)
         });
         let Some(worker_index) =
-            holds.min_by_key(|worker_index| self.service_state.workers[*worker_index].adapters())
+            holders.min_by_key(|worker_index| self.service_state.workers[*worker_index].adapters())
         else {
             return;
         };
         let worker = &self.service_state.workers[worker_index];
-        let known = self.service_state.models.get(model);
-        let bytes = known.map_or(0, |known| known.adapter_bytes);
+        let model_settings = self.service_state.models.get(model);
+        let bytes = model_settings.map_or(0, |model_settings| model_settings.adapter_bytes);
         let slot_free = worker.adapters() < self.service_state.engine.adapters as usize;
-        let room =
+        let has_memory =
             self.service_state.used_bytes(worker) + bytes <= self.service_state.engine.memory;
-        let action = if slot_free && room {
+        let action = if slot_free && has_memory {
             Action::Adapter {
                 model: model.clone(),
                 adapter: adapter.clone(),
--- a/crates/planner/src/keep_alive.rs
+++ b/crates/planner/src/keep_alive.rs
@@ -142,7 +142,7 @@
         * COLD_START_PRICE
         * cold_start_cost(inputs);
     let idle = inputs.idle.as_secs_f64();
-    let last = inputs.rules.maximum.as_secs_f64();
+    let max_idle = inputs.rules.maximum.as_secs_f64();
     let total_share: f64 = inputs
         .history
         .gaps
@@ -153,13 +153,13 @@
     let mut expected_idle = 0.0;
     let mut called_share = 0.0;
     for bucket in inputs.history.gaps.after(inputs.idle) {
-        if bucket.from >= last {
+        if bucket.from >= max_idle {
             break;
         }
         expected_idle += bucket.share * (bucket.midpoint() - idle);
         called_share += bucket.share;
         let share_left = total_share - called_share;
-        let until = bucket.to.min(last) - idle;
+        let until = bucket.to.min(max_idle) - idle;
         let cost = idle_price * (expected_idle + share_left * until) + cold_price * share_left;
         if cost < best.0 {
             best = (cost, duration_from_secs(until), called_share / total_share);
--- a/crates/planner/src/placement.rs
+++ b/crates/planner/src/placement.rs
@@ -114,14 +114,14 @@
     /// Returns whether a worker accepts the model and is large enough for it.
     fn accepts(&self, worker: &Worker, entry: &ModelEntry) -> bool {
         let model = &entry.model;
-        let quiet = || {
-            let mut quiet = worker.cooldowns.iter();
-            quiet.any(|quiet| quiet.model == model.name && self.now < quiet.until)
+        let cooling_down = || {
+            let mut cooldowns = worker.cooldowns.iter();
+            cooldowns.any(|cooldown| cooldown.model == model.name && self.now < cooldown.until)
         };
         worker.accepts_loads
             && worker.memory >= model.bytes
             && worker.accelerators >= model.accelerators
-            && !quiet()
+            && !cooling_down()
     }
 
     /// Returns the zones that already have a replica of the model, sorted; empty if the settings do
--- a/crates/planner/src/weight_store.rs
+++ b/crates/planner/src/weight_store.rs
@@ -115,8 +115,8 @@
         if replica.from == Stage::Remote {
             self.adapt_limit(seconds_per_gib);
         }
-        let known = self.seconds_per_gib(replica.from);
-        let learned = known + SMOOTHING * (seconds_per_gib - known);
+        let current = self.seconds_per_gib(replica.from);
+        let learned = current + SMOOTHING * (seconds_per_gib - current);
         self.learned_speeds.insert(replica.from, learned);
     }
 
