--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -31,7 +31,7 @@
 /// request is retried on another one.
 const FIRST_BYTE_OBJECTIVE_SHARE: f64 = 0.75;
 
-/// A target is slow if it takes this many times the mean response time to begin its response.
+/// A target is slow if its response has not begun after this many times the mean time to first byte.
 const SLOW_RESPONSE_FACTOR: f64 = 2.5;
 
 /// Maximum number of attempts for one request.
