--- a/crates/entry/src/finish.rs
+++ b/crates/entry/src/finish.rs
@@ -307,7 +307,7 @@
         let (run, detail) = match call.progress {
             Progress::Unsent => (Run::NotRun, "the deadline came while it waited"),
             Progress::Sent => (Run::Unknown, "the deadline came before the answer"),
-            Progress::Begun => (Run::Unknown, "the answer cancelled coming"),
+            Progress::Begun => (Run::Unknown, "the answer stopped coming"),
         };
         let rejection = Rejection {
             run,
