--- a/crates/control/src/claim.rs
+++ b/crates/control/src/claim.rs
@@ -36,9 +36,10 @@
     pub digest: [u8; 32],
     /// The entry host that would send the request.
     pub holder: Holder,
-    /// The holder's number for the call, which a repeated proposal carries again.
+    /// The holder's number for the call, unchanged when the proposal is repeated.
     pub call: u64,
-    /// When the caller first sent the request, since the Unix epoch; `None` if it does not say.
+    /// When the caller first sent the request, since the Unix epoch; `None` if the caller does not
+    /// state it.
     pub issued: Option<Time>,
 }
 
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -43,7 +43,7 @@
 #[strum_discriminants(name(Kind), derive(Display), doc = "The names of the commands.")]
 #[strum_discriminants(strum(serialize_all = "kebab-case"))]
 pub enum Command {
-    /// No operation; a new leader commits one to learn what is committed.
+    /// No operation; a new leader commits one to determine which entries are committed.
     #[serde(rename = "Nothing")]
     #[strum_discriminants(strum(serialize = "nothing"))]
     Noop,
@@ -62,7 +62,7 @@
         /// Whether an operator attests that the machine no longer runs.
         attested: bool,
     },
-    /// Records that a target has been silent for long, or is heard again.
+    /// Records that a target has been silent for long, or that its heartbeats have resumed.
     #[serde(rename = "Silence")]
     #[strum_discriminants(strum(serialize = "silence"))]
     RecordSilence {
--- a/crates/control/src/dump.rs
+++ b/crates/control/src/dump.rs
@@ -15,7 +15,7 @@
     pub age: Time,
     /// The newest settings that are in force at every entry host.
     pub in_force: Version,
-    /// The targets heard from.
+    /// The tracked targets.
     pub targets: Vec<Target>,
     /// The replicas with their orders.
     pub replicas: Vec<Replica>,
@@ -27,12 +27,12 @@
     pub strikes: usize,
 }
 
-/// What the leader has heard from a target.
+/// The leader's soft state of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Target {
     /// The name of the target.
     pub target: TargetId,
-    /// The time since it was last heard.
+    /// The time since its last heartbeat, or since this leader began to track it.
     pub silence: Time,
     /// The sequence number of its newest heartbeat; 0 before the first in this term.
     pub sequence: u64,
@@ -96,7 +96,7 @@
 fn targets(term_state: &TermState, now: Time) -> Vec<Target> {
     let targets = term_state.workers.iter().map(|(target, worker)| Target {
         target: target.clone(),
-        silence: now.saturating_sub(worker.last_heard),
+        silence: now.saturating_sub(worker.last_contact),
         sequence: worker.sequence(),
         open: worker.is_open(),
         unexplained: worker.orphan_bytes(),
@@ -124,7 +124,7 @@
 fn hosts(term_state: &TermState, now: Time) -> Vec<Host> {
     let hosts = term_state.leases.iter().map(|lease| Host {
         host: lease.host.host,
-        silence: now.saturating_sub(lease.last_heard),
+        silence: now.saturating_sub(lease.last_renewal),
         settings: lease.host.settings,
         leased: lease.is_valid(now),
     });
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -20,10 +20,10 @@
     /// Whether it has been silent for long; its replicas then do not count against their model's
     /// limit, but its memory stays reserved.
     pub silent: bool,
-    /// Whether it said that it is leaving; that lasts for its incarnation.
+    /// Whether it announced that it is leaving; this lasts for the rest of its incarnation.
     pub leaving: bool,
-    /// The models that a worker which counts its orders last held, so that a new leader knows them
-    /// at once.
+    /// The models last held by a worker that counts its orders, so that a new leader has them
+    /// before the first heartbeat.
     pub held: Vec<Reference>,
 }
 
--- a/crates/control/src/heartbeats.rs
+++ b/crates/control/src/heartbeats.rs
@@ -18,7 +18,7 @@
 const MIN_ORPHAN_HEARTBEATS: u64 = 2;
 
 impl TermState {
-    /// Handles an announcement: proposes to register what is new.
+    /// Handles an announcement: proposes to register a new or changed one.
     pub(crate) fn on_announcement(&mut self, announcement: Announcement, ctx: &mut Context) {
         let known = ctx.state.fleet().get(&announcement.target);
         let old = known.map(|known| &known.announcement);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Handles an announcement that comes with a heartbeat.
+    /// Handles an announcement sent together with a heartbeat.
     ///
     /// The heartbeat of an incarnation that is not registered yet is kept until its registration is
     /// applied.
@@ -70,8 +70,8 @@
             ctx.out.push(Output::RequestAnnouncement { target });
             return;
         }
-        let late = worker.last_heartbeat.is_some() && heartbeat.sequence <= worker.sequence();
-        if late || heartbeat.incarnation < worker.incarnation {
+        let stale = worker.last_heartbeat.is_some() && heartbeat.sequence <= worker.sequence();
+        if stale || heartbeat.incarnation < worker.incarnation {
             return;
         }
         let open = worker.is_open();
@@ -89,7 +89,7 @@
             self.planner_input.mark_worker(&target);
         }
         self.plan_requested |= reopened;
-        self.propose_heard(&target, ctx);
+        self.propose_not_silent(&target, ctx);
         self.publish_cache_events(&target, cache);
         self.reconcile_inventory(&target, ctx);
     }
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Proposes to record that a silent target is heard again.
-    fn propose_heard(&mut self, target: &TargetId, ctx: &mut Context) {
+    /// Proposes to record that the heartbeats of a silent target have resumed.
+    fn propose_not_silent(&mut self, target: &TargetId, ctx: &mut Context) {
         let known = ctx.state.fleet().get(target);
         if let Some(known) = known.filter(|known| known.silent) {
             let command = Command::RecordSilence {
@@ -335,7 +335,7 @@
     pub(crate) fn check_silence(&mut self, ctx: &mut Context) {
         let mut suspects = Vec::new();
         for (target, worker) in self.workers.iter_mut() {
-            let silence = ctx.now.saturating_sub(worker.last_heard);
+            let silence = ctx.now.saturating_sub(worker.last_contact);
             let limit = if worker.reported_lost {
                 ctx.timing.suspect_reported_after
             } else {
@@ -359,7 +359,7 @@
         }
     }
 
-    /// Publishes that a target gets no new work, and drives its replicas.
+    /// Publishes that a target gets no new work, and sends the due orders of its replicas.
     fn close_target(&mut self, target: &TargetId, ctx: &mut Context) {
         self.feed.mark_target(target, true);
         self.planner_input.mark_worker(target);
--- a/crates/control/src/hosting.rs
+++ b/crates/control/src/hosting.rs
@@ -38,7 +38,7 @@
 const INSPECTION_TIMEOUT: Time = Time::from_secs(2);
 
 /// How long a new leader waits for workers to report which models they have on local storage.
-const SURVEY_TIMEOUT: Time = Time::from_secs(4);
+const STORAGE_REPORT_TIMEOUT: Time = Time::from_secs(4);
 
 /// The minimum interval between two plans.
 const MIN_PLAN_INTERVAL: Time = Time::from_millis(40);
@@ -68,7 +68,7 @@
     /// When loads from the weight store were started, newest last.
     store_load_starts: Vec<Time>,
     last_plan: Time,
-    /// Whether a change calls for a plan.
+    /// Whether a change requires a planner run.
     plan_requested: bool,
 }
 
@@ -101,12 +101,12 @@
         self.plan_requested = true;
     }
 
-    /// Returns the adapters of a copy, and whether it takes requests.
+    /// Returns the adapters of a copy, and whether it accepts requests or is being unloaded.
     pub(crate) fn copy_status(&self, target: &str, copy: &Holding) -> (Vec<Name>, State) {
         let Some(worker_orders) = self.workers.get(target) else {
             return (copy.adapters.clone(), State::Ready);
         };
-        let state = if worker_orders.unloads(&copy.model.model) {
+        let state = if worker_orders.is_unloading(&copy.model.model) {
             State::Retiring
         } else {
             State::Ready
@@ -116,19 +116,19 @@
 
     /// Returns the model that a worker loads from the weight store, and when it is due.
     ///
-    /// Such a load takes longer than many requests can wait, so entry hosts have to know of it.
+    /// Such a load takes longer than many requests can wait, so it is published to entry hosts.
     fn pending_load(&self, target: &str) -> Option<PendingLoad> {
         let worker_orders = self.workers.get(target)?;
         let in_flight = worker_orders
             .in_flight
             .as_ref()
-            .filter(|_| worker_orders.fetches())?;
+            .filter(|_| worker_orders.is_loading_from_store())?;
         let model = in_flight.action.model().clone();
         let due = in_flight.due;
         Some(PendingLoad { model, due })
     }
 
-    /// Returns the models that only the weight store holds, for an entry host without a view.
+    /// Returns the models that only the weight store holds, for the full view.
     pub(crate) fn cold_start_estimates(&self) -> impl Iterator<Item = Change> {
         let all = self.store_only.values().flatten();
         all.map(|(model, load_time)| cold_start_change(model, *load_time))
@@ -326,7 +326,7 @@
             .hosting
             .workers
             .values()
-            .filter(|it| it.fetches())
+            .filter(|it| it.is_loading_from_store())
             .count();
         let service_state = ServiceState {
             engine,
@@ -367,8 +367,8 @@
         *known = store_only;
     }
 
-    /// Returns whether each worker has told this leader what it has on local storage, or the time
-    /// to wait for that has passed.
+    /// Returns whether every open worker that counts its orders has reported its local storage to
+    /// this leader, or the time to wait for the reports has passed.
     ///
     /// A model that no worker is known to have on local storage is loaded from the weight store,
     /// which is slow.
@@ -378,7 +378,7 @@
             worker.is_some_and(|worker| worker.is_open() && worker.sequence() == 0)
         };
         let mut hosted = self.hosting.workers.keys();
-        ctx.now >= self.since + SURVEY_TIMEOUT || !hosted.any(silent)
+        ctx.now >= self.since + STORAGE_REPORT_TIMEOUT || !hosted.any(silent)
     }
 
     /// Returns the workers of a service as the policy sees them.
@@ -395,11 +395,11 @@
                 target: target.clone(),
                 region: announcement.region.clone(),
                 held: held(last_heartbeat, worker_orders),
-                local_copies: worker_orders.nearest.clone(),
+                local_copies: worker_orders.fastest_tiers.clone(),
                 loading: worker_orders.loading_model().cloned(),
                 // Before its first heartbeat to this leader, the worker's local storage is unknown.
                 time_until_free: worker_orders
-                    .free_in(ctx.now)
+                    .time_until_free(ctx.now)
                     .filter(|_| last_heartbeat.sequence > 0),
                 open: !known.leaving && worker.is_open(),
             })
@@ -470,15 +470,16 @@
     fn inspect_workers(&mut self, ctx: &mut Context) {
         let now = ctx.now;
         for (target, worker_orders) in &mut self.hosting.workers {
-            let heard = self.workers.get(target).is_some_and(Worker::is_loadable);
-            let late = worker_orders.in_flight.as_ref();
-            let late = late
+            let loadable = self.workers.get(target).is_some_and(Worker::is_loadable);
+            let overdue = worker_orders.in_flight.as_ref();
+            let overdue = overdue
                 .is_some_and(|in_flight| in_flight.accepted && now > in_flight.due + OVERDUE_GRACE);
             let unknown = worker_orders.in_flight.is_none() && worker_orders.accepted.is_none();
             let inspecting = worker_orders
                 .inspected
                 .is_some_and(|at| now < at + INSPECTION_TIMEOUT);
-            if !heard || inspecting || worker_orders.paused_until > now || !(late || unknown) {
+            if !loadable || inspecting || worker_orders.paused_until > now || !(overdue || unknown)
+            {
                 continue;
             }
             worker_orders.inspected = Some(now);
@@ -490,8 +491,8 @@
     }
 }
 
-/// Builds the change that announces how long a load takes where no target has the model on local
-/// storage; zero where one has.
+/// Builds the change that publishes the load time of a model that no target has on local storage;
+/// zero if a target has it.
 fn cold_start_change(model: &ModelId, load_time: Time) -> Change {
     let ms = u32::try_from(load_time.as_millis()).unwrap_or(u32::MAX);
     Change::ColdStartEstimate(model.clone(), ms)
--- a/crates/control/src/hosting/worker_orders.rs
+++ b/crates/control/src/hosting/worker_orders.rs
@@ -16,17 +16,17 @@
 /// Usual delay from an order's expected end to the heartbeat or inspection that shows it done.
 const COMPLETION_DELAY: Time = Time::from_millis(100);
 
-/// Usual time to learn by inspection how many orders a worker has accepted.
+/// Usual time for an inspection to return how many orders a worker has accepted.
 const INSPECTION_ESTIMATE: Time = Time::from_millis(500);
 
-/// Consecutive unanswered inspections after which a worker is not counted on.
-const MAX_UNANSWERED: u32 = 2;
+/// Consecutive unanswered inspections after which no time is estimated for a worker.
+const MAX_UNANSWERED_INSPECTIONS: u32 = 2;
 
 /// The minimum expected remaining time of an order in progress.
 const MIN_REMAINING: Time = Time::from_millis(20);
 
-/// The maximum delay of a heartbeat: what was ordered within this time counts as held, whatever
-/// heartbeats show.
+/// The maximum delay of a heartbeat: a model ordered within this time counts as held, whatever the
+/// heartbeats report.
 const MAX_HEARTBEAT_DELAY: Time = Time::from_secs(8);
 
 /// An order that was sent and is not known to have ended.
@@ -77,7 +77,7 @@
     /// Recent orders that delayed heartbeats may not show yet.
     recent: Vec<RecentOrder>,
     /// For each model, the fastest storage tier below accelerator memory that holds a copy.
-    pub(super) nearest: Arc<BTreeMap<ModelId, Stage>>,
+    pub(super) fastest_tiers: Arc<BTreeMap<ModelId, Stage>>,
     /// When the inspection in progress was sent.
     pub(super) inspected: Option<Time>,
     /// Consecutive inspections without an answer.
@@ -95,25 +95,26 @@
             accepted: new.then_some(0),
             in_flight: None,
             recent: Vec::new(),
-            nearest: Arc::default(),
+            fastest_tiers: Arc::default(),
             inspected: None,
             unanswered: 0,
             paused_until: Time::ZERO,
         }
     }
 
-    /// Returns the expected time until the worker takes an order; `None` if it does not answer
-    /// inspections.
-    pub(super) fn free_in(&self, now: Time) -> Option<Time> {
+    /// Returns the expected time until the worker accepts another order; `None` if it does not
+    /// answer inspections.
+    pub(super) fn time_until_free(&self, now: Time) -> Option<Time> {
         let pause = self.paused_until.saturating_sub(now);
         if self.accepted.is_none() {
-            return (self.unanswered < MAX_UNANSWERED).then_some(INSPECTION_ESTIMATE.max(pause));
+            return (self.unanswered < MAX_UNANSWERED_INSPECTIONS)
+                .then_some(INSPECTION_ESTIMATE.max(pause));
         }
         let Some(in_flight) = &self.in_flight else {
             return Some(pause);
         };
         let due = in_flight.due + COMPLETION_DELAY;
-        // An order that is overdue is expected to take as long again.
+        // An order that is overdue is expected to take as long again as it is overdue.
         let left = due.saturating_sub(now).max(now.saturating_sub(due));
         Some(left.max(pause).max(MIN_REMAINING))
     }
@@ -133,19 +134,19 @@
     }
 
     /// Returns whether the worker is loading from the weight store.
-    pub(super) fn fetches(&self) -> bool {
+    pub(super) fn is_loading_from_store(&self) -> bool {
         let in_flight = self.in_flight.as_ref().map(|in_flight| &in_flight.action);
         matches!(in_flight, Some(Action::Load { from, .. }) if *from < Stage::Disk)
     }
 
     /// Returns whether the worker is unloading the model.
-    pub(super) fn unloads(&self, model: &str) -> bool {
+    pub(super) fn is_unloading(&self, model: &str) -> bool {
         let in_flight = self.in_flight.as_ref().map(|in_flight| &in_flight.action);
         matches!(in_flight, Some(Action::Unload { model: it }) if **it == *model)
     }
 
-    /// Returns the adapters of a copy according to heartbeats and recent orders; `accepted_only` excludes
-    /// orders that the worker has not accepted yet.
+    /// Returns the adapters of a copy according to heartbeats and recent orders; `accepted_only`
+    /// excludes orders that the worker has not accepted yet.
     pub(super) fn adapters(&self, copy: &Holding, accepted_only: bool) -> Vec<Name> {
         let mut adapters = copy.adapters.clone();
         let ordered = self.recent.iter().filter(|it| it.model == copy.model.model);
@@ -214,9 +215,9 @@
         }
     }
 
-    /// Handles a heartbeat; an order that it shows to be complete is over.
+    /// Handles a heartbeat; clears the order in progress if the heartbeat shows it complete.
     pub(super) fn on_heartbeat(&mut self, last_heartbeat: &LastHeartbeat, now: Time) {
-        self.nearest = Arc::new(nearest_copies(last_heartbeat));
+        self.fastest_tiers = Arc::new(fastest_tiers(last_heartbeat));
         let in_flight = self
             .in_flight
             .as_ref()
@@ -238,7 +239,7 @@
 
     /// Handles the outcome of an order.
     ///
-    /// Only the order in progress counts: an earlier one that an inspection has settled may have
+    /// Only the order in progress counts: an earlier one that an inspection has resolved may have
     /// been sent with the same number of accepted orders.
     pub(super) fn on_outcome(&mut self, order: &Order, outcome: &Outcome, now: Time) {
         let in_flight = self.in_flight.as_mut();
@@ -280,9 +281,10 @@
     let held = ready.map(|copy| HeldModel {
         model: copy.model.model.clone(),
         adapters: orders.adapters(copy, false),
-        unloading: orders.unloads(&copy.model.model),
+        unloading: orders.is_unloading(&copy.model.model),
     });
-    // A model that no heartbeat shows takes memory and gets no requests.
+    // A model that was ordered but that no heartbeat shows yet occupies memory and gets no
+    // requests.
     let not_shown = orders.not_shown(last_heartbeat).into_iter();
     let not_shown = not_shown.filter(|model| orders.loading_model() != Some(model));
     let not_shown = not_shown.map(|model| HeldModel {
@@ -303,17 +305,17 @@
 }
 
 /// Returns, for each model, the fastest storage tier below accelerator memory that holds a copy.
-fn nearest_copies(last_heartbeat: &LastHeartbeat) -> BTreeMap<ModelId, Stage> {
-    let mut nearest = BTreeMap::new();
+fn fastest_tiers(last_heartbeat: &LastHeartbeat) -> BTreeMap<ModelId, Stage> {
+    let mut fastest = BTreeMap::new();
     for copy in last_heartbeat
         .inventory
         .iter()
         .filter(|it| it.stage < Stage::Loading)
     {
-        let stage = nearest
+        let stage = fastest
             .entry(copy.model.model.clone())
             .or_insert(copy.stage);
         *stage = copy.stage.max(*stage);
     }
-    nearest
+    fastest
 }
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -15,7 +15,7 @@
     /// The newest renewal of the host.
     pub(crate) host: entry::Host,
     /// When the renewal arrived.
-    pub(crate) last_heard: Time,
+    pub(crate) last_renewal: Time,
     /// Versions of the settings that it may act on, and until when.
     grants: BTreeMap<Version, Time>,
     /// Whether the expiry of all of them was already reported.
@@ -35,7 +35,7 @@
     }
 }
 
-/// All entry hosts that this leader has heard from.
+/// The entry hosts that have renewed a lease with this leader.
 #[derive(Debug)]
 pub(crate) struct Leases {
     /// When the leases granted by earlier leaders have expired.
@@ -64,11 +64,11 @@
         self.hosts.values()
     }
 
-    /// Grants a host a lease on the settings in force; returns whether the view changes.
+    /// Grants a host a lease on the settings in force; returns whether its published state changes.
     ///
     /// A host that acts on older settings has to fetch the newer ones first; its lease on the older
     /// ones is not extended. The leader counts the lease on the newer ones from now on, since the
-    /// host may fetch them as soon as it hears of them.
+    /// host may fetch them as soon as it is notified.
     pub(crate) fn renew(&mut self, host: entry::Host, ctx: &mut Context) -> bool {
         let version = ctx.state.current_settings().version();
         let old = self.hosts.remove(&host.host);
@@ -95,7 +95,7 @@
             version,
         });
         let lease = Lease {
-            last_heard: ctx.now,
+            last_renewal: ctx.now,
             expired: version == 0,
             grants,
             host,
@@ -144,8 +144,9 @@
 
     /// Removes hosts that have been silent for long, and returns them.
     pub(crate) fn remove_silent(&mut self, ctx: &Context) -> Vec<Lease> {
-        let silent =
-            |it: &Lease| !it.is_valid(ctx.now) && it.last_heard + ctx.timing.host_timeout < ctx.now;
+        let silent = |it: &Lease| {
+            !it.is_valid(ctx.now) && it.last_renewal + ctx.timing.host_timeout < ctx.now
+        };
         let ids: Vec<HostId> = self
             .hosts
             .iter()
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -97,7 +97,7 @@
             return;
         };
         let sequence = worker.sequence();
-        let heard = !worker.suspected && worker.last_heartbeat.is_some();
+        let responsive = !worker.suspected && worker.last_heartbeat.is_some();
         let Some(orders) = self.replica_orders.get(&replica.id) else {
             return;
         };
@@ -106,14 +106,14 @@
             return;
         }
         let since = orders.retired.unwrap_or(ctx.now);
-        if !heard || !self.is_drained(&replica.target, &replica.model, since, ctx) {
+        if !responsive || !self.is_drained(&replica.target, &replica.model, since, ctx) {
             return;
         }
         let fencing = checks_fencing(replica, ctx);
         let Some(orders) = self.replica_orders.get_mut(&replica.id) else {
             return;
         };
-        let shown = orders.last_seen == Some(sequence);
+        let still_held = orders.last_seen == Some(sequence);
         let resend_from = orders.unload_sequence.saturating_add(QUIET_HEARTBEATS);
         let resend_due = sequence >= resend_from;
         let due = match orders.unload {
@@ -122,7 +122,7 @@
             OrderStatus::Unknown { .. } | OrderStatus::Answered => resend_due,
             OrderStatus::InFlight { .. } | OrderStatus::Withheld => false,
         };
-        if !due || !shown {
+        if !due || !still_held {
             return;
         }
         orders.unload = OrderStatus::InFlight { at: ctx.now };
@@ -131,7 +131,8 @@
         self.send_order(&replica.target, replica.id, Action::Unload { model }, ctx);
     }
 
-    /// Returns whether nothing runs on a model's copy that got its last new request at `since`.
+    /// Returns whether no request is in progress on a copy that received its last new one at
+    /// `since`; also true once the drain timeout has passed.
     pub(crate) fn is_drained(
         &self,
         target: &TargetId,
@@ -146,20 +147,21 @@
             return true;
         }
         let settled = since + ctx.timing.retire_settle;
-        let idle = worker.is_idle() && worker.last_heard >= settled;
+        let idle = worker.is_idle() && worker.last_contact >= settled;
         ctx.now >= settled && (idle || self.is_unused(model, settled, ctx))
     }
 
-    /// Returns whether every entry host has reported, since a time, that it runs nothing on a
-    /// model.
+    /// Returns whether every entry host has reported since a time, and none has requests of the
+    /// model in progress.
     ///
-    /// A new leader has not heard of hosts that are out of contact, so it returns false until their
-    /// timeout has passed.
+    /// A new leader does not know the hosts that are out of contact, so this returns false until
+    /// the host timeout of the term has passed.
     fn is_unused(&self, model: &ModelId, since: Time, ctx: &Context) -> bool {
         let hosts_known = ctx.now >= self.since + ctx.timing.host_timeout;
         let mut hosts = self.leases.iter().filter(|it| it.is_valid(ctx.now));
-        let heard = hosts.all(|lease| self.demand.has_reported_since(lease.host.host, since));
-        hosts_known && heard && self.demand.running(model) == 0
+        let all_reported =
+            hosts.all(|lease| self.demand.has_reported_since(lease.host.host, since));
+        hosts_known && all_reported && self.demand.running(model) == 0
     }
 
     /// Handles the outcome of an order.
@@ -249,7 +251,7 @@
     }
 
     /// Returns the fastest storage tier of the worker that holds the replica's weights.
-    pub(crate) fn nearest(&self, replica: &Replica) -> Stage {
+    pub(crate) fn fastest_tier(&self, replica: &Replica) -> Stage {
         let worker = self.workers.get(&replica.target);
         let last_heartbeat = worker.and_then(|worker| worker.last_heartbeat.as_ref());
         let inventory = last_heartbeat
--- a/crates/control/src/output.rs
+++ b/crates/control/src/output.rs
@@ -1,4 +1,4 @@
-//! The actions that the leader asks its owner to carry out.
+//! Actions that the leader returns for its owner to execute.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 pub enum Output {
     /// Propose a command; a failure need not be reported.
     Propose(Command),
-    /// Send an order, close the connection if no answer comes, and report the outcome with
+    /// Send an order, close the connection if no answer arrives, and report the outcome with
     /// [`Input::OrderDone`](crate::input::Input::OrderDone).
     Order(Order),
     /// Send a view.
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -55,10 +55,10 @@
         let due = self
             .last_plan
             .is_none_or(|planned| ctx.now >= planned + wait);
-        due && self.is_fleet_heard(ctx) && !self.pending.is_deciding(ctx)
+        due && self.all_targets_reported(ctx) && !self.pending.is_deciding(ctx)
     }
 
-    /// Proposes or orders what the planner decided.
+    /// Carries out the planner's decisions by proposing commands or sending orders.
     fn apply_decision(&mut self, decision: Decision, taken: &mut Taken, ctx: &mut Context) {
         match decision.action {
             Action::Load {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Orders an adapter to be loaded onto a ready replica.
+    /// Orders the load of an adapter onto a ready replica.
     fn order_adapter(&mut self, replica: ReplicaId, name: Name, ctx: &mut Context) {
         let known = ctx.state.replicas().get(replica);
         let Some(known) = known.filter(|it| it.state == State::Ready) else {
@@ -140,7 +140,7 @@
         self.send_order(&known.target, replica, action, ctx);
     }
 
-    /// Orders a model into a faster storage tier of a worker.
+    /// Orders a worker to copy a model into a faster storage tier.
     fn order_warm(&mut self, model: ModelId, target: &TargetId, ctx: &mut Context) {
         let open = self.workers.get(target);
         let warming = Warming {
--- a/crates/control/src/planner_input.rs
+++ b/crates/control/src/planner_input.rs
@@ -195,7 +195,7 @@
     ctx: &Context,
 ) -> Option<Replica> {
     let replica = ctx.state.replicas().get(id)?;
-    // A replica on a silent worker serves no requests; its memory stays reserved all the same.
+    // A replica on a silent worker serves no requests; its memory nevertheless stays reserved.
     ctx.state
         .fleet()
         .get(&replica.target)
--- a/crates/control/src/replica_orders.rs
+++ b/crates/control/src/replica_orders.rs
@@ -9,8 +9,8 @@
 use crate::mutation::{self, Mutation};
 use crate::replicas::{QUIET_HEARTBEATS, Replica};
 
-/// The minimum interval between counted heartbeats, so that each stands for running time of the
-/// worker: it also sends one at each change of its inventory.
+/// The minimum interval between counted heartbeats, so that each one represents running time of the
+/// worker: a worker also sends a heartbeat at each change of its inventory.
 const MIN_HEARTBEAT_SPACING: Time = Time::from_millis(800);
 
 /// The delivery status of an order.
@@ -115,7 +115,7 @@
 
     /// Returns whether a heartbeat without the replica proves that it is gone and stays gone.
     ///
-    /// `fencing` says that the worker refuses orders with an old fencing number, so that a load
+    /// `fencing` means that the worker refuses orders with an old fencing number, so that a load
     /// order is sent again until it is answered.
     pub(crate) fn is_gone(&self, replica: &Replica, fencing: bool, sequence: u64) -> bool {
         if !replica.is_proven_absent(sequence) || mutation::is(Mutation::NoRelease) {
--- a/crates/control/src/replicas.rs
+++ b/crates/control/src/replicas.rs
@@ -69,7 +69,7 @@
     Model,
     /// The model's group is unmanaged.
     Unmanaged,
-    /// Less memory was requested than the model takes.
+    /// Less memory was requested than the model needs.
     Bytes,
     /// The worker does not have enough free memory.
     Memory,
@@ -90,7 +90,7 @@
 pub enum Answer {
     /// The replica was decided.
     Decided(Replica),
-    /// The replica changed as asked, or already had that state.
+    /// The replica changed as requested, or already had that state.
     Done,
     /// The reservation ended.
     Released(Replica),
@@ -293,7 +293,7 @@
         Answer::Decided(replica)
     }
 
-    /// Records that a worker showed a replica ready.
+    /// Records that a heartbeat showed a replica ready.
     pub(crate) fn ready(&mut self, id: ReplicaId, sequence: u64, now: Time) -> Answer {
         let Some(replica) = self.standing.get_mut(&id) else {
             return Answer::Refused(Refusal::Replica);
@@ -328,13 +328,13 @@
         let Some(replica) = self.standing.get(&id) else {
             return Answer::Refused(Refusal::Replica);
         };
-        let alive = fleet.get_incarnation(&replica.target, replica.incarnation);
-        let shown = match evidence {
+        let registered = fleet.get_incarnation(&replica.target, replica.incarnation);
+        let proven = match evidence {
             Evidence::Inventory { sequence } => replica.is_proven_absent(sequence),
-            Evidence::Ended => alive.is_none(),
+            Evidence::Ended => registered.is_none(),
             Evidence::Refused => replica.ready.is_none() && !replica.adopted,
         };
-        if !shown {
+        if !proven {
             return Answer::Refused(Refusal::Evidence);
         }
         let Some(replica) = self.remove(id) else {
--- a/crates/control/src/rules.rs
+++ b/crates/control/src/rules.rs
@@ -9,7 +9,7 @@
 use crate::replicas::{Decide, Refusal, Replica, Replicas};
 
 impl Replicas {
-    /// Checks a decision against every rule; returns the first one that it breaks.
+    /// Checks a decision against every rule; returns the first one that it violates.
     pub(crate) fn check(
         &self,
         decide: &Decide,
--- a/crates/control/src/term_state.rs
+++ b/crates/control/src/term_state.rs
@@ -69,13 +69,13 @@
     pub(crate) pending_heartbeats: BTreeMap<TargetId, Heartbeat>,
     /// When the planner last ran.
     pub(crate) last_plan: Option<Time>,
-    /// Whether a change calls for a plan before the regular interval ends.
+    /// Whether a change requires a planner run before the regular interval ends.
     pub(crate) plan_requested: bool,
 }
 
 impl TermState {
-    /// Creates the state at the start of a term: no target has been heard yet, and any decided
-    /// replica may already have been ordered.
+    /// Creates the state at the start of a term: no target has sent a heartbeat in this term
+    /// yet, and the load of any decided replica may already have been ordered.
     pub(crate) fn new(term: Term, ctx: &Context) -> Self {
         let mut term_state = Self {
             term,
@@ -106,8 +106,8 @@
                 worker.restore_held(&known.held);
             }
             if announcement.takes_numbered_orders() {
-                let shown = |copy: &Holding| (copy.adapters.clone(), view::State::Ready);
-                worker.observe(&target, shown, None, ctx.now);
+                let copy_status = |copy: &Holding| (copy.adapters.clone(), view::State::Ready);
+                worker.observe(&target, copy_status, None, ctx.now);
                 term_state
                     .hosting
                     .register(&target, announcement.incarnation, false);
@@ -200,19 +200,19 @@
         if self.feed.is_published() {
             let view = self.feed.flush(&view_builder, ctx.timing.publish_interval);
             ctx.out.extend(view);
-        } else if self.is_fleet_heard(ctx) {
+        } else if self.all_targets_reported(ctx) {
             ctx.out.push(self.feed.publish_full(&view_builder));
         }
     }
 
-    /// Returns whether every target was heard in this term, or the time to wait for them has
-    /// passed.
-    pub(crate) fn is_fleet_heard(&self, ctx: &Context) -> bool {
+    /// Returns whether every target has sent a heartbeat in this term, or the time to wait for the
+    /// heartbeats has passed.
+    pub(crate) fn all_targets_reported(&self, ctx: &Context) -> bool {
         ctx.now >= self.since + ctx.timing.initial_heartbeat_wait
             || self.workers.values().all(|it| it.last_heartbeat.is_some())
     }
 
-    /// Handles the reply of an applied command.
+    /// Handles the reply to an applied command.
     fn on_applied(&mut self, command: Command, reply: Reply, ctx: &mut Context) {
         self.pending.applied(&command);
         match (command, reply) {
@@ -343,7 +343,7 @@
         self.feed.mark_replica(id, true);
     }
 
-    /// Handles the reply of a command about a replica.
+    /// Handles the reply to a command about a replica.
     fn on_replica_reply(&mut self, command: &Command, answer: Answer, ctx: &mut Context) {
         match (command, answer) {
             (Command::Decide(_), Answer::Decided(replica)) => self.on_decided(&replica, ctx),
@@ -383,7 +383,7 @@
         if ctx.state.replicas().get(replica.id).is_none() {
             return;
         }
-        let from = self.nearest(replica);
+        let from = self.fastest_tier(replica);
         let mut orders = ReplicaOrders::new(from, ctx.now);
         // An entry proposed by an earlier leader may be committed early in this term, and that
         // leader may have ordered the load; only a replica decided in this term is certain not to
@@ -413,7 +413,7 @@
         }
     }
 
-    /// Handles the passage of time: timeouts, expiry and planning.
+    /// Runs everything that depends on time: timeouts, expiry and planning.
     fn on_tick(&mut self, planner: &mut dyn Planner, ctx: &mut Context) {
         self.pending.expire(ctx);
         self.check_silence(ctx);
@@ -433,7 +433,8 @@
         self.plan_hosted(ctx);
     }
 
-    /// Publishes entry hosts whose leases ran out, and ends the claims of incarnations that ended.
+    /// Publishes entry hosts whose leases have expired, and ends the claims of incarnations that
+    /// ended.
     fn end_expired_hosts(&mut self, ctx: &mut Context) {
         for id in self.leases.expired(ctx.now) {
             self.feed.mark_host(id);
@@ -457,14 +458,14 @@
 
     /// Publishes fingerprints whose strikes have expired.
     fn publish_expired_strikes(&mut self, ctx: &Context) {
-        let over = |until: &Time| *until <= ctx.now;
-        let ended: Vec<u64> = self
+        let has_expired = |until: &Time| *until <= ctx.now;
+        let expired: Vec<u64> = self
             .quarantine
             .iter()
-            .filter(|(_, until)| over(until))
+            .filter(|(_, until)| has_expired(until))
             .map(|(fingerprint, _)| *fingerprint)
             .collect();
-        for fingerprint in ended {
+        for fingerprint in expired {
             self.quarantine.remove(&fingerprint);
             let count = ctx.state.strikes().count(fingerprint);
             let change = self.view_builder(ctx.state, ctx.now).strike(count);
--- a/crates/control/src/timing.rs
+++ b/crates/control/src/timing.rs
@@ -5,7 +5,7 @@
 /// The timeouts and intervals of the leader; every control host should use the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// The minimum interval between two plans, however much demand changes.
+    /// The minimum interval between two plans, regardless of changes in demand.
     pub min_plan_interval: Duration,
     /// The maximum interval between two plans.
     pub max_plan_interval: Duration,
@@ -36,7 +36,7 @@
     /// unload of a copy that belongs to no decided replica, may still arrive; this adds to the
     /// heartbeats that the rules count.
     pub quiet_period: Duration,
-    /// The time after the retirement of a replica by which every entry host has heard of it.
+    /// The time after the retirement of a replica by which every entry host has received it.
     pub retire_settle: Duration,
     /// The maximum time from the retirement of a replica to its unload.
     pub drain_timeout: Duration,
--- a/crates/control/src/view_builder.rs
+++ b/crates/control/src/view_builder.rs
@@ -19,7 +19,7 @@
 pub(crate) struct ViewBuilder<'a> {
     /// The replicated state.
     pub(crate) state: &'a State,
-    /// What was heard from targets.
+    /// The soft state of targets.
     pub(crate) workers: &'a Workers,
     /// The order state of replicas.
     pub(crate) replica_orders: &'a OrdersByReplica,
@@ -109,8 +109,8 @@
 
     /// Returns the change that publishes a strike count; expired strikes count 0.
     pub(crate) fn strike(&self, count: Count) -> Change {
-        let over = count.forgotten <= self.now;
-        Change::StrikeCount(count.fingerprint, if over { 0 } else { count.lost })
+        let expired = count.forgotten <= self.now;
+        Change::StrikeCount(count.fingerprint, if expired { 0 } else { count.lost })
     }
 
     /// Returns the full view.
--- a/crates/control/src/workers.rs
+++ b/crates/control/src/workers.rs
@@ -1,4 +1,4 @@
-//! What the leader has heard from targets.
+//! The leader's soft state of targets, as reported in their heartbeats.
 
 use std::collections::BTreeMap;
 
@@ -29,9 +29,9 @@
     pub(crate) model: Reference,
     /// The replica that the worker names, which no longer holds a reservation.
     pub(crate) replica: Option<ReplicaId>,
-    /// The memory it takes, in bytes.
+    /// The memory that it occupies, in bytes.
     pub(crate) bytes: u64,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub(crate) ready: bool,
     /// When it was first seen.
     pub(crate) since: Time,
@@ -66,9 +66,9 @@
 pub(crate) enum LeaveState {
     /// It is not leaving.
     Staying,
-    /// Its newest heartbeat says that it is leaving.
+    /// Its newest heartbeat reports that it is leaving.
     ByHeartbeat,
-    /// It said so outside its heartbeats; that lasts for its incarnation.
+    /// It announced this outside its heartbeats; the state lasts for the rest of its incarnation.
     Final,
 }
 
@@ -82,13 +82,13 @@
     }
 }
 
-/// What the leader has heard from one incarnation of a target.
+/// The soft state of one incarnation of a target.
 #[derive(Debug, Clone)]
 pub(crate) struct Worker {
     /// The incarnation.
     pub(crate) incarnation: Incarnation,
-    /// When it was last heard, or when the leader began to listen.
-    pub(crate) last_heard: Time,
+    /// When its last heartbeat arrived; before the first, when the leader began to track it.
+    pub(crate) last_contact: Time,
     /// Its newest heartbeat in this term.
     pub(crate) last_heartbeat: Option<LastHeartbeat>,
     /// Whether it is suspected to have failed.
@@ -110,11 +110,11 @@
 }
 
 impl Worker {
-    /// Creates the state of a target that has not been heard in this term.
+    /// Creates the state of a target that has sent no heartbeat in this term.
     pub(crate) fn new(incarnation: Incarnation, now: Time) -> Self {
         Self {
             incarnation,
-            last_heard: now,
+            last_contact: now,
             last_heartbeat: None,
             suspected: false,
             leave_state: LeaveState::Staying,
@@ -190,7 +190,7 @@
         self.has_orphan_of(model) || backoff.any(|it| &*it.model == model && now < it.until)
     }
 
-    /// Keeps a model from being loaded here until a time.
+    /// Blocks loads of a model here until a time.
     pub(crate) fn back_off(&mut self, model: &ModelId, until: Time, now: Time) {
         self.backoff
             .retain(|it| now < it.until && it.model != *model);
@@ -202,7 +202,7 @@
 
     /// Handles a heartbeat.
     pub(crate) fn on_heartbeat(&mut self, heartbeat: Heartbeat, now: Time, report_distrust: Time) {
-        self.last_heard = now;
+        self.last_contact = now;
         self.suspected = false;
         if self.leave_state != LeaveState::Final {
             self.leave_state = LeaveState::from(heartbeat.leaving);
@@ -246,15 +246,15 @@
         changed
     }
 
-    /// Takes every ready copy as observed, on a worker whose replicas are not decided in the log.
-    /// `shown` returns the adapters of a copy and whether it takes requests. A load in progress is
-    /// shown as loading.
+    /// Records every ready copy as an observed replica, on a worker whose replicas are not decided
+    /// in the log. `copy_status` returns the adapters of a copy and whether it accepts requests. A
+    /// load in progress is recorded as loading.
     ///
     /// Returns whether the observed replicas changed.
     pub(crate) fn observe(
         &mut self,
         target: &TargetId,
-        shown: impl Fn(&Holding) -> (Vec<Name>, view::State),
+        copy_status: impl Fn(&Holding) -> (Vec<Name>, view::State),
         pending_load: Option<PendingLoad>,
         now: Time,
     ) -> bool {
@@ -267,7 +267,7 @@
             .filter(|it| it.stage == Stage::Ready);
         let mut observed: Vec<_> = ready
             .map(|copy| {
-                let (adapters, state) = shown(copy);
+                let (adapters, state) = copy_status(copy);
                 view::Replica {
                     adapters,
                     state,
@@ -307,7 +307,7 @@
             })
     }
 
-    /// Returns an orphan, with what is known of it from earlier heartbeats.
+    /// Returns an orphan, keeping the times and order state recorded at earlier heartbeats.
     fn orphan(&self, copy: &Holding, sequence: u64, now: Time) -> Orphan {
         let same = |it: &&Orphan| it.model == copy.model && it.replica == copy.replica;
         let old = self.orphans.iter().find(same);
