--- a/crates/quorum/src/action.rs
+++ b/crates/quorum/src/action.rs
@@ -1,4 +1,4 @@
-//! Actions that a [`Core`](crate::core::Core) asks its owner to execute.
+//! Actions that a [`Core`](crate::core::Core) returns for its owner to execute.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
--- a/crates/quorum/src/config.rs
+++ b/crates/quorum/src/config.rs
@@ -29,8 +29,9 @@
     /// Whether this member bootstraps the group if its storage is empty and no peer belongs to a
     /// group.
     pub may_bootstrap: bool,
-    /// Election timeout: a member campaigns after hearing no leader for a random time between this
-    /// value and twice it. No member grants a vote within this time of hearing from a leader.
+    /// Election timeout: a member campaigns after receiving nothing from a leader for a random time
+    /// between this value and twice it. No member grants a vote within this time of hearing from a
+    /// leader.
     pub election_timeout: Duration,
     /// Interval between heartbeats to each member.
     pub heartbeat_interval: Duration,
@@ -116,7 +117,7 @@
     CommitAlone,
     /// Holds a lease for longer than voters withhold their votes.
     LongLease,
-    /// Grants votes right after a restart, although it may have heard from a leader just before.
+    /// Grants votes right after a restart, although it may have acknowledged a leader just before.
     ForgetPromise,
     /// Completes barriers from local state without checking leadership.
     StaleBarrier,
--- a/crates/quorum/src/core.rs
+++ b/crates/quorum/src/core.rs
@@ -84,8 +84,8 @@
     incoming_snapshot: Option<IncomingSnapshot>,
     /// Index of the last entry or snapshot handed to the owner.
     owner_index: Index,
-    /// Last applied index at the time the owner was asked for a snapshot; `None` if no request is
-    /// pending.
+    /// Last applied index at the time a snapshot was requested from the owner; `None` if no request
+    /// is pending.
     snapshot_requested_at: Option<Index>,
     reported_role: Option<(Role, Term, Option<MemberId>)>,
     dropped: u64,
@@ -313,8 +313,8 @@
     fn unresponsive_for(&self) -> BTreeMap<MemberId, Time> {
         let members = self.progress.iter();
         let unresponsive_for = members.map(|(id, progress)| {
-            let heard = progress.stamp.unwrap_or(self.leader_since);
-            (*id, self.now.saturating_sub(heard))
+            let last_answered = progress.stamp.unwrap_or(self.leader_since);
+            (*id, self.now.saturating_sub(last_answered))
         });
         unresponsive_for.collect()
     }
--- a/crates/quorum/src/core/barrier.rs
+++ b/crates/quorum/src/core/barrier.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Whether this leader may serve reads under its lease without asking a quorum.
+    /// Whether this leader may serve reads under its lease without confirmation by a quorum.
     fn reads_by_lease(&self) -> bool {
         self.config.lease_reads && self.lease(self.now).is_some()
     }
@@ -41,9 +41,9 @@
     /// Completes the barriers whose conditions are met.
     pub(super) fn complete_barriers(&mut self) {
         let leased = self.reads_by_lease();
-        let heard = self.quorum_stamp(Time::MAX).unwrap_or_default();
+        let quorum_stamp = self.quorum_stamp(Time::MAX).unwrap_or_default();
         while let Some(barrier) = self.barriers.front() {
-            let confirmed = leased || heard > barrier.stamp;
+            let confirmed = leased || quorum_stamp > barrier.stamp;
             if !confirmed || self.applied < barrier.index {
                 return;
             }
--- a/crates/quorum/src/core/change.rs
+++ b/crates/quorum/src/core/change.rs
@@ -170,8 +170,8 @@
 
     fn is_responsive(&self, id: MemberId) -> bool {
         let stamp = self.progress.get(&id).and_then(|progress| progress.stamp);
-        let heard = stamp.is_some_and(|at| at + self.config.election_timeout > self.now);
-        heard || id == self.me().id
+        let recent = stamp.is_some_and(|at| at + self.config.election_timeout > self.now);
+        recent || id == self.me().id
     }
 
     /// Promotes a learner to voter once it has synced every committed entry.
--- a/crates/quorum/src/core/election.rs
+++ b/crates/quorum/src/core/election.rs
@@ -25,7 +25,8 @@
     }
 
     /// Schedules the next attempt in a quarter to three quarters of an election timeout: after a
-    /// split vote no voter withholds its vote for a leader any more, so the retry may come sooner.
+    /// split vote no voter withholds its vote for a leader any more, so the retry may be scheduled
+    /// sooner.
     fn retry_election(&mut self) {
         let jitter = self.rng.random_range(0.25..0.75);
         self.election_at = self.now + self.config.election_timeout.mul_f64(jitter);
@@ -92,8 +93,8 @@
         self.count_votes();
     }
 
-    /// Sends a join request to all known members and peers, since this member hears from no leader:
-    /// it may have been removed while it was offline and must then be admitted again.
+    /// Sends a join request to all known members and peers, since this member receives nothing from
+    /// a leader: it may have been removed while it was offline and must then be admitted again.
     fn send_join_requests(&mut self) {
         let me = self.me().id;
         let known = self.membership().keys().copied();
@@ -104,8 +105,8 @@
     }
 
     /// Whether this member may campaign: it is a voter, or its removal is in its log but not known
-    /// to be committed. In the latter case the others may need it until then, but its own vote does
-    /// not count (Ongaro's thesis §4.2.2).
+    /// to be committed. In the latter case the other members may need it as leader until then, but
+    /// its own vote does not count (Ongaro's thesis §4.2.2).
     fn may_campaign(&self) -> bool {
         let latest = self.memberships.latest_index();
         let before = self.memberships.at(latest.saturating_sub(1));
--- a/crates/quorum/src/core/replicate.rs
+++ b/crates/quorum/src/core/replicate.rs
@@ -257,8 +257,8 @@
 
     /// The time at which the leader steps down unless a quorum responds before.
     pub(super) fn quorum_deadline(&self) -> Time {
-        let heard = self.quorum_stamp(self.now).unwrap_or_default();
-        heard.max(self.leader_since) + self.config.election_timeout
+        let quorum_stamp = self.quorum_stamp(self.now).unwrap_or_default();
+        quorum_stamp.max(self.leader_since) + self.config.election_timeout
     }
 
     /// Steps down if no quorum has responded within an election timeout.
--- a/crates/quorum/src/core/transfer.rs
+++ b/crates/quorum/src/core/transfer.rs
@@ -59,9 +59,9 @@
         }
     }
 
-    /// Compacts the log with the owner's snapshot, unless a later one came from a leader meanwhile.
-    /// Entries without a payload for the owner do not change its state, so the snapshot covers them
-    /// as well.
+    /// Compacts the log with the owner's snapshot, unless a later one was received from a leader in
+    /// the meantime. Entries without a payload for the owner do not change its state, so the
+    /// snapshot covers them as well.
     pub(super) fn on_owner_snapshot(&mut self, index: Index, data: Bytes) {
         let mut index = if index == self.owner_index {
             self.applied
@@ -234,8 +234,8 @@
         self.actions.push(Action::Restore(snapshot));
     }
 
-    /// Rejects proposals up to `index` whose outcome this member will not learn, because a snapshot
-    /// covers them or the member was removed.
+    /// Rejects proposals up to `index` whose outcome this member cannot determine, because a
+    /// snapshot covers them or the member was removed.
     pub(super) fn fail_unresolved_proposals(&mut self, index: Index) {
         let later = self.proposals.split_off(&(index + 1));
         for (_, (_, id)) in std::mem::replace(&mut self.proposals, later) {
--- a/crates/quorum/src/disk.rs
+++ b/crates/quorum/src/disk.rs
@@ -61,8 +61,8 @@
     pub group: GroupId,
     /// The member.
     pub member: MemberId,
-    /// The incarnation assigned to an empty directory. It must be a number that this member never
-    /// had, such as the time in nanoseconds.
+    /// The incarnation assigned to an empty directory. It must be a number that this member has
+    /// never used, such as the time in nanoseconds.
     pub incarnation: Incarnation,
 }
 
--- a/crates/quorum/src/event.rs
+++ b/crates/quorum/src/event.rs
@@ -77,7 +77,7 @@
     Replace {
         /// The member to remove.
         old: MemberId,
-        /// The voter that takes its place.
+        /// The voter that replaces it.
         new: Peer,
     },
 }
--- a/crates/quorum/src/membership_policy.rs
+++ b/crates/quorum/src/membership_policy.rs
@@ -1,4 +1,4 @@
-//! Automatic membership changes for groups whose hosts come and go without an operator.
+//! Automatic membership changes for groups whose hosts join and leave without an operator.
 //!
 //! The policy keeps the number of voters constant. A host that asks to join becomes a learner first
 //! and then replaces a voter that has not responded for a while. A voter that returns with wiped
