--- a/crates/control/examples/scale.rs
+++ b/crates/control/examples/scale.rs
@@ -31,7 +31,7 @@
 
 const GIB: u64 = 1 << 30;
 
-/// A planner that decides nothing, so that only the leader is measured.
+/// A planner that makes no decisions, so that only the leader is measured.
 struct Idle;
 
 impl Planner for Idle {
--- a/crates/control/tests/claim_calls.rs
+++ b/crates/control/tests/claim_calls.rs
@@ -9,7 +9,7 @@
 enum Step {
     /// A claim with a call number and a digest, by a host.
     Claim(u64, u8, u64),
-    /// Host 1 gives back the claim with this call number.
+    /// Host 1 abandons the claim with this call number.
     Abandon(u64),
     /// Host 1 records an unknown outcome for this call number.
     Finish(u64),
--- a/crates/control/tests/common/fake.rs
+++ b/crates/control/tests/common/fake.rs
@@ -37,7 +37,7 @@
     pub held: Vec<Held>,
     /// Replica ids whose load was accepted in this incarnation.
     pub accepted_loads: Vec<ReplicaId>,
-    /// Describes an unload that removed another replica's copy.
+    /// Description of an unload that removed another replica's copy, if one did.
     pub wrong_unload: Option<String>,
 }
 
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -135,7 +135,8 @@
     Holder { host, incarnation }
 }
 
-/// A planner that wants replicas where requests wait, and none where no request waits or runs.
+/// A planner that places replicas for models with waiting requests, and retires those of models
+/// without waiting or running requests.
 #[derive(Debug, Default)]
 pub struct DemandPlanner;
 
@@ -146,12 +147,12 @@
             let Some(model) = fleet_state.settings.model(&demand.model) else {
                 continue;
             };
-            let standing = fleet_state
+            let existing = fleet_state
                 .replicas
                 .iter()
                 .filter(|it| it.model == model.name);
             let wanted = demand.waiting.div_ceil(4) as usize;
-            if standing.count() >= wanted || !fleet_state.settings.managed(model) {
+            if existing.count() >= wanted || !fleet_state.settings.managed(model) {
                 continue;
             }
             let fits = |it: &&Worker| {
@@ -236,7 +237,7 @@
         self.elect();
     }
 
-    /// Commits a command without telling the leader.
+    /// Commits a command without notifying the leader.
     pub fn apply(&mut self, command: &Command) -> Reply {
         let entry = Entry {
             index: self.log.len() as u64 + 1,
@@ -248,7 +249,7 @@
         self.state.apply(&entry, command)
     }
 
-    /// Commits a command and tells the leader.
+    /// Commits a command and notifies the leader.
     pub fn commit(&mut self, command: &Command) -> Reply {
         let reply = self.apply(command);
         self.handle(Input::Applied {
@@ -258,7 +259,7 @@
         reply
     }
 
-    /// Passes an input to the leader and commits what it proposes.
+    /// Passes an input to the leader and commits its proposals.
     pub fn handle(&mut self, input: Input) {
         let outputs = self.leader.handle(input, &self.state, self.now);
         let mut proposals = VecDeque::new();
@@ -291,7 +292,7 @@
         }))
     }
 
-    /// Takes the orders sent so far.
+    /// Removes and returns the orders sent so far.
     pub fn orders(&mut self) -> Vec<Order> {
         let orders = |it: &Output| match it {
             Output::Order(order) => Some(order.clone()),
@@ -302,7 +303,7 @@
         found
     }
 
-    /// Takes the changes published so far.
+    /// Removes and returns the changes published so far.
     pub fn changes(&mut self) -> Vec<Change> {
         let changes = |it: &Output| match it {
             Output::Publish { view, .. } => Some(view.changes.clone()),
--- a/crates/control/tests/common/simulation.rs
+++ b/crates/control/tests/common/simulation.rs
@@ -25,14 +25,14 @@
 /// A delayed heartbeat is lost after this many seconds.
 const MAX_HEARTBEAT_DELAY_S: u64 = 3;
 
-/// What happens to an order in flight.
+/// The fate of an order in flight.
 #[derive(Debug, Clone, Copy)]
 pub enum Delivery {
     Answered,
     AnswerLost,
     Lost,
     Unsent,
-    /// The sender gives up; the order arrives later or never.
+    /// The sender times out; the order arrives later or never.
     Hangs,
 }
 
@@ -127,7 +127,7 @@
     reports: u64,
     seconds: u64,
     decided: BTreeSet<ReplicaId>,
-    /// Load orders that were sent; shows that schedules have an effect.
+    /// Number of load orders sent, to verify that schedules have an effect.
     pub loads: usize,
     /// Replicas that were released.
     pub releases: usize,
@@ -290,7 +290,8 @@
         Ok(())
     }
 
-    /// Checks that no replica is left after [`Simulation::check_recovery`]; the planner must keep nothing idle.
+    /// Checks that no replica is left after [`Simulation::check_recovery`]; requires a planner that
+    /// keeps no idle replicas.
     pub fn check_empty(&self) -> Result<(), String> {
         match self.state.replicas().iter().next() {
             Some(replica) => Err(format!(
@@ -346,7 +347,7 @@
         }
         let mut workers = self.workers.iter();
         let worker = workers.position(|it| it.announcement.target == order.target);
-        let worker = worker.expect("a known worker");
+        let worker = worker.expect("the order must name a simulated worker");
         // An order for an ended incarnation finds no connection.
         if order.incarnation == self.workers[worker].announcement.incarnation {
             self.in_flight.push(InFlight {
--- a/crates/control/tests/faults.rs
+++ b/crates/control/tests/faults.rs
@@ -18,7 +18,7 @@
     Checking = 0b1110,
     /// A worker that reports replica ids only.
     Ids = 0b1101,
-    /// A worker that knows model names only.
+    /// A worker that identifies copies by model name only.
     Names = 0b1011,
 }
 
@@ -35,7 +35,7 @@
     Restart(usize),
     Fail(usize),
     Pause(usize),
-    /// The worker is silent, and the one that knows names only sends heartbeats.
+    /// The worker is silent, and only the one that identifies copies by name sends heartbeats.
     Elsewhere(usize),
     Stall(bool),
     Late,
@@ -167,13 +167,13 @@
 /// How a target stops.
 #[derive(Debug, Clone, Copy)]
 enum Stop {
-    /// It announces that it leaves.
+    /// It announces that it is leaving.
     Leaving,
-    /// It falls silent.
+    /// It stops sending heartbeats.
     Silent,
     /// An entry host loses its connections to it.
     ConnectionLost,
-    /// It falls silent just before a new leader is elected.
+    /// It stops sending heartbeats just before a new leader is elected.
     SilentAfterElection,
 }
 
--- a/crates/control/tests/hosting/main.rs
+++ b/crates/control/tests/hosting/main.rs
@@ -92,8 +92,8 @@
     assert_eq!(load.after, Some(1));
 }
 
-/// A second order sent during the first ended in the platform's LIMIT (run `quiet-1`, seed
-/// 34090963420).
+/// An order sent while an earlier one was in progress exceeded the platform's LIMIT (run `quiet-1`,
+/// seed 34090963420).
 #[test]
 fn no_second_order_is_sent_while_one_is_in_progress() {
     let (mut bench, _) = bench();
@@ -131,7 +131,7 @@
     assert_eq!(bench.orders()[0].after, Some(1));
 }
 
-/// The late outcome of an abandoned order was taken for that of the next one, which had been sent
+/// The late outcome of an abandoned order was attributed to the next one, which had been sent
 /// for the same number of accepted orders (schedule 1362947815341335608).
 #[test]
 fn late_outcome_does_not_settle_another_order_with_the_same_count() {
@@ -238,8 +238,7 @@
     assert!(bench.state.fleet().get("x1").is_some());
 }
 
-/// A delayed heartbeat may arrive after the worker's notice that it leaves, which reached the
-/// leader first.
+/// A delayed heartbeat may reach the leader after the worker's notice that it is leaving.
 #[test]
 fn incarnation_that_left_unregistered_is_never_registered() {
     let (mut bench, _) = bench();
@@ -275,11 +274,11 @@
         .state
         .fleet()
         .get("w1")
-        .expect("the older incarnation");
+        .expect("the older incarnation must stay registered");
     assert!(known.leaving);
 }
 
-/// A second worker that holds nothing, with one model on its disk.
+/// A second worker with one model on its disk and none in memory.
 fn second(disk: &str) -> SimulatedWorker {
     SimulatedWorker::new("w2", 1_000, &[&id(disk)])
 }
@@ -294,7 +293,7 @@
     loads.collect()
 }
 
-/// Answers an inspection with what the worker has accepted.
+/// Reports the worker's state to the leader as the result of an inspection.
 fn answer_inspection(bench: &mut Bench, worker: &SimulatedWorker) {
     bench.handle(Input::Inspected {
         target: worker.name.clone(),
@@ -303,25 +302,25 @@
     });
 }
 
-/// Each new leader loaded from the weight store what workers that it had not heard yet had on their
-/// disks (run `trouble-1`).
+/// Each new leader loaded from the weight store models that were already on the disks of workers
+/// from which it had received no heartbeat yet (run `trouble-1`).
 #[test]
 fn new_leader_loads_nothing_from_the_store_before_hearing_the_workers() {
     let (mut bench, mut worker) = bench();
     let mut other = second("a");
     bench.handle(Input::Presence(Box::new(other.presence(false))));
     bench.restart();
-    // Only the worker without the model on its disk has been heard, and it takes orders.
+    // Only the worker without the model on its disk has sent a heartbeat, and it accepts orders.
     bench.handle(Input::Presence(Box::new(other.presence(false))));
     answer_inspection(&mut bench, &other);
     bench.handle(demand(1, &[("g", 2, &[])]));
     step(&mut bench, Duration::from_millis(100));
-    // It may load what it has on disk, and nothing from the store.
+    // It may load models from its disk, but none from the weight store.
     let ordered = loads(&mut bench);
     let on_disk = |model: &String| *model == id("a");
     assert!(ordered.iter().all(on_disk), "{ordered:?}");
     bench.handle(Input::Presence(Box::new(worker.presence(false))));
-    // The order has not arrived, so this worker takes orders again.
+    // The order has not arrived, so this worker accepts orders again.
     answer_inspection(&mut bench, &other);
     bench.handle(demand(2, &[("g", 2, &[])]));
     step(&mut bench, Duration::from_millis(100));
@@ -336,7 +335,7 @@
     let makes_room = |it: &Order| &*it.target == "w1" && matches!(it.action, Action::Unload { .. });
     assert!(
         orders.iter().any(makes_room),
-        "w1 makes room first: {orders:?}"
+        "w1 must unload a model first: {orders:?}"
     );
 }
 
@@ -352,7 +351,7 @@
     bench.handle(Input::Presence(Box::new(worker.presence(false))));
     let mut ordered = Vec::new();
     for round in 1..100 {
-        // Orders to the other worker do not arrive, so it always takes another one.
+        // Orders to the other worker do not arrive, so it always accepts another one.
         answer_inspection(&mut bench, &other);
         bench.handle(demand(round, &[("g", 2, &[])]));
         step(&mut bench, Duration::from_millis(100));
@@ -415,7 +414,7 @@
         Change::Replica(replica) if replica.state == ReplicaState::Loading => Some(replica),
         _ => None,
     });
-    let loading = loading.expect("a load is shown");
+    let loading = loading.expect("the load in progress must be published");
     assert_eq!(loads(&mut bench), [loading.model.to_string()]);
     let left = Duration::from_millis(loading.ready_in_ms.into());
     assert!(left <= FROM_STORE && left > FROM_STORE / 2, "{left:?}");
@@ -434,7 +433,7 @@
 /// Seeds that failed before.
 #[test]
 fn schedules_that_failed_before_pass() {
-    // An outcome was taken for that of another order.
+    // An outcome was attributed to another order.
     const SEEDS: [u64; 1] = [1_362_947_815_341_335_608];
     for seed in SEEDS {
         assert_eq!(schedule(seed).err(), None, "seed {seed}");
@@ -458,7 +457,7 @@
 #[test]
 fn random_schedules_send_orders() {
     let orders_sent: u64 = (0..20)
-        .map(|seed| schedule(seed).expect("no worker goes down"))
+        .map(|seed| schedule(seed).expect("no worker may crash"))
         .sum();
     assert!(orders_sent > 200, "{orders_sent} orders");
 }
--- a/crates/control/tests/hosting/schedule.rs
+++ b/crates/control/tests/hosting/schedule.rs
@@ -126,7 +126,7 @@
         self.bench.handle(demand(self.reports, &rows));
     }
 
-    /// Sends what the leader outputs.
+    /// Sends the messages for the leader's outputs.
     fn send_output(&mut self, output: Output) {
         match output {
             Output::Order(order) => {
@@ -176,7 +176,7 @@
         let now = self.bench.now;
         let mut workers = self.workers.iter_mut();
         let worker = workers.find(|it| it.name == order.target);
-        let worker = worker.expect("a worker");
+        let worker = worker.expect("the order must name a simulated worker");
         let outcome = worker.handle_order(&order, now);
         if let Some(fault) = &worker.crashed {
             return Err(format!("{} at {now:?}: {fault}", worker.name));
--- a/crates/control/tests/hosting/worker.rs
+++ b/crates/control/tests/hosting/worker.rs
@@ -131,7 +131,7 @@
                     held.remove(&adapter);
                 }
             }
-            other => panic!("no order for such a worker: {other:?}"),
+            other => panic!("expected a load, unload or adapter order, got {other:?}"),
         }
         Outcome::Answered(Answer::Accepted)
     }
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -1,4 +1,4 @@
-//! What the leader publishes, adopts, drains and ends.
+//! Tests of the leader: publishing, adoption, draining and the end of incarnations.
 
 mod common;
 
@@ -21,7 +21,7 @@
     bench
 }
 
-/// Lets seconds pass, each with a heartbeat that shows copies and running requests.
+/// Advances the time by seconds, each with a heartbeat that reports copies and running requests.
 fn run_seconds(bench: &mut Bench, first: u64, seconds: u64, held: &[Holding], running: u32) {
     for sequence in first..first + seconds {
         let load = Load {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Returns the answer to a host that has the view of a term up to a sequence number.
+/// Returns the view sent to a host that resubscribes with a term and a sequence number.
 fn resync(bench: &mut Bench, term: u64, sequence: u64) -> View {
     bench.outputs.clear();
     let host = 1;
@@ -56,7 +56,7 @@
         } => Some(view),
         _ => None,
     });
-    view.expect("an answer")
+    view.expect("the leader must send a view")
 }
 
 #[test]
@@ -108,7 +108,7 @@
         .replicas()
         .of_model("script")
         .next()
-        .expect("a replica");
+        .expect("a replica must be decided");
     assert!(replica.adopted && replica.ready.is_some(), "{replica:?}");
     assert_eq!(bench.orders(), []);
 }
@@ -118,7 +118,7 @@
     let mut bench = bench();
     bench.handle(Input::Report(report(2, 1, &[("report", 1, 0)])));
     bench.advance(1);
-    let load = bench.orders().pop().expect("a load");
+    let load = bench.orders().pop().expect("a load must be ordered");
     let held = [model_copy("report", Some(load.replica), Stage::Ready, 40)];
     run_seconds(&mut bench, 4, 3, &held, 2);
     bench.commit(&Command::Retire {
@@ -127,7 +127,7 @@
     run_seconds(&mut bench, 7, 60, &held, 2);
     assert_eq!(bench.orders(), [], "requests are in progress");
     run_seconds(&mut bench, 67, 3, &held, 0);
-    let unload = bench.orders().pop().expect("an unload");
+    let unload = bench.orders().pop().expect("an unload must be ordered");
     assert!(matches!(unload.action, Action::Unload { .. }), "{unload:?}");
     run_seconds(&mut bench, 70, 2, &[], 0);
     assert_eq!(bench.state.replicas().reserved("w1"), 0);
@@ -225,7 +225,7 @@
     }
 }
 
-/// A heartbeat sent before the worker announced that it leaves may reach a later leader.
+/// A heartbeat sent before the worker announced that it is leaving may reach a later leader.
 #[test]
 fn leaving_worker_is_not_loaded_by_a_later_leader() {
     for left in [false, true] {
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -117,7 +117,7 @@
     );
 }
 
-/// An unload of an earlier leader that arrives when the model could already have been loaded again.
+/// An unload ordered by an earlier leader, delivered after the model may have been loaded again.
 fn late_unload() -> Vec<Step> {
     let second = Step::Second {
         lost: 0,
