--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -324,12 +324,12 @@
 }
 
 impl Record {
-    /// Returns whether a holder claimed it under this call number.
+    /// Returns whether `holder` claimed the key under this call number.
     fn is_held(&self, holder: Holder, call: u64) -> bool {
         self.holder == holder && self.call == call
     }
 
-    /// Returns the answer to a resend; the holder's own repeat is granted again.
+    /// Returns the answer to a resend; a repeated proposal of the same call is granted again.
     fn answer(&self, claim: &Claim) -> ClaimResult {
         if self.digest != claim.digest {
             return ClaimResult::Mismatch;
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -70,7 +70,7 @@
         self.changed_hosts.insert(host);
     }
 
-    /// Adds a change as it is; an urgent change skips the regular interval.
+    /// Adds an already built change; an urgent change skips the regular interval.
     pub(crate) fn push(&mut self, change: Change, urgent: bool) {
         self.other_changes.push(change);
         self.urgent |= urgent;
--- a/crates/control/src/heartbeats.rs
+++ b/crates/control/src/heartbeats.rs
@@ -200,7 +200,7 @@
         self.send_due_order(replica.id, ctx);
     }
 
-    /// Records what a worker shows of a replica.
+    /// Handles a heartbeat that shows a replica: records its readiness and its adapters.
     fn on_replica_shown(
         &mut self,
         replica: &Replica,
--- a/crates/control/src/hosting.rs
+++ b/crates/control/src/hosting.rs
@@ -149,7 +149,7 @@
     }
 
     /// Returns whether the weight store's start rate allows another load.
-    fn store_open(&mut self, engine: &WorkerCapacity, now: Time) -> bool {
+    fn is_store_load_allowed(&mut self, engine: &WorkerCapacity, now: Time) -> bool {
         let interval = engine.start_interval;
         self.store_load_starts
             .retain(|start| now < *start + interval);
@@ -277,7 +277,8 @@
         }
     }
 
-    /// Sends the orders that are due, and inspects workers whose state is unknown.
+    /// Runs the placement policy, sends the resulting orders and inspects workers whose state is
+    /// unknown.
     pub(crate) fn plan_hosted(&mut self, ctx: &mut Context) {
         let Some(table) = ctx.state.current_table().table().cloned() else {
             return;
@@ -294,7 +295,7 @@
         }
     }
 
-    /// Sends the orders that are due to the workers of one service.
+    /// Runs the placement policy of one service and sends the resulting orders.
     fn plan_hosted_service(
         &mut self,
         table: &RouteTable,
@@ -334,7 +335,8 @@
             workers,
             demand,
             store_loads_in_flight: u32::try_from(store_loads_in_flight).unwrap_or(u32::MAX),
-            store_open: self.is_storage_known(ctx) && self.hosting.store_open(engine, ctx.now),
+            store_open: self.is_storage_known(ctx)
+                && self.hosting.is_store_load_allowed(engine, ctx.now),
         };
         let policy = self.hosting.policies.entry(service.clone()).or_default();
         let steps = policy.plan(&service_state);
--- a/crates/control/src/pending.rs
+++ b/crates/control/src/pending.rs
@@ -8,7 +8,7 @@
 use crate::context::Context;
 use crate::output::Output;
 
-/// The subject of a proposal; at most one proposal for each is in flight.
+/// The subject of a proposal; at most one proposal per subject is in flight.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum ProposalSubject {
     Register(TargetId),
@@ -41,7 +41,7 @@
     }
 }
 
-/// The proposals in flight, with the time of each.
+/// The proposals in flight, with the time at which each was sent.
 #[derive(Debug, Default)]
 pub(crate) struct Pending {
     proposals: BTreeMap<ProposalSubject, Time>,
@@ -53,8 +53,8 @@
         let Some(subject) = ProposalSubject::of(&command) else {
             return;
         };
-        let lapsed = |at: &Time| ctx.now >= *at + ctx.timing.proposal_timeout;
-        if self.proposals.get(&subject).is_none_or(lapsed) {
+        let timed_out = |at: &Time| ctx.now >= *at + ctx.timing.proposal_timeout;
+        if self.proposals.get(&subject).is_none_or(timed_out) {
             self.proposals.insert(subject, ctx.now);
             ctx.out.push(Output::Propose(command));
         }
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -17,8 +17,8 @@
 use crate::term_state::{Adapter, TermState, Warming};
 use crate::workers::Worker;
 
-/// Memory taken by the decisions of one plan, by worker, in bytes.
-type Taken = BTreeMap<TargetId, u64>;
+/// Memory needed by the decisions of one plan, by worker, in bytes.
+type PlannedMemory = BTreeMap<TargetId, u64>;
 
 impl TermState {
     /// Runs the planner, if it is due.
@@ -39,9 +39,9 @@
             ctx,
         );
         let decisions = planner.plan(fleet_state, ctx.now);
-        let mut taken = Taken::new();
+        let mut planned_memory = PlannedMemory::new();
         for decision in decisions {
-            self.apply_decision(decision, &mut taken, ctx);
+            self.apply_decision(decision, &mut planned_memory, ctx);
         }
     }
 
@@ -59,7 +59,12 @@
     }
 
     /// Carries out the planner's decisions by proposing commands or sending orders.
-    fn apply_decision(&mut self, decision: Decision, taken: &mut Taken, ctx: &mut Context) {
+    fn apply_decision(
+        &mut self,
+        decision: Decision,
+        planned_memory: &mut PlannedMemory,
+        ctx: &mut Context,
+    ) {
         match decision.action {
             Action::Load {
                 model,
@@ -76,7 +81,7 @@
                     bytes,
                     adopted: false,
                 };
-                self.propose_load(decide, taken, ctx);
+                self.propose_load(decide, planned_memory, ctx);
             }
             Action::Unload { replica } => {
                 let known = ctx.state.replicas().get(replica);
@@ -91,19 +96,24 @@
 
     /// Proposes a replica, if models may be loaded on the worker and it has free memory besides
     /// copies that belong to no decided replica.
-    fn propose_load(&mut self, decide: Decide, taken: &mut Taken, ctx: &mut Context) {
+    fn propose_load(
+        &mut self,
+        decide: Decide,
+        planned_memory: &mut PlannedMemory,
+        ctx: &mut Context,
+    ) {
         let Some(worker) = self.workers.get(&decide.target) else {
             return;
         };
         let Some(known) = ctx.state.fleet().get(&decide.target) else {
             return;
         };
-        let sum = taken.entry(decide.target.clone()).or_default();
+        let sum = planned_memory.entry(decide.target.clone()).or_default();
         let used = ctx.state.replicas().reserved(&decide.target);
         let used = used.saturating_add(worker.orphan_bytes());
         let used = used.saturating_add(*sum).saturating_add(decide.bytes);
-        let room = used <= known.announcement.memory;
-        if room && worker.is_loadable() && !worker.is_load_blocked(&decide.model, ctx.now) {
+        let fits = used <= known.announcement.memory;
+        if fits && worker.is_loadable() && !worker.is_load_blocked(&decide.model, ctx.now) {
             *sum = sum.saturating_add(decide.bytes);
             if mutation::is(Mutation::EarlyOrder) {
                 let model = Reference::base(decide.model.clone());
@@ -126,9 +136,9 @@
             replica,
             name: name.clone(),
         };
-        let open = self.workers.get(&known.target);
-        let open = open.is_some_and(Worker::is_loadable);
-        if !open || self.adapters.contains_key(&adapter) {
+        let loadable = self.workers.get(&known.target);
+        let loadable = loadable.is_some_and(Worker::is_loadable);
+        if !loadable || self.adapters.contains_key(&adapter) {
             return;
         }
         self.adapters.insert(adapter, ctx.now);
@@ -142,12 +152,12 @@
 
     /// Orders a worker to copy a model into a faster storage tier.
     fn order_warm(&mut self, model: ModelId, target: &TargetId, ctx: &mut Context) {
-        let open = self.workers.get(target);
+        let worker = self.workers.get(target);
         let warming = Warming {
             target: target.clone(),
             model: model.clone(),
         };
-        if open.is_some_and(Worker::is_loadable) && !self.warming.contains_key(&warming) {
+        if worker.is_some_and(Worker::is_loadable) && !self.warming.contains_key(&warming) {
             self.warming.insert(warming, ctx.now);
             let model = Reference::base(model);
             self.send_order(target, 0, order::Action::Warm { model }, ctx);
--- a/crates/quorum/src/core/persist.rs
+++ b/crates/quorum/src/core/persist.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Returns the token of the batch that covers everything staged so far; `None` if all is
-    /// synced.
+    /// Returns the token of the batch that covers every record staged so far; `None` if all records
+    /// are synced.
     fn token(&self) -> Option<BatchToken> {
         if !self.staged.is_empty() {
             return Some(self.next);
@@ -130,7 +130,8 @@
         self.writes.stage(Record::HardState(hard_state));
     }
 
-    /// Sends a message, to another member or to this one, once everything staged so far is synced.
+    /// Sends a message, to another member or to this one, once all records staged so far are
+    /// synced.
     pub(super) fn send_after_sync(&mut self, envelope: Envelope) {
         let token = self.writes.token().unwrap_or(0);
         if token == 0 || self.has_fault(Fault::AckBeforeSync) {
--- a/crates/quorum/src/core/replicate.rs
+++ b/crates/quorum/src/core/replicate.rs
@@ -176,11 +176,11 @@
         if term < self.hard_state.term || self.role != Role::Leader {
             return false;
         }
-        let any = self.has_fault(Fault::AnyIncarnation);
+        let any_incarnation = self.has_fault(Fault::AnyIncarnation);
         let Some(progress) = self.progress.get_mut(&from.id) else {
             return false;
         };
-        if progress.incarnation != from.incarnation && !any {
+        if progress.incarnation != from.incarnation && !any_incarnation {
             return false;
         }
         progress.stamp = progress.stamp.max(Some(stamp.min(self.stamp)));
@@ -255,7 +255,7 @@
         self.membership().quorum_value(stamp).flatten()
     }
 
-    /// The time at which the leader steps down unless a quorum responds before.
+    /// The time at which the leader steps down unless a quorum responds earlier.
     pub(super) fn quorum_deadline(&self) -> Time {
         let quorum_stamp = self.quorum_stamp(self.now).unwrap_or_default();
         quorum_stamp.max(self.leader_since) + self.config.election_timeout
