--- a/crates/control/src/demand.rs
+++ b/crates/control/src/demand.rs
@@ -43,7 +43,7 @@
     /// Arrivals since the start of this term.
     pub(crate) arrivals: u64,
     /// The time until the nearest deadline of a waiting request.
-    pub(crate) slack: Time,
+    pub(crate) time_to_deadline: Time,
     /// The largest weight of a waiting request.
     pub(crate) weight: u32,
     /// Adapters that waiting requests name.
@@ -54,7 +54,7 @@
     /// Returns the demand for a model without requests.
     fn none() -> Self {
         Self {
-            slack: Time::MAX,
+            time_to_deadline: Time::MAX,
             ..Self::default()
         }
     }
@@ -112,8 +112,8 @@
         grown
     }
 
-    /// Drops the requests that wait on hosts without a report since `waiting`, and those that run
-    /// on hosts without a report since `running`; their sequence numbers stay.
+    /// Drops the requests waiting on hosts without a report since `waiting`, and those in progress on
+    /// hosts without a report since `running`; the sequence numbers of the hosts are kept.
     ///
     /// A host out of contact continues the requests it has in progress, while those that wait there
     /// cannot be sent anywhere.
@@ -156,7 +156,7 @@
         for row in self.hosts.values().flat_map(|host| &host.rows) {
             let total = totals.entry(row.model.clone()).or_insert_with(Total::none);
             if row.waiting > 0 {
-                total.slack = total.slack.min(row.time_to_deadline);
+                total.time_to_deadline = total.time_to_deadline.min(row.time_to_deadline);
             }
             total.waiting = total.waiting.saturating_add(row.waiting);
             total.running = total.running.saturating_add(row.running);
@@ -203,7 +203,7 @@
         for row in &report.rows {
             let key = DemandKey::of(row);
             let seen = arrivals_reported.insert(key.clone(), row.arrivals);
-            // A host's first report to this leader counts only what waits, because the previous
+            // A host's first report to this leader counts only waiting requests, because the previous
             // leader may already have counted older arrivals.
             let base = seen.unwrap_or(row.arrivals.saturating_sub(u64::from(row.waiting)));
             let regional = RegionalKey {
@@ -245,7 +245,7 @@
 }
 
 impl DemandKey {
-    /// Returns the subject of a row.
+    /// Returns the key of a row.
     fn of(demand: &Demand) -> Self {
         Self {
             model: demand.model.clone(),
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Returns the lowest incarnation that could take over an address which a newer incarnation of
-    /// another target has.
+    /// Returns the lowest incarnation that could take over the announced address; `None` if no newer
+    /// incarnation of another target has it.
     fn min_incarnation_at(&self, announcement: &Announcement) -> Option<Incarnation> {
         let mut others = self.others_at(announcement);
         let newer = others.find(|other| other.incarnation > announcement.incarnation);
--- a/crates/control/src/hosting.rs
+++ b/crates/control/src/hosting.rs
@@ -316,7 +316,7 @@
                     running: total.running,
                     load: mean.load.value(),
                     rate: mean.rate.per_second(),
-                    time_to_deadline: total.slack,
+                    time_to_deadline: total.time_to_deadline,
                     weight: total.weight,
                     adapters: total.adapters,
                 },
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -18,12 +18,12 @@
     pub(crate) last_renewal: Time,
     /// Versions of the settings that it may act on, and until when.
     grants: BTreeMap<Version, Time>,
-    /// Whether the expiry of all of them was already reported.
-    expired: bool,
+    /// Whether the expiry of all grants was already reported.
+    expiry_reported: bool,
 }
 
 impl Lease {
-    /// Returns whether the host may take requests.
+    /// Returns whether the host may accept requests.
     pub(crate) fn is_valid(&self, now: Time) -> bool {
         self.grants.values().any(|until| now <= *until)
     }
@@ -39,8 +39,9 @@
 #[derive(Debug)]
 pub(crate) struct Leases {
     /// When the leases granted by earlier leaders have expired.
-    inherited: Time,
+    inherited_until: Time,
     hosts: BTreeMap<HostId, Lease>,
+    /// The newest version that was reported as in force.
     announced: Version,
 }
 
@@ -48,7 +49,7 @@
     /// Creates the leases at the start of a term.
     pub(crate) fn new(ctx: &Context) -> Self {
         Self {
-            inherited: ctx.now + ctx.timing.guarded_lease(),
+            inherited_until: ctx.now + ctx.timing.guarded_lease(),
             hosts: BTreeMap::new(),
             announced: 0,
         }
@@ -96,7 +97,7 @@
         });
         let lease = Lease {
             last_renewal: ctx.now,
-            expired: version == 0,
+            expiry_reported: version == 0,
             grants,
             host,
         };
@@ -104,12 +105,12 @@
         changed
     }
 
-    /// Returns the hosts whose leases have expired since the last call.
+    /// Returns the hosts whose leases have all expired since the last call.
     pub(crate) fn expired(&mut self, now: Time) -> Vec<HostId> {
         let mut expired = Vec::new();
         for (host, lease) in &mut self.hosts {
-            if !lease.expired && !lease.is_valid(now) {
-                lease.expired = true;
+            if !lease.expiry_reported && !lease.is_valid(now) {
+                lease.expiry_reported = true;
                 expired.push(*host);
             }
         }
@@ -120,7 +121,7 @@
     pub(crate) fn in_force(&self, version: Version, now: Time) -> bool {
         let early = mutation::is(Mutation::EarlyInForce);
         let current = |lease: &Lease| early || !lease.is_behind(version, now);
-        let inherited = now <= self.inherited && !mutation::is(Mutation::NoInheritedLeases);
+        let inherited = now <= self.inherited_until && !mutation::is(Mutation::NoInheritedLeases);
         !inherited && self.hosts.values().all(current)
     }
 
@@ -130,7 +131,7 @@
         let grants = self.hosts.values().flat_map(|lease| &lease.grants);
         let valid = grants.filter(|(_, until)| now <= **until);
         let oldest = valid.map(|(version, _)| *version).min();
-        (now > self.inherited).then_some(oldest.unwrap_or(Version::MAX))
+        (now > self.inherited_until).then_some(oldest.unwrap_or(Version::MAX))
     }
 
     /// Reports once that the settings are in force.
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -57,9 +57,9 @@
         let reserved = ctx.state.replicas().reserved(&replica.target);
         let memory = ctx.state.fleet().get(&replica.target);
         let memory = memory.map_or(0, |target| target.announcement.memory);
-        let room = reserved.saturating_add(worker.orphan_bytes()) <= memory;
-        let alone = !worker.has_orphan_of(&replica.model);
-        let usable = room && alone && worker.is_loadable();
+        let fits = reserved.saturating_add(worker.orphan_bytes()) <= memory;
+        let no_orphan = !worker.has_orphan_of(&replica.model);
+        let usable = fits && no_orphan && worker.is_loadable();
         let Some(orders) = self.replica_orders.get_mut(&replica.id) else {
             return;
         };
--- a/crates/control/src/replicas.rs
+++ b/crates/control/src/replicas.rs
@@ -348,7 +348,7 @@
         Answer::Released(replica)
     }
 
-    /// Drops quiet periods of the worker that are over, and starts one if an order may still
+    /// Drops the quiet periods of the worker that have ended, and starts one if an order may still
     /// arrive.
     fn update_quiet(&mut self, replica: &Replica, sequence: u64, unknown: bool) {
         self.quiet
@@ -382,7 +382,7 @@
         self.standing.insert(replica.id, replica);
     }
 
-    /// Removes a replica and frees its memory.
+    /// Removes a replica and its memory reservation.
     fn remove(&mut self, id: ReplicaId) -> Option<Replica> {
         let replica = self.standing.remove(&id)?;
         if let Some(reservations) = self.targets.get_mut(&replica.target) {
