--- a/crates/cornelhitch/src/daemon.rs
+++ b/crates/cornelhitch/src/daemon.rs
@@ -17,11 +17,11 @@
 /// Usage text at the top of `--help`.
 const USAGE: &str = "Usage: cornelhitchd --settings FILE [options]
 
-Runs one host of cornelhitch. SIGTERM and SIGINT shut it down gracefully: it leaves
-the answers to callers, ends what is in progress, and exits.
+Runs one host of cornelhitch. SIGTERM and SIGINT shut it down gracefully: it is no
+longer listed for callers, completes what is in progress, and exits.
 
-Exit status: 0 after a graceful shutdown, 2 when the arguments or the settings are
-faulty, 3 when an address or the data folder cannot be had, 1 for anything else.";
+Exit status: 0 after a graceful shutdown, 2 if the arguments or the settings are
+invalid, 3 if an address or the data folder is not available, 1 for any other error.";
 
 /// Interval at which the settings file is checked for changes.
 const RELOAD_INTERVAL: std::time::Duration = std::time::Duration::from_secs(2);
@@ -118,29 +118,29 @@
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optopt("s", "settings", "the settings of this process", "FILE");
+    options.optopt("s", "settings", "settings file of this process", "FILE");
     options.optopt(
         "",
         "callers",
-        "over the settings: where callers connect",
+        "address for callers; overrides the settings",
         "ADDRESS",
     );
     options.optopt(
         "",
         "operators",
-        "over the settings: where operators connect",
+        "address for operators; overrides the settings",
         "ADDRESS",
     );
     options.optopt(
         "",
         "peers",
-        "over the settings: where peers connect",
+        "address for peers; overrides the settings",
         "ADDRESS",
     );
-    options.optopt("", "data", "over the settings: the data folder", "FOLDER");
-    options.optopt("", "log", "what is logged (info)", "FILTER");
+    options.optopt("", "data", "data folder; overrides the settings", "FOLDER");
+    options.optopt("", "log", "filter for log output (info)", "FILTER");
     options.optopt("", "log-format", "text or json (text)", "FORMAT");
-    options.optflag("h", "help", "print this");
+    options.optflag("h", "help", "print this help");
     options.optflag("V", "version", "print the version");
     options
 }
@@ -288,7 +288,7 @@
         // The exporter waits for its own thread, which would block the runtime.
         let _ = tokio::task::spawn_blocking(move || provider.shutdown()).await;
     }
-    tracing::info!("ended");
+    tracing::info!("shutdown complete");
     log::flush();
     Ok(())
 }
--- a/crates/cornelhitch/src/log.rs
+++ b/crates/cornelhitch/src/log.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// Writes the queued log lines, unless the output is not read.
+/// Writes the queued log lines; they are lost if the output is not read.
 pub fn flush() {
     drop(writer().take());
 }
--- a/crates/cornelhitch/src/operator.rs
+++ b/crates/cornelhitch/src/operator.rs
@@ -18,16 +18,16 @@
 /// Interval between checks whether settings are in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after which `apply --wait` gives up.
+/// Timeout of `apply --wait`.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Usage text at the top of `--help`, before the list of commands.
 const USAGE: &str = "Usage: cornelhitch COMMAND [arguments] [options]
 
-Operates cornelhitch by any of its hosts.
+Operates a cornelhitch cluster through any of its hosts.
 
-Exit status: 0 when it was done, 1 when the system refused, 2 when the arguments or
-the settings are faulty, 3 when no host could be reached.
+Exit status: 0 on success, 1 if the request was refused, 2 if the arguments or the
+settings are invalid, 3 if the host could not be reached.
 
 Commands:";
 
@@ -122,17 +122,17 @@
 /// All commands; `{}` in a path stands for the next argument.
 #[rustfmt::skip]
 const COMMANDS: &[CommandSpec] = &[
-    CommandSpec { name: "check", arguments: &["FILE"], help: "check a fleet settings file; names every fault", operation: Operation::Check },
-    CommandSpec { name: "apply", arguments: &["FILE"], help: "bring a fleet settings file in force", operation: Operation::Apply },
+    CommandSpec { name: "check", arguments: &["FILE"], help: "check a fleet settings file and list all errors", operation: Operation::Check },
+    CommandSpec { name: "apply", arguments: &["FILE"], help: "put a fleet settings file into force", operation: Operation::Apply },
     CommandSpec { name: "show", arguments: &[], help: "print the settings in force", operation: Operation::Show },
     CommandSpec { name: "status", arguments: &[], help: "print the leader's state", operation: Operation::Call(HttpMethod::Get, "/status") },
-    CommandSpec { name: "dump", arguments: &[], help: "print the state of the host that is asked", operation: Operation::Call(HttpMethod::Get, "/dump") },
-    CommandSpec { name: "explain", arguments: &["MODEL"], help: "print why a model is where it is", operation: Operation::Call(HttpMethod::Get, "/explain?model={}") },
-    CommandSpec { name: "drain", arguments: &[], help: "shut the host that is asked down gracefully", operation: Operation::Call(HttpMethod::Post, "/drain") },
+    CommandSpec { name: "dump", arguments: &[], help: "print the state of the host", operation: Operation::Call(HttpMethod::Get, "/dump") },
+    CommandSpec { name: "explain", arguments: &["MODEL"], help: "explain where a model is placed and why", operation: Operation::Call(HttpMethod::Get, "/explain?model={}") },
+    CommandSpec { name: "drain", arguments: &[], help: "shut the host down gracefully", operation: Operation::Call(HttpMethod::Post, "/drain") },
     CommandSpec { name: "add", arguments: &["HOST", "INCARNATION"], help: "admit a host to the voters' log as a learner", operation: Operation::Call(HttpMethod::Post, "/members?change=add&host={}&incarnation={}") },
     CommandSpec { name: "promote", arguments: &["HOST"], help: "make a learner a voter", operation: Operation::Call(HttpMethod::Post, "/members?change=promote&host={}") },
     CommandSpec { name: "remove", arguments: &["HOST"], help: "remove a voter or learner", operation: Operation::Call(HttpMethod::Post, "/members?change=remove&host={}") },
-    CommandSpec { name: "replace", arguments: &["OLD", "HOST", "INCARNATION"], help: "replace a voter by a host and the life of its disk", operation: Operation::Call(HttpMethod::Post, "/members?change=replace&old={}&host={}&incarnation={}") },
+    CommandSpec { name: "replace", arguments: &["OLD", "HOST", "INCARNATION"], help: "replace a voter by a host with the given disk incarnation", operation: Operation::Call(HttpMethod::Post, "/members?change=replace&old={}&host={}&incarnation={}") },
     CommandSpec { name: "dismiss", arguments: &["TARGET", "INCARNATION"], help: "attest that a target's machine no longer runs, which frees its memory", operation: Operation::Call(HttpMethod::Post, "/dismiss?target={}&incarnation={}") },
     CommandSpec { name: "pardon", arguments: &["FINGERPRINT"], help: "let a quarantined request run again", operation: Operation::Call(HttpMethod::Post, "/pardon?fingerprint={}") },
 ];
--- a/crates/cornelhitch/tests/daemon.rs
+++ b/crates/cornelhitch/tests/daemon.rs
@@ -20,7 +20,7 @@
 /// Writes a file into the folder and returns its path.
 fn write(folder: &Path, name: &str, text: &str) -> String {
     let path = folder.join(name);
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("file should be written");
     path.display().to_string()
 }
 
@@ -49,7 +49,7 @@
 
 #[test]
 fn daemon_arguments_are_parsed_or_rejected_by_name() {
-    let folder = TempDir::new().expect("a folder");
+    let folder = TempDir::new().expect("folder should be created");
     let good = write(folder.path(), "good.yaml", &settings(folder.path()));
     let bad = settings(folder.path()).replace("region:", "regoin:");
     let bad = write(folder.path(), "bad.yaml", &bad);
@@ -82,7 +82,7 @@
 
 #[test]
 fn invalid_operator_commands_are_rejected_with_status_and_reason() {
-    let folder = TempDir::new().expect("a folder");
+    let folder = TempDir::new().expect("folder should be created");
     let faulty = write(folder.path(), "fleet.yaml", "modles: []\n");
     let token = write(folder.path(), "token", OPERATOR_TOKEN);
     let rows: [(&[&str], u8, &str); 7] = [
@@ -102,7 +102,7 @@
             "cannot be reached",
         ),
     ];
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("runtime should start");
     for (arguments, status, phrase) in rows {
         let arguments: Vec<String> = arguments.iter().map(ToString::to_string).collect();
         let ran = runtime.block_on(cornelhitch::operator::run(&arguments));
@@ -114,9 +114,11 @@
 
 #[test]
 fn drain_request_ends_the_daemon() {
-    let folder = TempDir::new().expect("a folder");
-    let process: ProcessSettings = settings(folder.path()).parse().expect("settings");
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let folder = TempDir::new().expect("folder should be created");
+    let process: ProcessSettings = settings(folder.path())
+        .parse()
+        .expect("settings should be valid");
+    let runtime = tokio::runtime::Runtime::new().expect("runtime should start");
     let operators = process.operators;
     runtime.block_on(async {
         let daemon = tokio::spawn(daemon::run(process));
@@ -131,8 +133,8 @@
         assert_eq!(answer, "draining");
         let ended = tokio::time::timeout(SHUTDOWN_TIMEOUT, daemon).await;
         let ended = ended
-            .expect("the drain ends the daemon")
-            .expect("the task ends");
+            .expect("draining should end the daemon")
+            .expect("task should end");
         assert!(ended.is_ok(), "{ended:?}");
     });
 }
--- a/crates/cornelhitch/tests/output.rs
+++ b/crates/cornelhitch/tests/output.rs
@@ -43,10 +43,10 @@
 
 #[test]
 fn unread_log_output_does_not_block_requests() {
-    let folder = TempDir::new().expect("a folder");
+    let folder = TempDir::new().expect("folder should be created");
     let write = |name: &str, text: &str| {
         let path = folder.path().join(name);
-        std::fs::write(&path, text).expect("a file");
+        std::fs::write(&path, text).expect("file should be written");
         path.display().to_string()
     };
     let keys = write("keys", "a secret that all peers share");
@@ -74,7 +74,7 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
         .spawn();
-    let _daemon = Daemon(daemon.expect("the daemon"));
+    let _daemon = Daemon(daemon.expect("daemon should start"));
     let callers = SocketAddr::from(([127, 0, 0, 1], callers));
     let started = (0..MAX_ATTEMPTS).any(|_| {
         std::thread::sleep(RETRY_INTERVAL);
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -60,7 +60,7 @@
     /// The voters, including this host if it is one; with `seeds`, the initial voters.
     #[serde(default)]
     pub voters: Vec<Peer>,
-    /// Control hosts that are asked for the current voters; only their IP addresses are used, since
+    /// Control hosts that are queried for the current voters; only their IP addresses are used, since
     /// all peers of a cluster use the same port.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -48,7 +48,7 @@
 /// A key of a map.
 #[derive(Debug, Clone, Copy)]
 pub struct Key {
-    /// The name as it stands in the file.
+    /// The name as written in the file.
     pub name: &'static str,
     /// The type and limits of its value.
     pub value_type: ValueType,
--- a/crates/settings/src/table/tests.rs
+++ b/crates/settings/src/table/tests.rs
@@ -9,7 +9,7 @@
 
 /// Asserts that a value has exactly the keys of a schema, recursively.
 fn assert_same_keys(value: &Value, schema: &Schema) {
-    let fields = value.as_object().expect("a map");
+    let fields = value.as_object().expect("value should be a map");
     for field in fields.keys() {
         assert!(
             schema.key(field).is_some(),
@@ -37,9 +37,12 @@
 models: [{ name: a, bytes: 1, group: a }]
 services: [{ name: a }]
 ";
-    let mut fleet: FleetSettings = text.parse().expect("settings are valid");
+    let mut fleet: FleetSettings = text.parse().expect("settings should be valid");
     fleet.exceptions.push(Exception::default());
-    assert_same_keys(&serde_json::to_value(&fleet).expect("JSON"), &FLEET);
+    assert_same_keys(
+        &serde_json::to_value(&fleet).expect("settings should be serializable"),
+        &FLEET,
+    );
 }
 
 #[test]
@@ -49,6 +52,9 @@
   operators: '10.0.0.1:2', peers: '10.0.0.1:3', voters: [{ host: 2, address: '10.0.0.2:3' }],
   zones: [{ name: a, region: a }], keys: a, token: b }
 ";
-    let process: ProcessSettings = text.parse().expect("settings are valid");
-    assert_same_keys(&serde_json::to_value(&process).expect("JSON"), &PROCESS);
+    let process: ProcessSettings = text.parse().expect("settings should be valid");
+    assert_same_keys(
+        &serde_json::to_value(&process).expect("settings should be serializable"),
+        &PROCESS,
+    );
 }
--- a/crates/settings/tests/examples.rs
+++ b/crates/settings/tests/examples.rs
@@ -40,7 +40,7 @@
 #[test]
 fn example_settings_have_the_stated_sizes() {
     for case in CASES {
-        let fleet: FleetSettings = case.text.parse().expect("an example loads");
+        let fleet: FleetSettings = case.text.parse().expect("example settings should be valid");
         assert_eq!(fleet.models.len(), case.models);
         let adapters: usize = fleet.models.iter().map(|model| model.adapters.len()).sum();
         assert_eq!(adapters, case.adapters);
@@ -57,9 +57,9 @@
 #[test]
 fn example_models_have_a_known_group_and_class() {
     for case in CASES {
-        let fleet: FleetSettings = case.text.parse().expect("an example loads");
+        let fleet: FleetSettings = case.text.parse().expect("example settings should be valid");
         for model in &fleet.models {
-            let class = model.class.as_ref().expect("a class");
+            let class = model.class.as_ref().expect("model should have a class");
             assert!(fleet.class(class).is_some(), "{}: {class}", model.name);
             let known = fleet
                 .groups
--- a/crates/settings/tests/fleet.rs
+++ b/crates/settings/tests/fleet.rs
@@ -66,7 +66,7 @@
 #[test]
 fn each_fault_is_reported_with_its_position() {
     for row in ROWS.trim().lines() {
-        let (text, expected) = row.split_once("=>").expect("a row");
+        let (text, expected) = row.split_once("=>").expect("row should contain `=>`");
         let lines = text.trim_end().replace("\\n", "\n");
         assert_eq!(faults(&lines), expected.trim(), "{text}");
     }
--- a/crates/settings/tests/process.rs
+++ b/crates/settings/tests/process.rs
@@ -47,7 +47,7 @@
 
 #[test]
 fn each_fault_is_reported_with_its_position() {
-    let valid: ProcessSettings = VALID.parse().expect("settings are valid");
+    let valid: ProcessSettings = VALID.parse().expect("settings should be valid");
     assert!(valid.has_role(Role::Control));
     assert_eq!(valid.voters.len(), 3);
     for row in ROWS.trim().lines() {
@@ -84,7 +84,7 @@
 fn retry_window_accepts_an_exponent() {
     let own = |window: &str| format!("{VALID}serving: {{ retry-window-ms: {window} }}\n");
     for (text, ms) in [("10000", 10_000.0), ("10e3", 10_000.0), ("7.5e3", 7_500.0)] {
-        let process: ProcessSettings = own(text).parse().expect("settings");
+        let process: ProcessSettings = own(text).parse().expect("settings should be valid");
         let read = process.serving.retry_window_ms;
         assert!((read - ms).abs() < 1e-6, "{text}: {read}");
     }
--- a/crates/standin/examples/targets.rs
+++ b/crates/standin/examples/targets.rs
@@ -79,18 +79,18 @@
         "an entry host to announce to; as often as wanted",
         "ADDRESS",
     );
-    options.optopt("n", "workers", "how many workers, 4 unless said", "COUNT");
+    options.optopt("n", "workers", "number of workers (4)", "COUNT");
     options.optopt(
         "m",
         "memory",
-        "accelerator memory of each, 80 unless said",
+        "accelerator memory of each worker (80)",
         "GIB",
     );
-    options.optopt("r", "region", "their region, perth-a unless said", "NAME");
+    options.optopt("r", "region", "region of the workers (perth-a)", "NAME");
     options.optopt(
         "z",
         "zone",
-        "their availability zone, perth-a-1 unless said",
+        "availability zone of the workers (perth-a-1)",
         "NAME",
     );
     options.optopt("s", "service", "a plain service to run as well", "NAME");
@@ -104,7 +104,7 @@
     options
 }
 
-/// Parses the command line; the error says which option is wrong.
+/// Parses the command line; the error names the invalid option.
 fn parse_config(matches: &Matches) -> Result<Config, String> {
     let entries = matches.opt_strs("entry");
     let entries = entries.iter().map(|text| {
--- a/crates/standin/src/announcer.rs
+++ b/crates/standin/src/announcer.rs
@@ -116,7 +116,7 @@
     accepted: bool,
 }
 
-/// Tells entry hosts once that the target leaves; failures are ignored.
+/// Notifies each entry host once that the target leaves; failures are ignored.
 pub async fn leave(entries: &[SocketAddr], leaving: &Leaving) {
     let client = Client::builder(TokioExecutor::new()).build_http();
     let body = json(leaving);
--- a/crates/standin/src/body.rs
+++ b/crates/standin/src/body.rs
@@ -56,7 +56,7 @@
     response
 }
 
-/// Returns a problem document that says whether the request ran, in body and header.
+/// Returns a problem document that states whether the request ran, in its body and in a header.
 pub fn problem(status: StatusCode, run: Run, detail: &str) -> Response<Body> {
     let body = serde_json::json!({ "status": status.as_u16(), "detail": detail, "run": run });
     let mut response = response(status, "application/problem+json", body.to_string());
--- a/crates/standin/src/counters.rs
+++ b/crates/standin/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of a fake engine over all its restarts, for tests to compare with what was decided.
+//! Counters of a fake engine over all its restarts, for tests to compare with the system's decisions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -25,9 +25,9 @@
     AbortStream,
     /// The stream stalls after two tokens with the connection open.
     Stall,
-    /// The engine refuses the request and says that it did not run.
+    /// The engine refuses the request and states that it did not run.
     Refuse,
-    /// The engine fails the request without saying whether it ran.
+    /// The engine fails the request without stating whether it ran.
     Fail,
     /// The order is executed, but its reply is lost.
     LostReply,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,10 @@
 //! Fakes of the systems around cornelhitch: model engines, plain services and the weight store.
 //!
 //! Each engine and service speaks the target protocol (HTTP and JSON) on its own
-//! loopback port, injects faults on demand and counts what was done to it, so
-//! that tests can compare the counts with the decisions. Several run in one
-//! process and share only what their builders are given, such as a store.
+//! loopback port, injects faults on demand and counts the operations that it
+//! receives, so that tests can compare the counts with the system's decisions.
+//! Several can run in one process; they share only what is passed to their
+//! builders, such as a store.
 
 mod announcer;
 mod batch;
--- a/crates/standin/src/memory.rs
+++ b/crates/standin/src/memory.rs
@@ -18,7 +18,7 @@
     pub model: Reference,
     /// The replica that the load order named.
     pub replica: ReplicaId,
-    /// Accelerator memory that the copy takes.
+    /// Accelerator memory that the copy occupies, in bytes.
     pub bytes: u64,
     /// Whether the copy is loaded and serves requests.
     pub ready: bool,
@@ -42,7 +42,7 @@
 pub struct Memory {
     /// Accelerator memory in bytes.
     pub capacity: u64,
-    /// Whether copies are told apart by replica id.
+    /// Whether copies of a model are distinguished by replica id.
     pub tracks_replicas: bool,
     /// Copies in accelerator memory.
     pub copies: Vec<ModelCopy>,
--- a/crates/standin/src/routes.rs
+++ b/crates/standin/src/routes.rs
@@ -42,7 +42,7 @@
     Ok(response)
 }
 
-/// Executes an order, or aborts the connection before or after it as an injected fault says.
+/// Executes an order; an injected fault aborts the connection before or after the execution.
 fn handle_order(process: &Process, bytes: &[u8]) -> io::Result<Response<Body>> {
     let faults = &process.shared.faults;
     if faults.take(&[Fault::LostOrder]).is_some() {
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -36,7 +36,7 @@
     AbortBeforeRun,
     /// The connection is aborted after the request has run.
     AbortAfterRun,
-    /// The request is refused and the response says that it did not run.
+    /// The request is refused and the response states that it did not run.
     Refuse,
     /// The request runs, but the response has status 500.
     Fail,
@@ -329,7 +329,7 @@
         run
     }
 
-    /// Returns a response that echoes the request and says which run of its key it was.
+    /// Returns a response that echoes the request and contains the number of the run of its key.
     fn respond(&self, uri: &http::Uri, bytes: &[u8], run: u32) -> Response<Body> {
         let answer = serde_json::json!({
             "target": &*self.inner.settings.name,
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -38,9 +38,9 @@
 /// use cornelhitch_types::model::Reference;
 ///
 /// let model = Reference::base("report");
-/// let whole = text::response_text(&model, b"{}", 3);
+/// let complete = text::response_text(&model, b"{}", 3);
 /// let parts: Vec<_> = (0..3).map(|at| text::token(&model, text::digest(b"{}"), at)).collect();
-/// assert_eq!(whole, parts.concat());
+/// assert_eq!(complete, parts.concat());
 /// ```
 #[must_use]
 pub fn response_text(model: &Reference, body: &[u8], tokens: u64) -> String {
--- a/crates/standin/tests/announce.rs
+++ b/crates/standin/tests/announce.rs
@@ -28,8 +28,12 @@
 impl Entry {
     /// Starts to listen; returns the address.
     async fn start(&self) -> SocketAddr {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
-        let address = listener.local_addr().expect("listener has an address");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port should be free");
+        let address = listener
+            .local_addr()
+            .expect("listener should have an address");
         let entry = self.clone();
         tokio::spawn(async move {
             while let Ok((socket, _)) = listener.accept().await {
@@ -50,15 +54,15 @@
         let (head, body) = request.into_parts();
         let body = body.collect().await?.to_bytes();
         let message = Json.decode(&head.method, head.uri.path(), &body);
-        let message = message.expect("message decodes");
+        let message = message.expect("message should be decoded");
         self.received
             .lock()
-            .expect("mutex is not poisoned")
+            .expect("mutex should not be poisoned")
             .push(message);
         let receipt = self
             .next_receipt
             .lock()
-            .expect("mutex is not poisoned")
+            .expect("mutex should not be poisoned")
             .take();
         let receipt = receipt.unwrap_or(Receipt::Accepted);
         Ok(Json.response("", Ok(receipt)).map(Full::new))
@@ -66,7 +70,7 @@
 
     /// Counts the messages that match a predicate.
     fn count(&self, kind: impl Fn(&Message) -> bool) -> usize {
-        let received = self.received.lock().expect("mutex is not poisoned");
+        let received = self.received.lock().expect("mutex should not be poisoned");
         received.iter().filter(|message| kind(message)).count()
     }
 }
@@ -114,7 +118,10 @@
         "a registered engine is not announced with every heartbeat"
     );
 
-    *entry.next_receipt.lock().expect("mutex is not poisoned") = Some(Receipt::NotRegistered);
+    *entry
+        .next_receipt
+        .lock()
+        .expect("mutex should not be poisoned") = Some(Receipt::NotRegistered);
     wait_until(|| entry.count(is_announcement(1)) >= 2).await;
 
     engine.crash();
@@ -139,7 +146,7 @@
     let service = service
         .start(CancellationToken::new())
         .await
-        .expect("bind a port");
+        .expect("a port should be free");
     wait_until(|| entry.count(is_announcement(1)) >= 1).await;
     service.leave();
     wait_until(|| entry.count(says_leaving) >= 1).await;
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -40,7 +40,10 @@
         .restart_delay(fast)
         .stage("report", Stage::Memory);
     let token = tokio_util::sync::CancellationToken::new();
-    settings(builder).start(token).await.expect("bind a port")
+    settings(builder)
+        .start(token)
+        .await
+        .expect("a port should be free")
 }
 
 pub use cornelhitch_standin::settings::Builder;
@@ -92,7 +95,7 @@
     };
     tokio::time::timeout(TIMEOUT, wait)
         .await
-        .expect("condition holds before the timeout");
+        .expect("condition should hold before the timeout");
 }
 
 /// Returns a streamed or plain request for the model.
@@ -147,11 +150,12 @@
 
 /// Returns the generated text in an event or a complete response.
 fn content(bytes: &[u8]) -> String {
-    let text = std::str::from_utf8(bytes).expect("UTF-8");
-    let json = &text[text.find('{').expect("JSON")..];
-    let json: serde_json::Value = serde_json::from_str(json.trim_end()).expect("JSON");
+    let text = std::str::from_utf8(bytes).expect("text should be UTF-8");
+    let json = &text[text.find('{').expect("text should contain a JSON object")..];
+    let json: serde_json::Value =
+        serde_json::from_str(json.trim_end()).expect("text should be JSON");
     let choice = &json["choices"][0];
     let content = choice["delta"]["content"].as_str();
     let content = content.or(choice["message"]["content"].as_str());
-    content.expect("text content").to_owned()
+    content.expect("choice should have text content").to_owned()
 }
--- a/crates/standin/tests/contract.rs
+++ b/crates/standin/tests/contract.rs
@@ -32,7 +32,7 @@
 /// Reads the examples of the interface page; panics if a request has no response.
 fn documented_exchanges() -> Vec<Exchange> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/INTERFACES.md");
-    let page = std::fs::read_to_string(path).expect("read the interface page");
+    let page = std::fs::read_to_string(path).expect("interface page should be readable");
     interface_page::exchanges(&page)
 }
 
@@ -63,7 +63,7 @@
     let bids = bids
         .start(CancellationToken::new())
         .await
-        .expect("bind a port");
+        .expect("a port should be free");
     let outbound = documented_exchanges();
     let outbound = outbound
         .iter()
@@ -101,7 +101,7 @@
         let read = client_accepts(address, exchange).await;
         let recorded = recorded
             .lock()
-            .expect("mutex is not poisoned")
+            .expect("mutex should not be poisoned")
             .take()
             .expect("a request");
         exchange.request.assert_matches(&exchange.name, &recorded);
@@ -124,7 +124,7 @@
     builder
         .start(CancellationToken::new())
         .await
-        .expect("bind a port")
+        .expect("a port should be free")
 }
 
 /// Returns whether a worker lists a copy at a stage with the given number of adapters.
@@ -139,7 +139,7 @@
 async fn exchange_raw(address: SocketAddr, example: &Message) -> Message {
     let socket = tokio::net::TcpStream::connect(address)
         .await
-        .expect("connect");
+        .expect("host should accept a connection");
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(socket)).await;
     let (mut sender, connection) = handshake.expect("a connection");
     tokio::spawn(connection);
@@ -152,7 +152,10 @@
     let request = request
         .body(Full::new(example.body.clone()))
         .expect("a request");
-    let answer = sender.send_request(request).await.expect("an answer");
+    let answer = sender
+        .send_request(request)
+        .await
+        .expect("request should be answered");
     let (head, body) = answer.into_parts();
     let body = body.collect().await.expect("a complete body").to_bytes();
     Message::from_response(&head, body)
@@ -165,7 +168,7 @@
 async fn serve_once(response: Message) -> (SocketAddr, RecordedRequest) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
-        .expect("bind a port");
+        .expect("a port should be free");
     let address = listener.local_addr().expect("an address");
     let recorded = RecordedRequest::default();
     let kept = Arc::clone(&recorded);
@@ -176,7 +179,7 @@
             async move {
                 let (head, body) = request.into_parts();
                 let body = body.collect().await?.to_bytes();
-                *kept.lock().expect("mutex is not poisoned") =
+                *kept.lock().expect("mutex should not be poisoned") =
                     Some(Message::from_request(&head, body));
                 Ok::<_, hyper::Error>(response.to_response().map(Full::new))
             }
@@ -197,7 +200,8 @@
             let order: Order = serde_json::from_slice(&request.body).expect("an order");
             let gate = Box::new(|| true);
             let outcome = http.order(address, &order, common::TIMEOUT, gate).await;
-            let reply = serde_json::from_slice(&exchange.response.body).expect("a reply");
+            let reply = serde_json::from_slice(&exchange.response.body)
+                .expect("request should be answered");
             outcome == Outcome::Answered(reply)
         }
         "/v1/kv" => transfer_kv(&http, address, exchange).await,
@@ -243,7 +247,7 @@
         deadline: request.number("x-deadline-ms").map(Duration::from_millis),
     };
     let reply = http.call(address, call, Box::new(|| true)).await;
-    reply.expect("a reply").body == exchange.response.body
+    reply.expect("request should be answered").body == exchange.response.body
 }
 
 /// Requests a generation and compares the joined parts with the documented body.
@@ -257,7 +261,7 @@
         body: request.body.clone(),
         stream: request.text("accept") == "text/event-stream",
         priority: u32::try_from(request.number("x-priority").expect("a priority"))
-            .expect("priority fits in 32 bits"),
+            .expect("priority should fit into 32 bits"),
         resume_from: request.number("x-resume-from"),
         deadline: request.number("x-deadline-ms").map(Duration::from_millis),
     };
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -51,11 +51,11 @@
         async move {
             let generate = generate(&format!("r{at}"), false, None);
             let answer = http.generate(address, generate, Box::new(|| true)).await;
-            let mut parts = answer.expect("an answer").parts;
+            let mut parts = answer.expect("request should be answered").parts;
             futures_util::StreamExt::next(&mut parts)
                 .await
                 .expect("a part")
-                .expect("a complete response")
+                .expect("response should be complete")
         }
     });
     let answers = futures_util::future::join_all(asks).await;
@@ -118,7 +118,7 @@
     let answer = http
         .generate(engine.address(), generate("r1", true, None), shut)
         .await;
-    let error = answer.err().expect("no answer");
+    let error = answer.err().expect("request should fail");
     assert!(matches!(error, Error::Cancelled), "{error}");
     let held = order(&engine, 2, 2, load(1));
     let outcome = http
@@ -171,7 +171,7 @@
         .await;
     http.cancel(engine.address(), &"r1".into())
         .await
-        .expect("request is cancelled");
+        .expect("request should be cancelled");
     wait_until(|| engine.counters().cancelled == 1).await;
     drop(answer);
     let answer = http
@@ -184,7 +184,7 @@
     drop(answer);
     http.cancel(engine.address(), &"r2".into())
         .await
-        .expect("cancelling an unknown request succeeds");
+        .expect("cancelling an unknown request should succeed");
     wait_until(|| engine.counters().cancelled == 2).await;
     engine.stop().await;
 }
@@ -223,11 +223,11 @@
     let kv = http
         .export(engine.address(), &cache)
         .await
-        .expect("prefix is cached");
+        .expect("prefix should be cached");
     assert!(http.export(other.address(), &cache).await.is_err());
     http.import(other.address(), &cache, kv)
         .await
-        .expect("KV cache is accepted");
+        .expect("KV cache should be accepted");
     assert!(http.export(other.address(), &cache).await.is_ok());
     engine.stop().await;
     other.stop().await;
@@ -244,7 +244,7 @@
             let gate = Box::new(|| true);
             let generate = generate(&id, false, None);
             let answer = http.generate(engine.address(), generate, gate).await;
-            let mut parts = answer.expect("an answer").parts;
+            let mut parts = answer.expect("request should be answered").parts;
             let part = futures_util::StreamExt::next(&mut parts).await;
             assert!(
                 matches!(part, Some(Ok(_))),
--- a/crates/standin/tests/fault.rs
+++ b/crates/standin/tests/fault.rs
@@ -97,7 +97,7 @@
     let answer = client
         .generate(engine.address(), generate("r1", true, None), gate)
         .await;
-    let parts = answer.expect("response headers").parts;
+    let parts = answer.expect("response headers should arrive").parts;
     let parts: Vec<_> = futures_util::StreamExt::collect(parts).await;
     assert_eq!(parts.len(), 3);
     assert!(matches!(&parts[2], Err(error) if error.to_string().contains("no byte")));
--- a/crates/standin/tests/interface_page/mod.rs
+++ b/crates/standin/tests/interface_page/mod.rs
@@ -60,14 +60,16 @@
 impl Message {
     /// Parses the lines of an example; the body of an event stream ends with an empty line.
     fn read(block: &[&str]) -> Self {
-        let (start, rest) = block.split_first().expect("example has a first line");
+        let (start, rest) = block
+            .split_first()
+            .expect("example should have a first line");
         let empty = rest.iter().position(|line| line.is_empty());
         let (head, body) = rest.split_at(empty.unwrap_or(rest.len()));
         let mut headers = HeaderMap::new();
         for line in head {
-            let (name, value) = line.split_once(": ").expect("a header");
-            let name: HeaderName = name.parse().expect("a name");
-            headers.insert(name, value.parse().expect("a value"));
+            let (name, value) = line.split_once(": ").expect("line should be a header");
+            let name: HeaderName = name.parse().expect("header name should be valid");
+            headers.insert(name, value.parse().expect("header value should be valid"));
         }
         let mut body = body.get(1..).unwrap_or_default().join("\n");
         if headers.get("content-type") == Some(&HeaderValue::from_static("text/event-stream")) {
@@ -100,8 +102,12 @@
 
     /// Returns the response that this example shows.
     pub fn to_response(&self) -> Response<Bytes> {
-        let status = self.start.split(' ').nth(1).expect("a status");
-        let status: StatusCode = status.parse().expect("a status");
+        let status = self
+            .start
+            .split(' ')
+            .nth(1)
+            .expect("start line should have a status");
+        let status: StatusCode = status.parse().expect("start line should have a status");
         let mut response = Response::new(self.body.clone());
         *response.status_mut() = status;
         *response.headers_mut() = self.headers.clone();
@@ -110,13 +116,22 @@
 
     /// Returns the method of a request.
     pub fn method(&self) -> Method {
-        let method = self.start.split(' ').next().expect("a method");
-        method.parse().expect("a method")
+        let method = self
+            .start
+            .split(' ')
+            .next()
+            .expect("start line should have a valid method");
+        method
+            .parse()
+            .expect("start line should have a valid method")
     }
 
     /// Returns the path and query of a request.
     pub fn path(&self) -> &str {
-        self.start.split(' ').nth(1).expect("a path")
+        self.start
+            .split(' ')
+            .nth(1)
+            .expect("start line should have a path")
     }
 
     /// Returns a header's value; panics if it is missing.
@@ -131,7 +146,7 @@
     /// Returns a header's value as a number; `None` if it is missing.
     pub fn number(&self, name: &str) -> Option<u64> {
         let value = self.headers.get(name)?.to_str().expect("text");
-        Some(value.parse().expect("a number"))
+        Some(value.parse().expect("header value should be a number"))
     }
 
     /// Asserts that a message equals this example. JSON bodies are compared as values, and an
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -40,7 +40,7 @@
         let service = service
             .start(CancellationToken::new())
             .await
-            .expect("bind a port");
+            .expect("a port should be free");
         if let Some(failure) = failure {
             service.inject_failure(failure);
         }
@@ -61,14 +61,14 @@
     let service = service
         .start(CancellationToken::new())
         .await
-        .expect("bind a port");
+        .expect("a port should be free");
     let http = Http::default();
     for run in 1..=2 {
         let reply = http
             .call(service.address(), bid_with_key("k1"), Box::new(|| true))
             .await;
-        let body = reply.expect("a reply").body;
-        let body: serde_json::Value = serde_json::from_slice(&body).expect("JSON");
+        let body = reply.expect("request should be answered").body;
+        let body: serde_json::Value = serde_json::from_slice(&body).expect("text should be JSON");
         assert_eq!(body["run"], run);
         assert_eq!(body["path"], "/lots/17/bids?lane=2");
     }
--- a/crates/trial/examples/burst.rs
+++ b/crates/trial/examples/burst.rs
@@ -37,7 +37,7 @@
 /// Interval at which the inventories of the workers are read.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time that the stand-in store takes for the model: 4 GiB at 100 ms per GiB.
+/// Load time of the model from the stand-in store: 4 GiB at 100 ms per GiB.
 const BARE_LOAD_TIME: Duration = Duration::from_millis(400);
 
 /// Settings of the fleet.
--- a/crates/trial/examples/faults/checks.rs
+++ b/crates/trial/examples/faults/checks.rs
@@ -35,7 +35,7 @@
     pub host: SocketAddr,
     /// Time of sending.
     pub started: Instant,
-    /// Time at which the outcome was known.
+    /// Time at which the request ended.
     pub ended: Instant,
     /// Whether a streamed answer was requested.
     pub stream: bool,
@@ -57,7 +57,7 @@
 pub struct Downtime {
     /// Address of the host for callers.
     pub host: SocketAddr,
-    /// Time at which it was killed or told to drain.
+    /// Time at which it was killed or its drain began.
     pub from: Instant,
     /// Time at which it was running again.
     pub until: Instant,
@@ -113,7 +113,7 @@
     }
 }
 
-/// Checks the whole run, prints a summary and returns the violations.
+/// Checks all records of the run, prints a summary and returns the violations.
 pub async fn violations(trial: &Trial, memory: u64) -> Vec<String> {
     let settings = check_settings_applied(trial).await;
     let log = trial.log();
@@ -146,7 +146,7 @@
                 "an answer is incomplete or belongs to another request: {detail}"
             ));
         }
-        // The deadline limits the start of the answer. A stream may stall once after it and be resumed.
+        // The deadline limits the start of the answer. After that, a stream may stall once and be resumed.
         let stall_allowance = if request.stream {
             STALL_TIMEOUT
         } else {
--- a/crates/trial/examples/faults/schedule.rs
+++ b/crates/trial/examples/faults/schedule.rs
@@ -96,7 +96,8 @@
     }
 }
 
-/// Drains a host and starts it again. Records a violation if it does not end in time.
+/// Drains a host and starts it again. Records a violation if draining takes longer than
+/// [`DRAIN_TIMEOUT`].
 fn drain_and_restart(trial: &Trial, host: usize) {
     let from = Instant::now();
     let running = trial.cluster().take_running(host);
--- a/crates/trial/examples/idle.rs
+++ b/crates/trial/examples/idle.rs
@@ -143,7 +143,7 @@
 }
 
 /// Prints the mean of the leader, of the other voters and of the remaining hosts. The voter that
-/// sends most is taken for the leader.
+/// sends the most bytes is assumed to be the leader.
 fn print_rows(before: &[Usage], after: &[Usage], seconds: f64, targets: usize, heartbeats: f64) {
     let hosts = before.len();
     let rates: Vec<[f64; 3]> = before
--- a/crates/trial/examples/quickstart.rs
+++ b/crates/trial/examples/quickstart.rs
@@ -123,7 +123,7 @@
     violations
 }
 
-/// Waits until a host knows all entry hosts and the settings.
+/// Waits until a host has the settings and the list of all entry hosts.
 async fn wait_until_ready(host: SocketAddr) -> Result<(), String> {
     let caller = Caller::new("probe");
     let started = Instant::now();
@@ -204,7 +204,7 @@
     /// Prints the row of the model.
     fn print(&self) {
         let mut first_token_times = Histogram::<u64>::new_with_bounds(1, MAX_RECORDED_MS, 3)
-            .expect("valid histogram bounds");
+            .expect("histogram bounds should be valid");
         for outcome in &self.outcomes {
             if let Outcome::Answered { first_token, .. } = outcome {
                 first_token_times
--- a/crates/trial/examples/rolling.rs
+++ b/crates/trial/examples/rolling.rs
@@ -26,8 +26,8 @@
 /// Number of concurrent callers, each with one request in flight.
 const CALLERS: usize = 40;
 
-/// Time for which a caller caches the answer of `/v1/entries`. Below the `max-age` of 7 to 10 s
-/// that hosts send.
+/// Time for which a caller caches the response of `/v1/entries`; shorter than the `max-age` of 7 to
+/// 10 s that hosts send.
 const ENTRIES_TTL: Duration = Duration::from_secs(5);
 
 /// Time limit for draining a host.
@@ -164,8 +164,8 @@
     }
 }
 
-/// Returns the label under which an outcome is counted. A failed connection attempt is no
-/// interruption, since the request reached no host.
+/// Returns the label under which an outcome is counted. A failed connection attempt does
+/// not count as an interruption, since the request reached no host.
 fn outcome_label(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Answered { .. } => "answered",
--- a/crates/trial/examples/warm.rs
+++ b/crates/trial/examples/warm.rs
@@ -54,7 +54,7 @@
 models: [{ name: summary, bytes: 1073741824 }]
 ";
 
-/// Timeout until the model is loaded and the host answers.
+/// Time limit for the model to be loaded and the host to answer.
 const READY_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Number of rounds of the comparison, which alternates between the relays.
@@ -363,7 +363,8 @@
     /// Creates empty results.
     fn new() -> Self {
         let empty = || {
-            Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, 3).expect("valid histogram bounds")
+            Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, 3)
+                .expect("histogram bounds should be valid")
         };
         Self {
             first_token: empty(),
--- a/crates/trial/src/cluster.rs
+++ b/crates/trial/src/cluster.rs
@@ -223,8 +223,8 @@
         Ok(())
     }
 
-    /// Cuts the connections between a host and the hosts in `from`, in both directions. Replaces
-    /// the earlier list; an empty one restores all connections.
+    /// Blocks traffic between a host and the hosts in `from`, in both directions. Replaces the
+    /// previous list; an empty one restores all connections.
     pub fn partition(&self, index: usize, from: &[HostId]) {
         if let Some(node) = self.node(index) {
             node.blocked_peers.send_replace(from.to_vec());
--- a/crates/trial/src/workers.rs
+++ b/crates/trial/src/workers.rs
@@ -25,7 +25,7 @@
 /// Starts the workers, which announce themselves to the hosts at `entries` until `stop` is
 /// cancelled.
 ///
-/// Every other worker, beginning with the first, checks fencing numbers.
+/// Every other worker, beginning with the first, checks fencing tokens.
 ///
 /// # Errors
 /// Fails if a worker cannot bind a port.
--- a/crates/trial/tests/input.rs
+++ b/crates/trial/tests/input.rs
@@ -61,16 +61,16 @@
         voters: 1,
         fleet: FLEET.to_owned(),
     })
-    .expect("cluster start")
+    .expect("cluster should start")
 }
 
 /// Sends raw bytes and returns everything that is received until the connection ends.
 fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).expect("connect");
+    let mut stream = TcpStream::connect(address).expect("host should accept a connection");
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
-        .expect("timeout");
-    stream.write_all(bytes).expect("write");
+        .expect("timeout should be set");
+    stream.write_all(bytes).expect("request should be written");
     let mut answer = Vec::new();
     // The host may reset the connection after its response if it did not read the whole body.
     let _ = stream.read_to_end(&mut answer);
@@ -169,13 +169,15 @@
         let zeros = [0; 4_096];
         let ones = [0xff; 4_096];
         let inputs: [&[u8]; 4] = [&zeros, &ones, b"\x05\x01\x00\n\n", b"GET GET GET\r\n\r\n"];
-        let socket = UdpSocket::bind("127.0.0.1:0").expect("UDP socket");
+        let socket = UdpSocket::bind("127.0.0.1:0").expect("UDP socket should be bound");
         for input in inputs {
             for address in [addresses.callers, addresses.operators, addresses.peers] {
                 exchange(address, input);
             }
             let datagram = &input[..input.len().min(1_000)];
-            socket.send_to(datagram, addresses.peers).expect("send");
+            socket
+                .send_to(datagram, addresses.peers)
+                .expect("datagram should be sent");
         }
         wait_until_ready(addresses.callers);
     }
@@ -200,7 +202,7 @@
 fn bind_error_names_the_taken_port() {
     let cluster = start_cluster();
     let process = cluster.hosts[0].process.clone();
-    let runtime = tokio::runtime::Runtime::new().expect("runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("runtime should start");
     let bound = runtime.block_on(cornelhitch_node::socket::Sockets::bind(&process));
     let error = bound.expect_err("the port is taken");
     assert!(error.is_taken());
@@ -218,7 +220,7 @@
     cluster.kill(1);
     cluster
         .restart(1)
-        .expect("start of the host without a voter");
+        .expect("host should start without a voter");
     let cases = [
         caller_case(
             "POST /v1/chat/completions",
--- a/crates/trial/tests/stream.rs
+++ b/crates/trial/tests/stream.rs
@@ -42,7 +42,7 @@
         voters: 1,
         fleet: FLEET.to_owned(),
     })
-    .expect("cluster start");
+    .expect("cluster should start");
     let spec = workers::WorkerSpec {
         regions,
         workers: 2,
@@ -52,13 +52,13 @@
             .time_per_gib(Duration::from_millis(10))
             .build(),
     };
-    let runtime = tokio::runtime::Runtime::new().expect("runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("runtime should start");
     let stop = CancellationToken::new();
     let hosts = cluster.caller_addresses();
     runtime.block_on(async {
         let engines = workers::start(&spec, &hosts, &stop)
             .await
-            .expect("worker start");
+            .expect("worker should start");
         let caller = Caller::new("dealer");
         let mut answered = false;
         for _ in 0..ATTEMPTS {
--- a/crates/trial/tests/target_leave.rs
+++ b/crates/trial/tests/target_leave.rs
@@ -33,7 +33,7 @@
         voters: 1,
         fleet: "models: []\n".to_owned(),
     })
-    .expect("cluster start");
+    .expect("cluster should start");
     let entry = cluster.hosts[ENTRY_HOST].addresses.callers;
     let leave = |incarnation: u64| {
         let body = format!("{{\"target\": \"worker-1\", \"incarnation\": {incarnation}}}");
--- a/crates/trial/tests/voters.rs
+++ b/crates/trial/tests/voters.rs
@@ -68,12 +68,16 @@
         let settings = self.call_until(("GET", "/settings", &Value::Null), |settings| {
             settings["version"].as_u64() > Some(0)
         });
-        let base = settings["version"].as_u64().expect("settings version");
+        let base = settings["version"]
+            .as_u64()
+            .expect("response should have a settings version");
         let text = format!("{FLEET}# {request}\n");
         let body = json!({"operator": "trial", "request": request, "base": base, "text": text});
         let accepted = |answer: &Value| answer["result"] == "accepted";
         let answer = self.call_until(("POST", "/settings", &body), accepted);
-        let version = answer["version"].as_u64().expect("accepted version");
+        let version = answer["version"]
+            .as_u64()
+            .expect("response should have the accepted version");
         let path = format!("/in-force?version={version}");
         self.call_until(("GET", &path, &Value::Null), |answer| {
             *answer == json!(true)
@@ -85,7 +89,7 @@
 /// Returns a client for the host at `index`.
 fn operator_client(cluster: &Cluster, index: usize) -> OperatorClient {
     OperatorClient {
-        runtime: Runtime::new().expect("runtime"),
+        runtime: Runtime::new().expect("runtime should start"),
         host: cluster.hosts[index].addresses.operators,
     }
 }
@@ -98,10 +102,10 @@
         voters: ENTRY_HOST,
         fleet: FLEET.to_owned(),
     })
-    .expect("cluster start");
+    .expect("cluster should start");
     let entry = operator_client(&cluster, ENTRY_HOST);
     let first = entry.apply_settings("with the first voters");
-    let spare = cluster.add_spare_host().expect("start of the spare host");
+    let spare = cluster.add_spare_host().expect("spare host should start");
     let new = cluster.hosts[spare].process.host.to_string();
     let known = |dump: &Value| dump["control"]["quorum"]["peer"]["incarnation"].is_u64();
     let dump = operator_client(&cluster, spare).call_until(("GET", "/dump", &Value::Null), known);
