--- a/crates/cornelhitch/src/daemon.rs
+++ b/crates/cornelhitch/src/daemon.rs
@@ -288,7 +288,7 @@
         // The exporter waits for its own thread, which would block the runtime.
         let _ = tokio::task::spawn_blocking(move || provider.shutdown()).await;
     }
-    tracing::info!("shutdown complete");
+    tracing::info!("ended");
     log::flush();
     Ok(())
 }
--- a/crates/cornelhitch/tests/daemon.rs
+++ b/crates/cornelhitch/tests/daemon.rs
@@ -115,9 +115,7 @@
 #[test]
 fn drain_request_ends_the_daemon() {
     let folder = TempDir::new().expect("folder should be created");
-    let process: ProcessSettings = settings(folder.path())
-        .parse()
-        .expect("settings should be valid");
+    let process: ProcessSettings = settings(folder.path()).parse().expect("settings");
     let runtime = tokio::runtime::Runtime::new().expect("runtime should start");
     let operators = process.operators;
     runtime.block_on(async {
--- a/crates/settings/src/table/tests.rs
+++ b/crates/settings/src/table/tests.rs
@@ -39,10 +39,7 @@
 ";
     let mut fleet: FleetSettings = text.parse().expect("settings should be valid");
     fleet.exceptions.push(Exception::default());
-    assert_same_keys(
-        &serde_json::to_value(&fleet).expect("settings should be serializable"),
-        &FLEET,
-    );
+    assert_same_keys(&serde_json::to_value(&fleet).expect("JSON"), &FLEET);
 }
 
 #[test]
@@ -53,8 +50,5 @@
   zones: [{ name: a, region: a }], keys: a, token: b }
 ";
     let process: ProcessSettings = text.parse().expect("settings should be valid");
-    assert_same_keys(
-        &serde_json::to_value(&process).expect("settings should be serializable"),
-        &PROCESS,
-    );
+    assert_same_keys(&serde_json::to_value(&process).expect("JSON"), &PROCESS);
 }
--- a/crates/settings/tests/process.rs
+++ b/crates/settings/tests/process.rs
@@ -84,7 +84,7 @@
 fn retry_window_accepts_an_exponent() {
     let own = |window: &str| format!("{VALID}serving: {{ retry-window-ms: {window} }}\n");
     for (text, ms) in [("10000", 10_000.0), ("10e3", 10_000.0), ("7.5e3", 7_500.0)] {
-        let process: ProcessSettings = own(text).parse().expect("settings should be valid");
+        let process: ProcessSettings = own(text).parse().expect("settings");
         let read = process.serving.retry_window_ms;
         assert!((read - ms).abs() < 1e-6, "{text}: {read}");
     }
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -150,10 +150,9 @@
 
 /// Returns the generated text in an event or a complete response.
 fn content(bytes: &[u8]) -> String {
-    let text = std::str::from_utf8(bytes).expect("text should be UTF-8");
-    let json = &text[text.find('{').expect("text should contain a JSON object")..];
-    let json: serde_json::Value =
-        serde_json::from_str(json.trim_end()).expect("text should be JSON");
+    let text = std::str::from_utf8(bytes).expect("UTF-8");
+    let json = &text[text.find('{').expect("JSON")..];
+    let json: serde_json::Value = serde_json::from_str(json.trim_end()).expect("JSON");
     let choice = &json["choices"][0];
     let content = choice["delta"]["content"].as_str();
     let content = content.or(choice["message"]["content"].as_str());
--- a/crates/standin/tests/contract.rs
+++ b/crates/standin/tests/contract.rs
@@ -139,7 +139,7 @@
 async fn exchange_raw(address: SocketAddr, example: &Message) -> Message {
     let socket = tokio::net::TcpStream::connect(address)
         .await
-        .expect("host should accept a connection");
+        .expect("connect");
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(socket)).await;
     let (mut sender, connection) = handshake.expect("a connection");
     tokio::spawn(connection);
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -68,7 +68,7 @@
             .call(service.address(), bid_with_key("k1"), Box::new(|| true))
             .await;
         let body = reply.expect("request should be answered").body;
-        let body: serde_json::Value = serde_json::from_slice(&body).expect("text should be JSON");
+        let body: serde_json::Value = serde_json::from_slice(&body).expect("JSON");
         assert_eq!(body["run"], run);
         assert_eq!(body["path"], "/lots/17/bids?lane=2");
     }
--- a/crates/trial/tests/input.rs
+++ b/crates/trial/tests/input.rs
@@ -66,11 +66,11 @@
 
 /// Sends raw bytes and returns everything that is received until the connection ends.
 fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).expect("host should accept a connection");
+    let mut stream = TcpStream::connect(address).expect("connect");
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
-        .expect("timeout should be set");
-    stream.write_all(bytes).expect("request should be written");
+        .expect("timeout");
+    stream.write_all(bytes).expect("write");
     let mut answer = Vec::new();
     // The host may reset the connection after its response if it did not read the whole body.
     let _ = stream.read_to_end(&mut answer);
@@ -175,9 +175,7 @@
                 exchange(address, input);
             }
             let datagram = &input[..input.len().min(1_000)];
-            socket
-                .send_to(datagram, addresses.peers)
-                .expect("datagram should be sent");
+            socket.send_to(datagram, addresses.peers).expect("send");
         }
         wait_until_ready(addresses.callers);
     }
@@ -202,7 +200,7 @@
 fn bind_error_names_the_taken_port() {
     let cluster = start_cluster();
     let process = cluster.hosts[0].process.clone();
-    let runtime = tokio::runtime::Runtime::new().expect("runtime should start");
+    let runtime = tokio::runtime::Runtime::new().expect("runtime");
     let bound = runtime.block_on(cornelhitch_node::socket::Sockets::bind(&process));
     let error = bound.expect_err("the port is taken");
     assert!(error.is_taken());
--- a/crates/trial/tests/stream.rs
+++ b/crates/trial/tests/stream.rs
@@ -52,7 +52,7 @@
             .time_per_gib(Duration::from_millis(10))
             .build(),
     };
-    let runtime = tokio::runtime::Runtime::new().expect("runtime should start");
+    let runtime = tokio::runtime::Runtime::new().expect("runtime");
     let stop = CancellationToken::new();
     let hosts = cluster.caller_addresses();
     runtime.block_on(async {
--- a/crates/trial/tests/voters.rs
+++ b/crates/trial/tests/voters.rs
@@ -89,7 +89,7 @@
 /// Returns a client for the host at `index`.
 fn operator_client(cluster: &Cluster, index: usize) -> OperatorClient {
     OperatorClient {
-        runtime: Runtime::new().expect("runtime should start"),
+        runtime: Runtime::new().expect("runtime"),
         host: cluster.hosts[index].addresses.operators,
     }
 }
