--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Loads a copy stage by stage, and marks it ready. An injected crash comes halfway.
+    /// Loads a copy stage by stage, and marks it ready. An injected crash occurs halfway.
     async fn load_weights(&self, copy_id: CopyId, model: &Reference, bytes: u64) {
         let crashes = self.shared.faults.take(&[Fault::CrashDuringLoad]).is_some();
         self.fetch(model, bytes, Stage::Memory).await;
@@ -301,7 +301,8 @@
         }
     }
 
-    /// Returns the next heartbeat, with the load as it was the configured delay ago.
+    /// Returns the next heartbeat, whose load was sampled at least the configured delay earlier if
+    /// there is such a sample.
     pub fn heartbeat(&self) -> Heartbeat {
         let load = Load {
             running: self.batch.running(),
@@ -324,7 +325,7 @@
     }
 }
 
-/// Assumed model size of a warm-up, since its order names none.
+/// Assumed model size of a warm-up, in bytes; the order does not contain the size.
 const WARM_UP_BYTES: u64 = 1 << 30;
 
 impl State {
