--- a/crates/settings/tests/process.rs
+++ b/crates/settings/tests/process.rs
@@ -47,7 +47,7 @@
 
 #[test]
 fn each_fault_is_reported_with_its_position() {
-    let valid: ProcessSettings = VALID.parse().expect("settings are valid");
+    let valid: ProcessSettings = VALID.parse().expect("settings should be valid");
     assert!(valid.has_role(Role::Control));
     assert_eq!(valid.voters.len(), 3);
     for row in ROWS.trim().lines() {
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -40,7 +40,10 @@
         .restart_delay(fast)
         .stage("report", Stage::Memory);
     let token = tokio_util::sync::CancellationToken::new();
-    settings(builder).start(token).await.expect("bind a port")
+    settings(builder)
+        .start(token)
+        .await
+        .expect("a port should be free")
 }
 
 pub use cornelhitch_standin::settings::Builder;
@@ -92,7 +95,7 @@
     };
     tokio::time::timeout(TIMEOUT, wait)
         .await
-        .expect("condition holds before the timeout");
+        .expect("condition should hold before the timeout");
 }
 
 /// Returns a streamed or plain request for the model.
@@ -153,5 +156,5 @@
     let choice = &json["choices"][0];
     let content = choice["delta"]["content"].as_str();
     let content = content.or(choice["message"]["content"].as_str());
-    content.expect("text content").to_owned()
+    content.expect("choice should have text content").to_owned()
 }
--- a/crates/trial/tests/input.rs
+++ b/crates/trial/tests/input.rs
@@ -61,7 +61,7 @@
         voters: 1,
         fleet: FLEET.to_owned(),
     })
-    .expect("cluster start")
+    .expect("cluster should start")
 }
 
 /// Sends raw bytes and returns everything that is received until the connection ends.
@@ -169,7 +169,7 @@
         let zeros = [0; 4_096];
         let ones = [0xff; 4_096];
         let inputs: [&[u8]; 4] = [&zeros, &ones, b"\x05\x01\x00\n\n", b"GET GET GET\r\n\r\n"];
-        let socket = UdpSocket::bind("127.0.0.1:0").expect("UDP socket");
+        let socket = UdpSocket::bind("127.0.0.1:0").expect("UDP socket should be bound");
         for input in inputs {
             for address in [addresses.callers, addresses.operators, addresses.peers] {
                 exchange(address, input);
@@ -218,7 +218,7 @@
     cluster.kill(1);
     cluster
         .restart(1)
-        .expect("start of the host without a voter");
+        .expect("host should start without a voter");
     let cases = [
         caller_case(
             "POST /v1/chat/completions",
