--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -34,7 +34,7 @@
 /// Longest interval between two progress reports, for targets that produce tokens slowly.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Progress intervals without room in the caller's queue, after which the caller counts as gone.
+/// Progress intervals with a full caller queue, after which the caller counts as disconnected.
 const MAX_STALLED_INTERVALS: u32 = 20;
 
 /// The sending ends of the signals that an attempt waits for; `None` once sent.
@@ -59,20 +59,20 @@
 /// Creates the signals of an attempt.
 #[must_use]
 pub fn signals() -> (Signals, SignalReceivers) {
-    let (proceed, proceeds) = oneshot::channel();
-    let (deliver, delivers) = oneshot::channel();
-    let (finish, finishes) = oneshot::channel();
+    let (proceed, proceed_receiver) = oneshot::channel();
+    let (deliver, deliver_receiver) = oneshot::channel();
+    let (finish, finish_receiver) = oneshot::channel();
     let signals = Signals {
         proceed: Some(proceed),
         deliver: Some(deliver),
         finish: Some(finish),
     };
-    let waits = SignalReceivers {
-        proceed: proceeds,
-        deliver: delivers,
-        finish: finishes,
+    let receivers = SignalReceivers {
+        proceed: proceed_receiver,
+        deliver: deliver_receiver,
+        finish: finish_receiver,
     };
-    (signals, waits)
+    (signals, receivers)
 }
 
 /// An attempt, with everything its task needs.
@@ -97,7 +97,7 @@
     pub metrics: Metrics,
 }
 
-/// A gate that asks the core for permission before the first byte is sent.
+/// A gate that waits for the core's permission before the first byte is sent.
 struct ProceedGate {
     id: CallId,
     attempt: AttemptNumber,
@@ -120,7 +120,7 @@
 pub(crate) enum AttemptEnd {
     /// The target failed.
     Failed(Failure),
-    /// The core cancelled the attempt or the caller left; the core needs no report.
+    /// The core cancelled the attempt or the caller disconnected; the core needs no report.
     Withdrawn,
 }
 
@@ -144,7 +144,7 @@
     }
 }
 
-/// What is collected of an answer while it is passed on; the body only if it has to be recorded.
+/// Data collected from an answer while it is forwarded; the body only if it has to be recorded.
 pub(crate) struct AnswerRecord {
     /// When progress was last reported to the core.
     last_progress: Instant,
@@ -167,12 +167,12 @@
 
 impl Attempt {
     /// Runs the attempt to its end and reports a failure to the core.
-    pub async fn run(self, waits: SignalReceivers) {
+    pub async fn run(self, receivers: SignalReceivers) {
         self.metrics.increment(Count::Attempts);
         let ended = match &*self.exchange.payload {
-            Payload::Model { .. } => self.generate(waits).await,
-            Payload::Service { .. } => self.call(waits).await,
-            Payload::Routed(_) => self.relay(waits).await,
+            Payload::Model { .. } => self.generate(receivers).await,
+            Payload::Service { .. } => self.call(receivers).await,
+            Payload::Routed(_) => self.relay(receivers).await,
         };
         if let Err(AttemptEnd::Failed(failure)) = ended {
             self.metrics.increment(Count::AttemptsFailed);
@@ -189,7 +189,7 @@
     }
 
     /// Sends a request to a model and passes on its answer.
-    async fn generate(&self, waits: SignalReceivers) -> Result<(), AttemptEnd> {
+    async fn generate(&self, receivers: SignalReceivers) -> Result<(), AttemptEnd> {
         let Payload::Model {
             model,
             form,
@@ -210,7 +210,7 @@
             resume_from: self.resume,
             deadline: self.exchange.time_left(),
         };
-        let gate = self.gate(waits.proceed);
+        let gate = self.gate(receivers.proceed);
         let answer = self.client.generate(self.address(), generate, gate);
         let mut answer = answer.await.map_err(|error| self.target_error(error))?;
         let mut record = AnswerRecord {
@@ -223,7 +223,7 @@
             status: answer.status,
             headers: end_to_end_headers(&answer.headers),
         });
-        let mut deliver = Some(waits.deliver);
+        let mut deliver = Some(receivers.deliver);
         while let Some(piece) = answer.parts.next().await {
             match piece.map_err(|error| self.target_error(error))? {
                 Piece::Event { end: to, bytes, .. } => {
@@ -233,8 +233,8 @@
                 }
                 Piece::Done { bytes } => {
                     self.begin_answer(&mut deliver).await?;
-                    record.keep(self.exchange.keyed, &bytes);
-                    self.finish_answer(waits.finish, record, &mut head, bytes)
+                    record.append(self.exchange.keyed, &bytes);
+                    self.finish_answer(receivers.finish, record, &mut head, bytes)
                         .await?;
                     return Ok(());
                 }
@@ -244,7 +244,7 @@
     }
 
     /// Sends a request to a plain service and passes on its answer.
-    async fn call(&self, waits: SignalReceivers) -> Result<(), AttemptEnd> {
+    async fn call(&self, receivers: SignalReceivers) -> Result<(), AttemptEnd> {
         let Payload::Service {
             method,
             path,
@@ -263,26 +263,26 @@
             repeatable: self.exchange.repeatable,
             deadline: self.exchange.time_left(),
         };
-        let gate = self.gate(waits.proceed);
+        let gate = self.gate(receivers.proceed);
         let reply = self.client.call(self.address(), call, gate);
         let reply = reply.await.map_err(|error| self.target_error(error))?;
-        self.begin_answer(&mut Some(waits.deliver)).await?;
+        self.begin_answer(&mut Some(receivers.deliver)).await?;
         let mut record = AnswerRecord {
             last_progress: Instant::now(),
             status: reply.status.as_u16(),
             media_type: media_type(&reply.headers),
             body: Vec::new(),
         };
-        record.keep(self.exchange.keyed, &reply.body);
+        record.append(self.exchange.keyed, &reply.body);
         let mut head = Some(Head {
             status: reply.status,
             headers: end_to_end_headers(&reply.headers),
         });
-        self.finish_answer(waits.finish, record, &mut head, reply.body)
+        self.finish_answer(receivers.finish, record, &mut head, reply.body)
             .await
     }
 
-    /// Reports to the core that the answer has started and waits for permission to pass it on, on
+    /// Reports to the core that the answer has started and waits for permission to forward it, on
     /// the first call only.
     pub(crate) async fn begin_answer(
         &self,
@@ -313,7 +313,7 @@
         self.send_part(Part::Head(head)).await
     }
 
-    /// Passes one event to the caller; `to` is the caller's position in the answer after it: a
+    /// Forwards one event to the caller; `to` is the caller's position in the answer after it: a
     /// number of tokens, or the id of the event in a routed stream.
     pub(crate) async fn forward(
         &self,
@@ -321,7 +321,7 @@
         bytes: Bytes,
         record: &mut AnswerRecord,
     ) -> Result<(), AttemptEnd> {
-        record.keep(self.exchange.keyed, &bytes);
+        record.append(self.exchange.keyed, &bytes);
         self.send_part(Part::Data(bytes)).await?;
         let before = self.exchange.delivered.swap(to, Ordering::Relaxed);
         self.metrics.add(Count::Tokens, to.saturating_sub(before));
@@ -370,10 +370,10 @@
     /// Progress is reported to the core meanwhile, so that the target isn't blamed for the delay.
     pub(crate) async fn send_part(&self, part: Part) -> Result<(), AttemptEnd> {
         for _ in 0..MAX_STALLED_INTERVALS {
-            let room = timeout(PROGRESS_INTERVAL, self.exchange.reply.reserve()).await;
-            match room {
-                Ok(Ok(place)) => {
-                    place.send(part);
+            let permit = timeout(PROGRESS_INTERVAL, self.exchange.reply.reserve()).await;
+            match permit {
+                Ok(Ok(permit)) => {
+                    permit.send(part);
                     return Ok(());
                 }
                 Ok(Err(_)) => break,
@@ -427,7 +427,7 @@
 
 impl AnswerRecord {
     /// Appends bytes to the stored body if the request has an idempotency key.
-    fn keep(&mut self, keyed: bool, bytes: &[u8]) {
+    fn append(&mut self, keyed: bool, bytes: &[u8]) {
         if keyed {
             self.body.extend_from_slice(bytes);
         }
--- a/crates/node/src/body.rs
+++ b/crates/node/src/body.rs
@@ -11,7 +11,7 @@
 
 use crate::exchange::Part;
 
-/// The error that ends an incomplete body; it closes the connection, which tells the caller.
+/// The error that ends an incomplete body by closing the connection, which the caller can detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Truncated;
 
@@ -37,7 +37,7 @@
 /// Returns a body that streams the parts of an answer as they arrive.
 ///
 /// The body ends normally only after [`Part::End`]. In any other case the connection is closed,
-/// which a caller can tell from a normal end. The guard is dropped with the body.
+/// which a caller can distinguish from a normal end. The guard is dropped with the body.
 #[must_use]
 pub fn streaming<G: Send + 'static>(receiver: mpsc::Receiver<Part>, guard: G) -> Body {
     let frames = unfold(Some((receiver, guard)), |state| async move {
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -43,7 +43,7 @@
     pub next: AtomicU64,
 }
 
-/// Tells the entry task on drop that the caller has left; ignored if the request has ended by then.
+/// Notifies the entry task on drop that the caller disconnected; no effect after the request's end.
 pub(crate) struct CallerGuard {
     pub(crate) id: CallId,
     pub(crate) inputs: mpsc::UnboundedSender<Input>,
@@ -87,7 +87,7 @@
             self.metrics.refused(&refusal, since.elapsed());
             tracing::debug!(
                 reason = %refusal.reason, detail = &*refusal.detail,
-                "refused a request or broke off its answer"
+                "request refused or its answer aborted"
             );
             Problem::from(&refusal).response()
         })
@@ -209,7 +209,7 @@
     response
 }
 
-/// Reads the whole body of a request.
+/// Reads the complete body of a request.
 ///
 /// # Errors
 /// Returns a refusal if the body is over `limit` bytes or the connection breaks.
--- a/crates/node/src/candidates.rs
+++ b/crates/node/src/candidates.rs
@@ -1,4 +1,4 @@
-//! The hosts that may lead, as a session knows them.
+//! A session's list of the hosts that may be the leader.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 use cornelhitch_types::id::{HostId, Term};
 use tokio::time::Instant;
 
-/// Pause before trying another host: after one that names no leader, and between two hints that are
-/// followed at once, so that a session doesn't run in circles between voters that name each other.
+/// Pause before another host is tried: after a voter names no leader, and between two hints
+/// followed at once, so that a session doesn't alternate between voters that name each other.
 pub const SWITCH_PAUSE: Duration = Duration::from_millis(200);
 
 /// The voters of a host's own settings and those reported by a leader.
 ///
-/// Those of the settings are kept whatever is reported: they are the fallback when all that was
-/// learned is out of date.
+/// The configured voters are kept whatever is reported: they are the fallback when all learned
+/// addresses are out of date.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Candidates {
     settings: Vec<Peer>,
@@ -21,7 +21,7 @@
     /// The presumed leader.
     leader: Option<HostId>,
     /// Whether the presumed leader has sent a leader's message since it was chosen.
-    heard: bool,
+    leader_confirmed: bool,
     /// The leader last named by a voter since the last switch.
     hinted: Option<HostId>,
     /// When a hint was last followed at once.
@@ -33,7 +33,7 @@
 impl Candidates {
     /// Creates the list from the voters of the settings.
     ///
-    /// The presumed leader is this host if it is one of them, since asking it costs no message, or
+    /// The presumed leader is this host if it is one of them, since a query to itself is local, or
     /// else the first.
     #[must_use]
     pub fn new(settings: Vec<Peer>, me: HostId) -> Self {
@@ -52,24 +52,24 @@
         self.find(self.leader?)
     }
 
-    /// Notes a leader's message from a host; returns whether that host is the presumed leader.
-    pub fn leader_spoke(&mut self, from: HostId) -> bool {
+    /// Records a leader's message from a host; returns whether that host is the presumed leader.
+    pub fn record_leader_message(&mut self, from: HostId) -> bool {
         let leads = self.leader == Some(from);
-        self.heard |= leads;
+        self.leader_confirmed |= leads;
         leads
     }
 
     /// Returns whether to accept a voter's answer that it does not lead: from the presumed leader,
     /// or, until that one has sent a leader's message, from any voter that names the leader. The
-    /// latter was asked before and has learned of the leader since.
+    /// latter was queried earlier and has learned of the leader since.
     #[must_use]
     pub fn accepts_hint(&self, from: HostId, has_hint: bool) -> bool {
-        self.leader == Some(from) || (has_hint && !self.heard)
+        self.leader == Some(from) || (has_hint && !self.leader_confirmed)
     }
 
     /// Stores the leader that a voter named, as the target of the next [`Self::advance`].
     ///
-    /// Returns whether to switch at once: unless another hint was followed at once less than
+    /// Returns whether to switch at once: false if another hint was followed at once less than
     /// [`SWITCH_PAUSE`] ago.
     ///
     /// ```
@@ -142,7 +142,7 @@
         let hinted = self.hinted.take();
         let hinted = hinted.filter(|host| self.find(*host).is_some());
         self.leader = hinted.or_else(|| self.next());
-        self.heard = false;
+        self.leader_confirmed = false;
     }
 
     /// Returns the candidate after the presumed leader, wrapping around.
--- a/crates/node/src/claim_outcome.rs
+++ b/crates/node/src/claim_outcome.rs
@@ -6,7 +6,7 @@
 
 use crate::exchange::Recorded;
 
-/// Decodes the state machine's reply to a claim; an unusable one counts as unavailable.
+/// Decodes the state machine's reply to a claim; an invalid one counts as unavailable.
 #[must_use]
 pub fn claim_reply(bytes: &[u8]) -> claim::Reply {
     let Ok(Reply::Claim(answer)) = postcard::from_bytes(bytes) else {
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -53,11 +53,11 @@
     Written(WriteResult),
     /// The outcome of an order that was sent to a worker.
     Order(Order, Outcome),
-    /// The result of asking a worker about its orders.
+    /// The result of querying a worker about its orders.
     Inspected {
         /// The worker.
         target: TargetId,
-        /// The incarnation that was asked.
+        /// The incarnation that was queried.
         incarnation: Incarnation,
         /// The answer; `None` if the worker failed to answer in time.
         inspection: Option<Inspection>,
@@ -100,15 +100,15 @@
     pub metrics: Metrics,
     /// The encoded command with the first fleet settings of a new cluster.
     pub initial_settings: Option<Bytes>,
-    /// Where this host takes messages from targets and operators.
+    /// The address at which this host accepts messages from targets and operators.
     pub registry: Option<SocketAddr>,
-    /// Decides on membership changes, where hosts come and go without an operator.
+    /// Decides on membership changes, on clusters whose hosts join and leave without an operator.
     pub membership_policy: Option<MembershipPolicy>,
     /// Cancelled when the process stops.
     pub stop: CancellationToken,
     /// The instant from which the log's core measures time.
     pub epoch: Instant,
-    /// The time since the Unix epoch at `epoch`; the leader's clock counts on from it.
+    /// The time since the Unix epoch at `epoch`; the leader's clock starts from it.
     pub started: Time,
 }
 
@@ -131,9 +131,9 @@
         /// The host's number for the call.
         call: u64,
     },
-    /// Nothing: the leader on this host asked.
+    /// Do nothing: the leader on this host made the request.
     Leader,
-    /// Take the lead in this term: the first read of a new leader.
+    /// Start leading in this term: this is a new leader's first read barrier.
     Election(Term),
     /// Promote this learner to voter once it has caught up.
     Learner(HostId),
@@ -168,13 +168,14 @@
     /// The newest lease renewal of each host, with the address to answer.
     pub(crate) renewals: HashMap<HostId, Renewal>,
     pub(crate) reservations: Reservations,
-    pub(crate) in_force: Version,
+    /// The newest settings version in force on all hosts.
+    pub(crate) settings_in_force: Version,
     waiters: HashMap<RequestId, Waiter>,
     next: RequestId,
     lease: watch::Sender<Option<Lease>>,
     /// The index of the last entry applied to the state.
     applied: u64,
-    /// Hosts that have asked to join.
+    /// Hosts that have requested to join.
     join_requests: JoinRequests,
     /// When membership was last checked.
     last_membership_check: Instant,
@@ -202,7 +203,7 @@
         voters: Vec::new(),
         renewals: HashMap::new(),
         reservations: Reservations::default(),
-        in_force: 0,
+        settings_in_force: 0,
         waiters: HashMap::new(),
         next: 1,
         lease,
@@ -336,7 +337,7 @@
         }
     }
 
-    /// Applies a committed entry to the state and answers whoever proposed it.
+    /// Applies a committed entry to the state and answers the proposer, if it waits on this host.
     fn apply(&mut self, entry: &action::Entry) {
         self.setup.metrics.increment(Count::Applied);
         self.applied = entry.index;
@@ -380,7 +381,7 @@
         }
     }
 
-    /// Answers a host's proposal with the state machine's reply.
+    /// Sends a host the state machine's reply to its proposal.
     fn send_committed(&self, host: HostId, call: u64, reply: &Reply) {
         let reply = postcard::to_stdvec(reply).unwrap_or_default().into();
         let downward = Downward::Committed { call, reply };
@@ -435,7 +436,7 @@
                 let json = format!("{{\"done\":false,\"reason\":\"{reason}\"}}");
                 self.send_answer(host, call, json.into());
             }
-            // Dropping the sender tells local requesters that the outcome is unknown.
+            // Local requesters treat a dropped sender as an unknown outcome.
             Waiter::Local(_)
             | Waiter::Read(_)
             | Waiter::Leader
--- a/crates/node/src/control/leading.rs
+++ b/crates/node/src/control/leading.rs
@@ -1,4 +1,4 @@
-//! The work of a host while it leads, and telling other hosts who the leader is.
+//! The duties of the leading host, and leader announcements to other hosts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use crate::orders;
 use crate::reservation::Reservations;
 
-/// Timeout for asking a worker about its orders.
+/// Timeout for querying a worker about its orders.
 const INSPECTION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Control {
@@ -31,7 +31,7 @@
         }));
     }
 
-    /// Handles a completed read: takes the lead after an election, or answers with the route table.
+    /// Handles a completed read: starts leading after an election, or answers with the route table.
     pub(super) fn barrier_done(&mut self, id: RequestId) {
         match self.waiters.remove(&id) {
             Some(Waiter::Election(term)) if term == self.term && self.role == Role::Leader => {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Names the leader to the hosts that asked while none was known.
+    /// Announces the leader to the hosts that contacted this host while it knew none.
     pub(super) fn announce_leader(&mut self, leader: HostId) {
         for host in std::mem::take(&mut self.awaiting_leader) {
             self.send_not_leader(host, None, Some(leader));
@@ -118,13 +118,14 @@
             Output::PlacementStep(step) => tracing::info!(
                 target = &*step.target, action = ?step.action, reason = %step.reason,
                 waiting = step.demand.waiting, running = step.demand.running,
-                rate = step.demand.rate, copies = step.copies, "decided on an order"
+                rate = step.demand.rate, copies = step.copies,
+                "decided to send an order to a worker"
             ),
             Output::Inspect {
                 target,
                 incarnation,
             } => self.inspect(target, incarnation),
-            Output::InForce { version } => self.in_force = version,
+            Output::InForce { version } => self.settings_in_force = version,
             Output::RequestAnnouncement { target } => tracing::debug!(
                 target = &*target,
                 "message from a target incarnation that has not announced itself"
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Sends an order from its own task; an order to an unknown incarnation counts as unsent.
+    /// Sends an order in a separate task; an order to an unknown incarnation counts as unsent.
     pub(super) fn send_order(&self, order: Order) {
         let Some(address) = self.address(&order.target, order.incarnation) else {
             let _ = self
@@ -153,7 +154,7 @@
         tokio::spawn(sending.run());
     }
 
-    /// Asks a worker about its orders from its own task.
+    /// Queries a worker about its orders in a separate task.
     pub(super) fn inspect(&self, target: TargetId, incarnation: Incarnation) {
         let known = self.state.fleet().get_incarnation(&target, incarnation);
         let Some(known) = known.map(|known| &known.announcement) else {
@@ -170,7 +171,7 @@
             tracing::info!(
                 target = &*target,
                 ?inspection,
-                "asked the worker about its orders"
+                "queried a worker about its orders"
             );
             let _ = task_sender.send(TaskMessage::Inspected {
                 target,
@@ -180,7 +181,7 @@
         });
     }
 
-    /// Returns the address at which an incarnation of a target takes orders, if it is alive.
+    /// Returns the address at which an incarnation of a target accepts orders; `None` if unknown.
     pub(super) fn address(
         &self,
         target: &TargetId,
@@ -190,7 +191,7 @@
         Some(target.announcement.address)
     }
 
-    /// Answers a host's lease renewal, if this host certainly still leads.
+    /// Answers a host's lease renewal if this host's own lease proves that it still leads.
     pub(super) fn grant_lease(
         &self,
         host: HostId,
--- a/crates/node/src/control/members.rs
+++ b/crates/node/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Cluster membership: voter changes and hosts that ask to join.
+//! Cluster membership: voter changes and join requests.
 
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sends a host the voters, so that it knows whom to ask if this host fails.
+    /// Sends a host the voters, so that it can find the next leader if this host fails.
     pub(crate) fn send_voters(&self, host: HostId) {
         let downward = Downward::Voters {
             term: self.term,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Handles a host that asks to join.
+    /// Handles a host's join request.
     ///
     /// Without a membership policy, only voters named in the settings are admitted, and any other
     /// host has to be named by an operator as the replacement of a voter. A host that is known
--- a/crates/node/src/control/requests.rs
+++ b/crates/node/src/control/requests.rs
@@ -44,7 +44,7 @@
         let _ = answer.send(Ok(()));
     }
 
-    /// Commits that a target leaves and answers once that is certain. An unknown incarnation is
+    /// Commits that a target leaves and answers after the commit. An unknown incarnation is
     /// committed too, since this host may no longer lead.
     pub(super) fn leave(
         &mut self,
@@ -55,16 +55,16 @@
         let fleet = self.state.fleet();
         let known = fleet.get(&target);
         let current = known.map(|known| known.announcement.incarnation);
-        let over = given.is_some_and(|given| fleet.has_ended(&target, given));
-        let left = known.is_some_and(|known| known.leaving);
-        if over || left && given.is_none_or(|given| Some(given) == current) {
-            // Already committed, so every later leader knows it too.
+        let ended = given.is_some_and(|given| fleet.has_ended(&target, given));
+        let leaving = known.is_some_and(|known| known.leaving);
+        if ended || leaving && given.is_none_or(|given| Some(given) == current) {
+            // Already committed, so every later leader has it too.
             let _ = answer.send(Ok(()));
             return;
         }
         let Some(incarnation) = given.or(current) else {
             // There is no incarnation to record. Committing an empty command proves that this host
-            // still leads, and so that no other host knows the target.
+            // still leads, and therefore that no other host has registered the target.
             return self.commit(&Command::Noop, answer);
         };
         tracing::info!(
--- a/crates/node/src/datagrams.rs
+++ b/crates/node/src/datagrams.rs
@@ -1,6 +1,6 @@
 //! The UDP socket for lease renewals and lease grants.
 //!
-//! They use UDP so that they don't wait behind a large view on a link.
+//! Leases use UDP to avoid head-of-line blocking behind a large view on a link.
 
 use std::net::SocketAddr;
 
@@ -44,7 +44,7 @@
     pub metrics: Metrics,
     /// Cancelled when the process stops.
     pub stop: CancellationToken,
-    /// Hosts with which nothing is exchanged, for tests of network partitions.
+    /// Hosts with which no traffic is exchanged, to simulate network partitions in tests.
     pub blocked_peers: watch::Receiver<Vec<HostId>>,
 }
 
@@ -135,7 +135,7 @@
     let identity = setup.identity.borrow().clone();
     let refused = |error: &dyn std::fmt::Display| {
         setup.metrics.increment(Count::DatagramsRefused);
-        tracing::debug!(%address, %error, "refused a datagram: cannot verify or decode it");
+        tracing::debug!(%address, %error, "datagram dropped: cannot verify or decode it");
     };
     let (from, payload) = match verifier.verify(&identity, bytes) {
         Ok(pair) => pair,
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -33,10 +33,10 @@
 use crate::request_log::RequestLog;
 use crate::session;
 
-/// Interval between demand reports to the leader when the core has not asked for an urgent one.
+/// Interval between demand reports to the leader unless the core has requested an urgent one.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Interval between demand reports after the core has asked for an urgent one.
+/// Interval between demand reports after the core has requested an urgent one.
 const URGENT_REPORT_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A message to the entry task.
@@ -54,7 +54,7 @@
     Entries(oneshot::Sender<Entries>),
     /// A request for the entry hosts nearest to the given location.
     Nearest(CallerLocation, oneshot::Sender<entries::EntryHosts>),
-    /// A readiness check: whether this host currently takes requests.
+    /// A readiness check: whether this host currently accepts requests.
     Ready(oneshot::Sender<bool>),
     /// A request for the core's state as JSON, for the operators' dump.
     Dump(oneshot::Sender<serde_json::Value>),
@@ -361,7 +361,7 @@
                 if let Some(incarnation) = ended.incarnation.or(known) {
                     return self.commit_leave(ended.target, incarnation, receipt);
                 }
-                // Another host may know the target.
+                // The target may be in another host's view.
                 let _ = receipt.send(Receipt::Unavailable);
                 return;
             }
@@ -510,8 +510,8 @@
             inputs: self.setup.input_sender.clone(),
             metrics: self.setup.metrics.clone(),
         };
-        let (signals, waits) = attempt::signals();
-        let task = tokio::spawn(attempt.run(waits)).abort_handle();
+        let (signals, receivers) = attempt::signals();
+        let task = tokio::spawn(attempt.run(receivers)).abort_handle();
         let running = RunningAttempt {
             signals,
             task,
--- a/crates/node/src/entry/background.rs
+++ b/crates/node/src/entry/background.rs
@@ -1,4 +1,4 @@
-//! Calls to the leader and to targets that the entry core asks for, each in its own task.
+//! Calls to the leader and to targets that the entry core requests, each in its own task.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 /// Timeout for committing a claim; after it the request is refused.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Timeout for committing that a target leaves; targets turn to another host after a similar time.
+/// Timeout for committing that a target leaves; targets try another host after a similar time.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Timeout for committing an outcome or a strike.
@@ -48,7 +48,7 @@
                 Err(error) => {
                     tracing::info!(
                         %error, ?leave,
-                        "commit of a leave not confirmed; target told to use another host"
+                        "commit of a leave not confirmed; target instructed to use another host"
                     );
                     Receipt::Unavailable
                 }
--- a/crates/node/src/entry/responses.rs
+++ b/crates/node/src/entry/responses.rs
@@ -41,7 +41,7 @@
         };
         self.request_log.refused(&exchange, refusal, context);
         if matches!(&*exchange.payload, Payload::Routed(_)) {
-            // Nothing may be added to the target's bytes; the closed connection tells the caller
+            // Nothing may be added to the target's bytes; a closed connection shows the caller
             // that the answer is incomplete.
             return;
         }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
 
-/// Parts queued for a slow caller before the connection to the target has to wait.
+/// Capacity of a caller's queue of answer parts; when it is full, reading from the target pauses.
 pub const PART_QUEUE_CAPACITY: usize = 64;
 
 /// What is sent to a target.
@@ -41,7 +41,7 @@
         /// The request body.
         body: Bytes,
     },
-    /// A routed request, forwarded as it came.
+    /// A routed request, forwarded unchanged.
     Routed(Box<Routed>),
 }
 
@@ -50,7 +50,7 @@
 pub struct Routed {
     /// The caller's request id.
     pub id: RequestId,
-    /// The route's name and the model or service asked for, for the log.
+    /// The route's name and the requested model or service, for the log.
     pub what: String,
     /// The HTTP method.
     pub method: Method,
@@ -64,7 +64,7 @@
     pub streams: bool,
     /// The priority rank at the target; 0 is the highest.
     pub rank: u8,
-    /// The most targets that may run the request.
+    /// Maximum number of targets that may run the request.
     pub attempts: u32,
     /// The id of the last event that the caller has, if it resumes a stream.
     pub resume: Option<u64>,
@@ -92,10 +92,10 @@
     pub headers: HeaderMap,
 }
 
-/// A new request, as an HTTP listener hands it to the entry task.
+/// A new request, as an HTTP listener passes it to the entry task.
 #[derive(Debug)]
 pub struct NewRequest {
-    /// What the core needs to know of the request.
+    /// The request's metadata for the core.
     pub request: Request,
     /// What is sent to the target.
     pub payload: Payload,
@@ -120,7 +120,7 @@
     pub arrived: Instant,
     /// When the caller stops waiting.
     pub deadline: Option<Instant>,
-    /// When the answer began to be passed on; `None` before that.
+    /// When the first part of the answer was forwarded; `None` before that.
     pub begun: Option<Instant>,
     /// The weight of the request's class.
     pub priority: u32,
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -32,8 +32,8 @@
 use crate::problem::not_run;
 use crate::server::{HEAD_TIMEOUT, Service};
 
-/// How long after its start a host holds requests until the first route table arrives, which takes
-/// about a second if the voters were started too. Later ones are refused at once.
+/// Period after its start in which a host holds requests until it has a route table, which takes
+/// about a second if the voters were started too. Requests after that are refused at once.
 pub const FIRST_TABLE_WAIT: Duration = Duration::from_millis(1_500);
 
 /// The retry delay given to callers while this host has no route table.
@@ -55,7 +55,7 @@
     pub id: RequestId,
     /// How long the caller waits, from the arrival of the request.
     pub deadline: Option<Duration>,
-    /// The model's name within the service, if one is asked for.
+    /// The model's name within the service, if the request names one.
     pub model: Option<Name>,
     /// The adapter to apply to the model.
     pub adapter: Option<Name>,
@@ -68,9 +68,9 @@
 /// A request that this host answers itself, without a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LocalRequest {
-    /// Whether this host takes requests.
+    /// A readiness check: whether this host accepts requests.
     Ready,
-    /// Which entry hosts to connect to, for a caller at the given location.
+    /// The entry hosts that a caller at the given location should connect to.
     Entries(CallerLocation),
 }
 
@@ -82,10 +82,10 @@
     /// Returns a refusal that names the wrong header.
     fn read_metadata(&self, headers: &HeaderMap) -> Result<RequestMetadata, Refusal>;
 
-    /// Returns the local request that this is, or `None` if it needs a target.
+    /// Recognizes a request that this host answers itself; `None` if it needs a target.
     fn local_request(&self, method: &Method, uri: &Uri) -> Option<LocalRequest>;
 
-    /// Returns the response that tells the caller of a refusal.
+    /// Returns the response for a refusal.
     fn refusal_response(&self, refusal: &Refusal) -> Response<Bytes>;
 
     /// Returns the response to [`LocalRequest::Ready`].
@@ -133,7 +133,7 @@
     pub metrics: Metrics,
     /// The id for the next request.
     pub next: AtomicU64,
-    /// Until when requests are held if there is no route table yet.
+    /// The instant until which requests wait for the first route table.
     pub first_table_until: Instant,
     /// Limits the log lines about requests that are refused before they reach the core.
     pub log_limit: Mutex<LogLimiter>,
@@ -240,7 +240,7 @@
             let (host, path) = (&summary.host, summary.uri.path());
             tracing::info!(
                 ?host, path, reason = %refusal.reason, detail = &*refusal.detail, table,
-                "request refused before it reached the entry core"
+                "request refused before it was passed to the entry core"
             );
         }
     }
@@ -320,7 +320,7 @@
     Ok((call, routed))
 }
 
-/// Returns what a request is for: a model if the service runs models and the request names one, or
+/// Returns the requested resource: a model if the service runs models and one is named, or
 /// else the service itself.
 fn requested(
     service: &Name,
@@ -342,8 +342,8 @@
     }
 }
 
-/// Returns, for each section of a prompt, the digest and the length in tokens of the prompt up to
-/// its end.
+/// Returns, for each section of a prompt, the digest and token count of the prompt up to
+/// the section's end.
 fn prefixes(prompt: &[PromptSection]) -> (Vec<u64>, Vec<u32>) {
     use std::hash::Hasher;
     let mut hasher = std::hash::DefaultHasher::new();
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -4,7 +4,7 @@
 //! hosts dial this one and are answered on their own link; without such a link they are dialed at
 //! the address that they or a leader reported. An idle link carries empty keep-alive frames, so
 //! that a link that died without a reset is detected and dialed again. Delivery is best effort and
-//! in order within a link; a sender that needs more has to repeat the message.
+//! in order within a link; a sender that needs a guarantee has to resend the message.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -24,17 +24,17 @@
 use crate::message::{Incoming, Message, PeerEvent};
 use crate::metrics::{Count, Metrics};
 
-/// Messages queued for a link; more are dropped.
+/// Maximum number of messages queued for a link; further ones are dropped.
 const QUEUE_CAPACITY: usize = 8_192;
 
 /// Idle time after which a keep-alive frame is sent.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(700);
 
-/// The payload of a keep-alive frame: empty, which no message is.
+/// The payload of a keep-alive frame: empty, unlike that of any message.
 const KEEP_ALIVE_FRAME: Bytes = Bytes::new();
 
 /// Time without a frame after which a link counts as dead: three times [`KEEP_ALIVE_INTERVAL`], so
-/// that one late frame does no harm, and less than the time that hosts may be out of touch. TCP
+/// that one late frame does no harm, and less than the time for which hosts may lose contact. TCP
 /// alone would take minutes.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_100);
 
@@ -66,7 +66,7 @@
             (_, false) => self.session.send(incoming),
         };
         if sent.is_err() {
-            tracing::debug!("message from a peer dropped: its task has ended");
+            tracing::debug!("message from a peer dropped: the receiving task has ended");
         }
     }
 }
@@ -101,7 +101,7 @@
     stop: CancellationToken,
     /// Addresses of the hosts in the settings; reported addresses don't change them.
     configured: HashMap<HostId, SocketAddr>,
-    /// The port of all peers, if a host's id stands for its IPv4 address.
+    /// The port of all peers, if host ids encode IPv4 addresses.
     common_port: Option<u16>,
     /// The local address to connect from, if it has to be a particular one.
     local: Option<IpAddr>,
@@ -111,7 +111,7 @@
     dialed: Mutex<HashMap<HostId, DialedLink>>,
     /// Queues of accepted links, by host; the newest link replaces an earlier one.
     accepted: Mutex<HashMap<HostId, AcceptedLink>>,
-    /// Hosts with which nothing is exchanged, for tests of network partitions.
+    /// Hosts with which no traffic is exchanged, to simulate network partitions in tests.
     blocked_peers: watch::Receiver<Vec<HostId>>,
 }
 
@@ -124,7 +124,7 @@
     pub listener: TcpListener,
     /// The voters of the settings, with their fixed addresses.
     pub voters: Vec<process::Peer>,
-    /// The port of all peers, if a host's id stands for its IPv4 address.
+    /// The port of all peers, if host ids encode IPv4 addresses.
     pub common_port: Option<u16>,
     /// The local address to connect from, if it has to be a particular one.
     pub local: Option<IpAddr>,
@@ -134,7 +134,7 @@
     pub metrics: Metrics,
     /// Cancelled when the process stops.
     pub stop: CancellationToken,
-    /// Hosts with which nothing is exchanged, for tests of network partitions.
+    /// Hosts with which no traffic is exchanged, to simulate network partitions in tests.
     pub blocked_peers: watch::Receiver<Vec<HostId>>,
 }
 
@@ -192,7 +192,7 @@
         self.address(host).unwrap_or(reported.address)
     }
 
-    /// Opens the link to a host ahead of the first message, to save that message the wait.
+    /// Opens the link to a host in advance, so that the first message need not wait for it.
     pub fn open(&self, to: HostId) {
         if to != self.shared.me.host
             && let Some(queue) = self.shared.queue(to)
@@ -335,13 +335,13 @@
     }
 }
 
-/// Converts a host id to the IPv4 address it stands for; `None` if it is over 32 bits.
+/// Decodes the IPv4 address that a host id encodes; `None` if the id exceeds 32 bits.
 fn address_from_id(host: HostId, port: u16) -> Option<SocketAddr> {
     let ip = Ipv4Addr::from_bits(u32::try_from(host).ok()?);
     Some(SocketAddr::new(ip.into(), port))
 }
 
-/// Locks a mutex, ignoring poisoning: no holder leaves the value half changed.
+/// Locks a mutex, ignoring poisoning: no critical section leaves the value inconsistent.
 fn lock<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
     lock.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -412,7 +412,7 @@
     }
 }
 
-/// Runs an accepted link and makes its queue available for sending meanwhile.
+/// Runs an accepted link, whose queue is available to senders until it ends.
 async fn serve_accepted(shared: &Arc<Shared>, link: Link) {
     let peer = link.peer;
     let (queue, mut queued) = mpsc::channel(QUEUE_CAPACITY);
@@ -435,7 +435,7 @@
     }
 }
 
-/// Sends and receives on a link until it fails, falls silent or the process stops.
+/// Sends and receives on a link until it fails, times out or the process stops.
 async fn run_link(
     shared: &Arc<Shared>,
     link: Link,
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -30,10 +30,10 @@
     Subscribe {
         /// The term of the host's view.
         term: Term,
-        /// The sequence number up to which the host has the view; 0 asks for the whole view.
+        /// The sequence number up to which the host has the view; 0 requests the full view.
         sequence: u64,
     },
-    /// The demand that an entry host sees.
+    /// An entry host's demand report.
     Report(DemandReport),
     /// A target's announcement, received by an entry host.
     Announce(Announcement),
@@ -41,14 +41,14 @@
     Heartbeat(Heartbeat),
     /// A target's combined announcement and heartbeat, received by an entry host.
     Presence(Box<AnnouncedHeartbeat>),
-    /// A target leaves and takes no new work.
+    /// A target is leaving and accepts no new work.
     Leaving {
         /// The target.
         target: TargetId,
         /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// A target failed in a way that suggests that it is gone.
+    /// A target failed in a way that suggests that it no longer runs.
     Lost {
         /// The target.
         target: TargetId,
@@ -62,36 +62,36 @@
         /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// Asks to commit a command.
+    /// Requests the commit of a command.
     Propose {
         /// The host's number for this call.
         call: u64,
         /// The encoded command.
         command: Bytes,
     },
-    /// Asks a question.
+    /// Sends a query.
     Ask {
         /// The host's number for this call.
         call: u64,
-        /// The question.
+        /// The query.
         question: Question,
     },
 }
 
-/// A question that only the leader can answer; the answer is JSON.
+/// A query that only the leader can answer; the answer is JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Question {
-    /// Is a settings version, or a newer one, in force on all hosts?
+    /// Whether a settings version, or a newer one, is in force on all hosts.
     InForce(Version),
-    /// Which settings were accepted last, and which version is in force?
+    /// The last accepted settings and the version in force.
     Settings,
-    /// What is the leader's state, with its decisions, observations and pending work?
+    /// The leader's state, with its decisions, observations and pending work.
     Status,
-    /// Why is a model placed as it is?
+    /// An explanation of a model's current placement.
     Explain(String),
-    /// Asks for a membership change; answered once it is done.
+    /// Requests a membership change; answered once it has completed.
     Members(Membership),
-    /// May suspect requests to a target come from the asking host only?
+    /// Reserves a target for suspect requests from the sending host.
     Reserve {
         /// The target.
         target: TargetId,
@@ -100,7 +100,7 @@
     },
 }
 
-/// A membership change that an operator asks for.
+/// A membership change that an operator requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Membership {
     /// Add a host as a learner, which replicates the log without a vote.
@@ -109,7 +109,7 @@
     Promote(HostId),
     /// Remove a voter or learner.
     Remove(HostId),
-    /// Replace a voter by another host, or by itself with a new disk.
+    /// Replace a voter with another host, or with the same host on a new disk.
     Replace {
         /// The voter to remove.
         old: HostId,
@@ -121,11 +121,11 @@
 /// A message from a voter to a host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Downward {
-    /// The sender does not lead; ask another voter.
+    /// The sender does not lead; the host has to try another voter.
     NotLeader {
         /// The leader and its address, if known.
         leader: Option<process::Peer>,
-        /// The call that was not carried out, if the host made one.
+        /// The call that was not executed, if this answers one.
         call: Option<u64>,
     },
     /// The voters, which are the hosts that may lead from now on, with their addresses.
@@ -134,10 +134,10 @@
         term: Term,
         /// The voters whose addresses are known.
         voters: Vec<process::Peer>,
-        /// Where the leader takes messages from targets and operators.
+        /// The address at which the leader accepts messages from targets and operators.
         registry: Option<SocketAddr>,
     },
-    /// Changes of the view, or the whole view.
+    /// Changes to the view, or the full view.
     View(View),
     /// The command of a call was committed.
     Committed {
@@ -146,7 +146,7 @@
         /// The state machine's encoded reply.
         reply: Bytes,
     },
-    /// The answer to a question.
+    /// The answer to a query.
     Answer {
         /// The call.
         call: u64,
@@ -193,7 +193,7 @@
     pub event: PeerEvent,
 }
 
-/// What can come from a peer.
+/// The kinds of events from a peer.
 #[derive(Debug)]
 pub enum PeerEvent {
     /// This host opened a link to the peer; messages on it arrive in order.
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -23,7 +23,7 @@
     Requests,
     /// Requests that were refused.
     Refusals,
-    /// Answers whose first byte was passed on.
+    /// Answers whose first byte was forwarded.
     AnswersBegun,
     /// Answers that ended completely.
     AnswersEnded,
@@ -57,7 +57,7 @@
     Orders,
     /// Orders whose outcome is unknown.
     OrdersUnknown,
-    /// Orders that were not sent because the leader's lease had run out.
+    /// Orders that were not sent because the leader's lease had expired.
     OrdersWithheld,
     /// Entries of the replicated log that were applied.
     Applied,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -21,7 +21,7 @@
 use crate::socket::{Addresses, Sockets};
 use crate::startup::{Startup, inboxes};
 
-/// How long the last answers to operators may take at shutdown.
+/// Grace period at shutdown for the last answers to operators.
 const OPERATORS_GRACE: Duration = Duration::from_secs(2);
 
 /// A running process.
@@ -29,19 +29,19 @@
 pub struct Node {
     /// The addresses on which it listens.
     pub addresses: Addresses,
-    /// Hosts with which nothing is exchanged, for tests of network partitions.
+    /// Hosts with which no traffic is exchanged, to simulate network partitions in tests.
     pub blocked_peers: watch::Sender<Vec<HostId>>,
     /// The metrics of this process.
     pub metrics: Metrics,
     drain: Option<mpsc::UnboundedSender<Input>>,
     stop: CancellationToken,
-    /// The entry task and its listener, which end once all requests in flight have.
+    /// The entry task and its listener, which end after the last request in flight.
     serving: Vec<JoinHandle<()>>,
     /// The control task, which ends when it is stopped and then releases its data folder.
     control: Option<JoinHandle<()>>,
     /// The operators' listener, which answers until it is stopped.
     operators: JoinHandle<()>,
-    /// Cancelled when an operator asks for a graceful shutdown.
+    /// Cancelled when an operator requests a graceful shutdown.
     drain_token: CancellationToken,
     /// The session with the leader.
     session: session::Handle,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Starts the graceful shutdown: takes no new callers and lets requests in flight end.
+    /// Starts the graceful shutdown: stops accepting callers and lets requests in flight finish.
     pub fn drain(&self) {
         match &self.drain {
             Some(entry) => {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Waits until an operator asks for a graceful shutdown.
+    /// Waits until an operator requests a graceful shutdown.
     pub async fn drain_requested(&self) {
         self.drain_token.cancelled().await;
     }
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -40,7 +40,7 @@
 
 /// The HTTP service for operators.
 pub struct Operators {
-    /// The token that requests have to carry.
+    /// The bearer token that requests must present.
     pub token: Token,
     /// This host's id.
     pub host: HostId,
@@ -54,11 +54,11 @@
     pub control: Option<mpsc::UnboundedSender<control::TaskMessage>>,
     /// The metrics of this process.
     pub metrics: Metrics,
-    /// Cancelled when an operator asks for a graceful shutdown.
+    /// Cancelled when an operator requests a graceful shutdown.
     pub drain_token: CancellationToken,
 }
 
-/// An operator's request to bring a settings text in force.
+/// An operator's request to apply a settings text.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
@@ -72,7 +72,7 @@
     pub text: String,
 }
 
-/// The outcome of an [`Proposal`].
+/// The outcome of a [`Proposal`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "result")]
 pub enum ApplyOutcome {
@@ -86,9 +86,9 @@
         /// The version accepted last.
         version: Version,
     },
-    /// The text has faults.
+    /// The text is invalid.
     Faulty {
-        /// One sentence for each fault, with its line and column.
+        /// One message for each error, with its line and column.
         faults: Vec<String>,
     },
     /// The request id was used before with another text or base.
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Asks the leader a question and returns its answer.
+    /// Sends the leader a query and returns its answer.
     async fn ask(&self, question: Question, limit: Duration) -> Result<Response<Body>, Refusal> {
         let answer = self.session.ask(question, limit).await;
         let bytes = answer.map_err(|error| unavailable(&error))?;
@@ -276,7 +276,7 @@
     }
 }
 
-/// Asks a task for its state; `None` if this host doesn't run the task.
+/// Requests a task's state; `None` if this host doesn't run the task.
 async fn task_state<M>(
     task: Option<&mpsc::UnboundedSender<M>>,
     question: impl FnOnce(oneshot::Sender<serde_json::Value>) -> M,
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -29,7 +29,7 @@
     pub lease: watch::Receiver<Option<Lease>>,
     /// The client for orders to workers.
     pub client: Arc<dyn Client>,
-    /// The control task's queue, which gets the outcome.
+    /// The control task's queue, to which the outcome is sent.
     pub task_sender: mpsc::UnboundedSender<TaskMessage>,
     /// The metrics of this process.
     pub metrics: Metrics,
@@ -41,9 +41,9 @@
         let fence = self.order.fence;
         let (lease, metrics) = (self.lease, self.metrics.clone());
         let gate = Box::new(move || {
-            let held = *lease.borrow();
-            let lease_valid =
-                held.is_some_and(|held| held.term == fence && Instant::now() < held.until);
+            let current = *lease.borrow();
+            let lease_valid = current
+                .is_some_and(|current| current.term == fence && Instant::now() < current.until);
             if !lease_valid {
                 metrics.increment(Count::OrdersWithheld);
             }
@@ -54,9 +54,9 @@
             None => ORDER_TIMEOUT,
         };
         let sending = self.client.order(self.address, &self.order, limit, gate);
-        let since = Instant::now();
+        let started = Instant::now();
         let outcome = sending.await;
-        self.metrics.record(Timing::Order, since.elapsed());
+        self.metrics.record(Timing::Order, started.elapsed());
         if outcome == Outcome::Unknown {
             self.metrics.increment(Count::OrdersUnknown);
         }
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -26,13 +26,13 @@
 /// The largest message in bytes; a table of a few thousand routes is smaller.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// Timeout for an answer of the control task; clients turn to another host after a similar time.
+/// Timeout for an answer of the control task; clients switch to another host after a similar time.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// An operator's request about route tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TableOperation {
-    /// Bring a table in force.
+    /// Apply a table.
     Publish,
     /// Return the table in force.
     Read,
@@ -49,7 +49,7 @@
     Table(Bytes),
     /// There is no table yet.
     NoTable,
-    /// The host at this address is the leader and takes tables.
+    /// The host at this address is the leader and accepts tables.
     Redirect(SocketAddr),
     /// The leader is unknown, or did not confirm the request in time; a table may have been
     /// accepted.
@@ -58,13 +58,13 @@
 
 /// An operators' protocol for route tables.
 pub trait RouteTableProtocol: Send + Sync + 'static {
-    /// Returns what a request asks, or `None` if it isn't about route tables.
+    /// Parses a request's method and path; `None` if it isn't about route tables.
     fn operation(&self, method: &Method, path: &str) -> Option<TableOperation>;
 
     /// Decodes a table.
     ///
     /// # Errors
-    /// Returns what is wrong, and where in the text.
+    /// Returns a description of the error and its position in the text.
     fn decode(&self, text: &Bytes) -> Result<RouteTable, String>;
 
     /// Returns the response for an outcome.
@@ -86,9 +86,9 @@
     pub session: session::Handle,
     /// The encoding of targets' messages.
     pub targets: Arc<dyn Protocol>,
-    /// The encoding of route tables; `None` if they aren't taken.
+    /// The encoding of route tables; `None` if this host doesn't accept them.
     pub route_tables: Option<Arc<dyn RouteTableProtocol>>,
-    /// The address of this listener, as given to targets.
+    /// The address of this listener that is reported to targets.
     pub address: SocketAddr,
     /// The availability zones with their regions.
     pub zones: Vec<Zone>,
@@ -163,7 +163,7 @@
             Err(error) => {
                 tracing::info!(
                     %error, path = parts.uri.path(),
-                    "refused a target's message: cannot decode it"
+                    "target's message refused: cannot decode it"
                 );
                 Err(error)
             }
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Asks the control task; `None` if this host does not lead or the outcome is unknown.
+    /// Queries the control task; `None` if this host does not lead or the outcome is unknown.
     async fn ask_control<T>(&self, request: impl FnOnce(Answer<T>) -> TaskMessage) -> Option<T> {
         let (answer, answered) = oneshot::channel();
         let _ = self.control.send(request(answer));
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -13,12 +13,12 @@
 /// The largest answer that is buffered, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// How much of a refusal's body is read in order to keep its connection, in bytes.
+/// Limit on a refusal's body that is read so that its connection can be reused, in bytes.
 const MAX_DRAIN_BYTES: usize = 64 << 10;
 
 impl Attempt {
     /// Forwards the request and passes the answer back.
-    pub(crate) async fn relay(&self, waits: SignalReceivers) -> Result<(), AttemptEnd> {
+    pub(crate) async fn relay(&self, receivers: SignalReceivers) -> Result<(), AttemptEnd> {
         let Payload::Routed(routed) = &*self.exchange.payload else {
             return Err(AttemptEnd::Withdrawn);
         };
@@ -26,7 +26,7 @@
             proceed,
             deliver,
             finish,
-        } = waits;
+        } = receivers;
         let gate = self.gate(proceed);
         let sending = self
             .client
@@ -49,8 +49,8 @@
         });
         let failed = answer.status.is_server_error() && self.may_repeat(routed);
         // The caller has part of a successful answer, which a failure cannot continue.
-        let unfit = self.resume.is_some() && !answer.status.is_success();
-        if failed || unfit {
+        let cannot_resume = self.resume.is_some() && !answer.status.is_success();
+        if failed || cannot_resume {
             return Err(AttemptEnd::Failed(Failure::Status));
         }
         let mut deliver = Some(deliver);
@@ -64,7 +64,7 @@
             status: answer.status,
             headers: end_to_end_headers(&answer.headers),
         };
-        let body = self.read_whole(answer.body).await?;
+        let body = self.read_body(answer.body).await?;
         self.begin_answer(&mut deliver).await?;
         self.finish_answer(finish, AnswerRecord::default(), &mut Some(head), body)
             .await
@@ -111,19 +111,19 @@
         })
     }
 
-    /// Buffers a whole answer body; fails if it is over [`MAX_ANSWER_BYTES`].
-    async fn read_whole(&self, mut body: Chunks) -> Result<Bytes, AttemptEnd> {
-        let mut whole = BytesMut::new();
+    /// Buffers a complete answer body; fails if it is over [`MAX_ANSWER_BYTES`].
+    async fn read_body(&self, mut body: Chunks) -> Result<Bytes, AttemptEnd> {
+        let mut buffer = BytesMut::new();
         while let Some(chunk) = body.next().await {
-            whole.extend_from_slice(&chunk.map_err(|error| self.target_error(error))?);
-            if whole.len() > MAX_ANSWER_BYTES {
+            buffer.extend_from_slice(&chunk.map_err(|error| self.target_error(error))?);
+            if buffer.len() > MAX_ANSWER_BYTES {
                 return Err(AttemptEnd::Failed(Failure::Status));
             }
         }
-        Ok(whole.freeze())
+        Ok(buffer.freeze())
     }
 
-    /// Passes on each event of a stream once it is complete; returns the head if no event came.
+    /// Passes on each event of a stream once it is complete; returns the head if no event arrived.
     async fn forward_events(
         &self,
         answer: ForwardedResponse,
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -25,19 +25,19 @@
 /// The longest deadline that a caller may set.
 const MAX_DEADLINE: Duration = Duration::from_hours(24);
 
-/// The longest caller, class or key, in bytes.
+/// Maximum length of a caller, class or key, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
 /// Bytes of a prompt between two prefix digests.
 const PREFIX_BLOCK_BYTES: usize = 256;
 
-/// Most prefix digests of one prompt.
+/// Maximum number of prefix digests of one prompt.
 const MAX_PREFIXES: usize = 32;
 
-/// What a request is for, according to its path.
+/// The endpoint that a request's path selects.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Endpoint {
-    /// A model, in the API that the path belongs to.
+    /// A model, called through the API of the path.
     Model(ApiFormat),
     /// A plain service.
     Service {
--- a/crates/node/src/request_log.rs
+++ b/crates/node/src/request_log.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Logs that a request was refused or its answer broken off.
+    /// Logs that a request was refused or its answer aborted.
     pub fn refused(&mut self, exchange: &Exchange, refusal: &Refusal, context: LogContext) {
         if self.0.allow() {
             let retry_ms = refusal.retry_after.map(|after| after.as_millis());
@@ -72,19 +72,19 @@
                 reason = %refusal.reason, run = %refusal.run, retry_ms, detail = &*refusal.detail,
                 after_ms = elapsed_ms(exchange), left_ms = remaining_ms(exchange),
                 term = context.term, view = context.view, table = context.table,
-                "request refused or its answer broken off"
+                "request refused or its answer aborted"
             );
         }
     }
 
-    /// Logs that the caller left before the end of the answer.
+    /// Logs that the caller disconnected before the end of the answer.
     pub fn caller_left(&mut self, exchange: &Exchange) {
         if self.0.allow() {
             tracing::info!(
                 request = &*request_id(exchange),
                 what = &*requested(exchange),
                 after_ms = elapsed_ms(exchange),
-                "caller left before the end of the answer"
+                "caller disconnected before the end of the answer"
             );
         }
     }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Returns what a request asks for.
+/// Returns the model, service or route that a request names.
 fn requested(exchange: &Exchange) -> String {
     match &*exchange.payload {
         Payload::Routed(routed) => routed.what.clone(),
--- a/crates/node/src/reservation.rs
+++ b/crates/node/src/reservation.rs
@@ -30,7 +30,7 @@
 pub struct Reservations(HashMap<TargetIncarnation, Holder>);
 
 impl Reservations {
-    /// Reserves a target for a host; returns whether the host holds the reservation now.
+    /// Reserves a target for a host; returns false if another host has reserved it.
     pub fn reserve(
         &mut self,
         host: HostId,
--- a/crates/node/src/secret.rs
+++ b/crates/node/src/secret.rs
@@ -47,7 +47,7 @@
     },
 }
 
-/// The token that operators' requests have to carry.
+/// The bearer token that operators' requests must present.
 #[derive(Clone)]
 pub struct Token(Option<Bytes>);
 
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -20,7 +20,7 @@
 /// Timeout for the head of a request.
 pub const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Most header lines of a request: as many as fit into a head of 16 KiB at 16 bytes each.
+/// Maximum number of header lines of a request: fits a head of 16 KiB at 16 bytes each.
 const MAX_HEADERS: usize = 1_024;
 
 /// Pause after a connection could not be accepted, as when file descriptors have run out.
--- a/crates/node/src/session.rs
+++ b/crates/node/src/session.rs
@@ -34,7 +34,7 @@
 /// Interval between checks for due work.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Most lease renewals whose send times are kept.
+/// Maximum number of lease renewals whose send times are kept.
 const MAX_PENDING_RENEWALS: usize = 64;
 
 /// An event for the entry task.
@@ -67,13 +67,13 @@
 enum Command {
     /// Commit a command within a time limit.
     Propose(Bytes, Duration, Answer),
-    /// Ask the leader a question within a time limit.
+    /// Send the leader a query within a time limit.
     Ask(Question, Duration, Answer),
     /// Send the leader a message, which may be lost.
     Send(Box<Upward>),
-    /// Request the whole view.
+    /// Request the full view.
     FullView,
-    /// Replace the seeds, the hosts of the settings that are asked for the leader.
+    /// Replace the seeds: the configured hosts that are queried for the leader.
     Seeds(Vec<process::Peer>),
 }
 
@@ -91,13 +91,13 @@
     pub leader: Option<HostId>,
     /// The term of the view.
     pub term: Term,
-    /// The sequence number up to which the view is known.
+    /// The sequence number up to which this host has the view.
     pub view: u64,
-    /// Calls without an answer so far.
+    /// Number of unanswered calls.
     pub calls: usize,
     /// Milliseconds since the last message from the leader.
     pub silent_ms: u128,
-    /// Where the leader takes messages from targets and operators, if known.
+    /// The address at which the leader accepts messages from targets and operators, if known.
     pub registry: Option<SocketAddr>,
 }
 
@@ -114,7 +114,7 @@
         answered.await.unwrap_or(Err(Error::Unavailable))
     }
 
-    /// Asks the leader a question and returns its answer as JSON.
+    /// Sends the leader a query and returns its answer as JSON.
     ///
     /// # Errors
     /// Returns [`Error::Unavailable`] if no leader answers within `limit`.
@@ -129,12 +129,12 @@
         let _ = self.commands.send(Command::Send(Box::new(upward)));
     }
 
-    /// Requests the whole view after changes of it were lost.
+    /// Requests the full view after changes to it were lost.
     pub fn request_full_view(&self) {
         let _ = self.commands.send(Command::FullView);
     }
 
-    /// Replaces the seeds, the hosts of the settings that are asked for the leader.
+    /// Replaces the seeds: the configured hosts that are queried for the leader.
     pub fn replace_seeds(&self, seeds: Vec<process::Peer>) {
         let _ = self.commands.send(Command::Seeds(seeds));
     }
@@ -150,7 +150,7 @@
 pub struct Setup {
     /// This host's id.
     pub me: HostId,
-    /// The voters named in the settings; the session learns of others.
+    /// The voters named in the settings; the leader reports others.
     pub voters: Vec<process::Peer>,
     /// The links to peers.
     pub links: Links,
@@ -166,7 +166,7 @@
     pub stop: CancellationToken,
 }
 
-/// A call without an answer so far.
+/// An unanswered call.
 #[derive(Debug)]
 struct Call {
     upward: Upward,
@@ -179,18 +179,19 @@
 struct Session {
     setup: Setup,
     candidates: Candidates,
-    last_heard: Instant,
+    last_leader_message: Instant,
     term: Term,
     view: u64,
     last_subscribe: Instant,
     peers: HashMap<HostId, ProcessId>,
+    /// Send times of recent lease renewals, by sequence number.
     renewals: BTreeMap<u64, Instant>,
     sequence: u64,
     last_renewal: Option<Instant>,
     calls: BTreeMap<u64, Call>,
     last_call: u64,
     status: watch::Sender<Status>,
-    /// Where a leader takes messages from targets and operators, and which host that leader is.
+    /// A leader's host id and the address at which it accepts messages from targets and operators.
     registry: Option<(HostId, SocketAddr)>,
 }
 
@@ -201,7 +202,7 @@
     let (status, status_receiver) = watch::channel(Status::default());
     let session = Session {
         candidates: Candidates::new(setup.voters.clone(), setup.me),
-        last_heard: Instant::now(),
+        last_leader_message: Instant::now(),
         term: 0,
         view: 0,
         last_subscribe: Instant::now(),
@@ -304,7 +305,7 @@
             PeerEvent::Datagram(datagram, _) => self.lease_granted(from, &datagram),
             PeerEvent::Message(_) => tracing::debug!(
                 host = from.host,
-                "ignoring a message that is meant for the leader"
+                "message meant for the leader arrived at a session; dropped"
             ),
         }
     }
@@ -322,7 +323,7 @@
                 voters,
                 registry,
             } => {
-                self.leader_spoke(from);
+                self.record_leader_message(from);
                 if self.leader() == Some(from.host) {
                     self.registry = registry.map(|address| (from.host, address));
                 }
@@ -331,7 +332,7 @@
                 self.candidates.update_voters(term, known);
             }
             Downward::View(view) => {
-                self.leader_spoke(from);
+                self.record_leader_message(from);
                 if view.term >= self.term {
                     self.term = view.term;
                     self.view = view.to;
@@ -345,7 +346,7 @@
 
     /// Delivers the answer to a call.
     fn answer(&mut self, from: ProcessId, call: u64, answer: Bytes) {
-        self.leader_spoke(from);
+        self.record_leader_message(from);
         if let Some(call) = self.calls.remove(&call) {
             let _ = call.answer.send(Ok(answer));
         }
@@ -363,7 +364,7 @@
         else {
             return;
         };
-        self.leader_spoke(from);
+        self.record_leader_message(from);
         if let Some(sent) = self.renewals.get(&sequence)
             && !length.is_zero()
         {
@@ -376,17 +377,17 @@
         }
     }
 
-    /// Notes that the current leader is alive, if the peer is that leader.
-    fn leader_spoke(&mut self, from: ProcessId) {
-        if self.candidates.leader_spoke(from.host) {
-            self.last_heard = Instant::now();
+    /// Restarts the leader timeout if the peer is the presumed leader.
+    fn record_leader_message(&mut self, from: ProcessId) {
+        if self.candidates.record_leader_message(from.host) {
+            self.last_leader_message = Instant::now();
         }
     }
 
-    /// Does what is due: switches leaders, renews the lease, times out and resends calls.
+    /// Runs the periodic work: switches leaders, renews the lease, times out and resends calls.
     fn tick(&mut self) {
         let now = Instant::now();
-        if self.last_heard + LEADER_TIMEOUT < now {
+        if self.last_leader_message + LEADER_TIMEOUT < now {
             self.switch_leader();
         }
         if self
@@ -421,7 +422,7 @@
             term: self.term,
             view: self.view,
             calls: self.calls.len(),
-            silent_ms: self.last_heard.elapsed().as_millis(),
+            silent_ms: self.last_leader_message.elapsed().as_millis(),
             registry: self
                 .registry
                 .filter(|(host, _)| self.leader() == Some(*host))
@@ -432,7 +433,7 @@
     /// Sends a lease renewal, if this is an entry host and the leader's incarnation is known.
     fn renew_lease(&mut self, now: Instant) {
         let Some((peer, address)) = self.known_leader() else {
-            // The first message opens the link, whose handshake tells the peer's incarnation.
+            // The first message opens the link, whose handshake carries the peer's incarnation.
             self.subscribe();
             self.last_renewal = Some(now);
             return;
@@ -455,7 +456,7 @@
         self.last_renewal = Some(now);
     }
 
-    /// Returns the leader's identity and address, once both are known.
+    /// Returns the presumed leader's identity and address; `None` until both are known.
     fn known_leader(&self) -> Option<(ProcessId, SocketAddr)> {
         let voter = self.candidates.leader()?;
         if voter.host == self.setup.me {
@@ -479,7 +480,7 @@
         if named.is_some_and(|leader| self.candidates.hint_leader(leader, now)) {
             self.switch_leader();
         } else {
-            self.last_heard = now - LEADER_TIMEOUT + SWITCH_PAUSE;
+            self.last_leader_message = now - LEADER_TIMEOUT + SWITCH_PAUSE;
         }
     }
 
@@ -497,12 +498,12 @@
             leader = ?self.leader(),
             "switched to another voter as the presumed leader"
         );
-        self.last_heard = Instant::now();
+        self.last_leader_message = Instant::now();
         self.subscribe();
         self.resend_calls();
     }
 
-    /// Subscribes to view changes after the last one that is known.
+    /// Subscribes to view changes after the last one received.
     fn subscribe(&mut self) {
         self.last_subscribe = Instant::now();
         self.send(Upward::Subscribe {
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -6,7 +6,7 @@
 use snafu::{ResultExt, Snafu};
 use tokio::net::{TcpListener, UdpSocket};
 
-/// How often to try for a port that is free for both TCP and UDP, if the settings leave it open.
+/// Maximum attempts to find a port free for both TCP and UDP, if the settings name none.
 const MAX_BIND_TRIES: usize = 32;
 
 /// Why a socket cannot be bound.
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks of a process from what they share.
+//! Starts the tasks of a process from their shared state.
 
 use std::collections::HashSet;
 use std::sync::atomic::AtomicU64;
@@ -45,14 +45,14 @@
 use crate::session;
 use crate::socket::Addresses;
 
-/// Time without the leader after which a cluster without operators elects another one: several
-/// round trips between regions, and less than callers wait.
+/// Election timeout of a cluster that runs without operators: several round trips between regions,
+/// and less than callers wait.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Interval between the leader's heartbeats in such a cluster.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the tasks of a process share when they are started.
+/// The state that the tasks of a process share when they are started.
 pub(crate) struct Startup {
     pub(crate) process: ProcessSettings,
     pub(crate) incarnation: Incarnation,
--- a/crates/node/src/upward.rs
+++ b/crates/node/src/upward.rs
@@ -1,4 +1,4 @@
-//! Handles messages and questions of other hosts to the leader.
+//! Handles messages and queries that other hosts send to the leader.
 
 use std::fmt::Write;
 
@@ -15,7 +15,7 @@
 use crate::control::{Control, Renewal};
 use crate::message::{Membership, Question, Upward};
 
-/// The settings accepted and in force, as operators read them.
+/// The accepted settings and those in force, as shown to operators.
 #[derive(Debug, Serialize)]
 struct Settings<'a> {
     version: u64,
@@ -92,10 +92,10 @@
     /// Answers a question that only the leader can answer.
     fn answer_question(&mut self, host: HostId, call: u64, question: Question) {
         let json = match question {
-            Question::InForce(version) => json(&(self.in_force >= version)),
+            Question::InForce(version) => json(&(self.settings_in_force >= version)),
             Question::Settings => json(&Settings {
                 version: self.state.current_settings().version(),
-                in_force: self.in_force,
+                in_force: self.settings_in_force,
                 text: self.state.current_settings().text(),
             }),
             Question::Status => json(&self.dump()),
@@ -112,7 +112,7 @@
         self.send_answer(host, call, json);
     }
 
-    /// Starts the membership change that an operator asks for.
+    /// Starts the membership change that an operator requests.
     fn operator_change(&mut self, host: HostId, call: u64, membership: &Membership) {
         let change = match *membership {
             Membership::Add(peer) => MembershipChange::Add(member(peer)),
@@ -132,7 +132,7 @@
             "quorum": self.setup.core.status(),
             "leading": self.leading,
             "settings_version": self.state.current_settings().version(),
-            "in_force": self.in_force,
+            "in_force": self.settings_in_force,
             "digest": hex(&self.state.digest()),
             "state": self.state.dump(),
             "leader": self.setup.leader.dump(&self.state, self.unix_time()),
--- a/crates/node/tests/candidates.rs
+++ b/crates/node/tests/candidates.rs
@@ -49,8 +49,8 @@
     assert_eq!(leader(&candidates), Some(1));
 }
 
-/// After an election each voter names the new leader, and a host that asked the wrong one goes
-/// there at once.
+/// After an election each voter names the new leader, and a host that queried another voter
+/// switches to it at once.
 #[test]
 fn a_hint_is_followed_at_once_but_not_in_circles() {
     let mut candidates = candidates();
@@ -70,7 +70,7 @@
     assert!(candidates.hint_leader(peer(2), later));
 }
 
-/// The last hint counts.
+/// Of several hints, the last one is followed.
 #[test]
 fn a_later_hint_replaces_an_earlier_one() {
     let mut candidates = candidates();
@@ -106,7 +106,7 @@
     assert_eq!(leader(&candidates), Some(6));
 }
 
-/// After a loss of power all voters are asked before one of them leads. The first voter that learns
+/// After a power failure all voters are queried before one leads. The first voter that learns
 /// of the leader reports it, so that hosts needn't try the voters in turn until then.
 #[test]
 fn any_voter_may_name_the_leader_until_the_presumed_one_has_answered() {
@@ -117,11 +117,14 @@
     );
     assert!(!candidates.accepts_hint(2, false), "it names no leader");
     assert!(candidates.accepts_hint(2, true));
-    assert!(!candidates.leader_spoke(2), "it is not the presumed leader");
+    assert!(
+        !candidates.record_leader_message(2),
+        "it is not the presumed leader"
+    );
     assert!(candidates.hint_leader(peer(3), Instant::now()));
     candidates.advance();
     assert_eq!(candidates.leader(), Some(&peer(3)));
-    assert!(candidates.leader_spoke(3));
+    assert!(candidates.record_leader_message(3));
     assert!(
         !candidates.accepts_hint(2, true),
         "a late answer of another voter"
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// The time in which a silent link has to be replaced, before the hosts count as out of touch.
+/// The time in which a silent link has to be replaced, before the hosts count as disconnected.
 const BOUND: Duration = Duration::from_secs(4);
 
 /// Interval between two messages of the test.
