--- a/crates/target/src/client.rs
+++ b/crates/target/src/client.rs
@@ -24,8 +24,8 @@
 /// Decides whether a request may be sent: called once for each request, when a connection is open
 /// and the next step is to write the first byte.
 ///
-/// A request counts as sent once its gate let it pass. A closure suffices if the decision is made
-/// synchronously; an implementation of its own can wait for another task.
+/// A request counts as sent once its gate has permitted it. A closure suffices if the decision is
+/// synchronous; a custom implementation can wait for another task.
 #[async_trait]
 pub trait Gate: Send {
     /// Returns whether the request may be sent.
@@ -115,7 +115,7 @@
         /// The event, including the empty line that ends it.
         bytes: Bytes,
     },
-    /// The terminator of a stream, or the whole body of an answer that is not streamed.
+    /// The terminator of a stream, or the complete body of an answer that is not streamed.
     Done {
         /// The bytes to forward.
         bytes: Bytes,
@@ -141,7 +141,7 @@
 pub struct ForwardedRequest {
     /// The id of the request, as the caller sent it.
     pub request: RequestId,
-    /// The target that is to run it; another target that now has the address refuses it.
+    /// The target that is to run it; another target at a reused address refuses it.
     pub target: TargetId,
     /// The HTTP method.
     pub method: Method,
@@ -153,7 +153,7 @@
     pub body: Bytes,
     /// Whether it may be sent on a pooled connection, which the target may be about to close.
     pub reuse: bool,
-    /// Time left until the caller no longer waits for the response.
+    /// Time left until the caller's deadline.
     pub deadline: Option<Duration>,
     /// The rank in the target's queue; 0 goes first.
     pub rank: u8,
@@ -202,7 +202,7 @@
 /// [`Error::Unsupported`] and sends nothing.
 #[async_trait]
 pub trait Client: Send + Sync + 'static {
-    /// Sends an order to a worker; `timeout` bounds the whole exchange.
+    /// Sends an order to a worker; `timeout` bounds the complete exchange.
     ///
     /// The outcome is [`Outcome::Unsent`] only if no byte of the order was sent.
     async fn order(
@@ -213,7 +213,7 @@
         gate: Box<dyn Gate>,
     ) -> Outcome;
 
-    /// Queries a worker of a service for the number of orders that it accepted and what it holds.
+    /// Queries a worker of a service for its number of accepted orders and its copies of models.
     ///
     /// # Errors
     /// The worker did not return a valid response.
--- a/crates/target/src/error.rs
+++ b/crates/target/src/error.rs
@@ -92,7 +92,7 @@
 }
 
 impl Error {
-    /// Returns whether the request ran, as far as the error tells.
+    /// Returns whether the request ran, as far as the error shows.
     ///
     /// ```
     /// use cornelhitch_target::error::Error;
--- a/crates/target/src/http.rs
+++ b/crates/target/src/http.rs
@@ -40,7 +40,7 @@
     max_idle_per_target: usize,
     /// Longest time without data in a response body.
     read_timeout: Duration,
-    /// Upper bound on bodies that are read as a whole, in bytes.
+    /// Upper bound on bodies that are buffered completely, in bytes.
     max_body_bytes: usize,
     /// The header in which responses repeat the request id.
     id_header: HeaderName,
@@ -96,7 +96,7 @@
         self
     }
 
-    /// Sets the upper bound on bodies that are read as a whole, in bytes.
+    /// Sets the upper bound on bodies that are buffered completely, in bytes.
     #[must_use]
     pub fn max_body_bytes(mut self, max_body_bytes: usize) -> Self {
         self.max_body_bytes = max_body_bytes;
@@ -142,7 +142,7 @@
     pool: Pool,
     /// Longest time without data in a response body.
     read_timeout: Duration,
-    /// Upper bound on bodies that are read as a whole, in bytes.
+    /// Upper bound on bodies that are buffered completely, in bytes.
     max_body_bytes: usize,
     /// The header in which responses repeat the request id.
     id_header: HeaderName,
@@ -176,7 +176,7 @@
         Builder::default()
     }
 
-    /// Sends a request if its gate lets it pass, and checks the request id of the response.
+    /// Sends a request if its gate permits it, and checks the request id of the response.
     async fn send(
         &self,
         address: SocketAddr,
@@ -210,8 +210,8 @@
     /// Sends a request on a connection.
     ///
     /// If a pooled connection closes before any byte of the request was sent, the request is sent on
-    /// a new one. On a new connection nothing is retried, since the gate decided for this moment and
-    /// not for a later one.
+    /// a new one. On a new connection nothing is retried, since the gate's decision is valid only
+    /// at the time it was made.
     async fn send_on(
         &self,
         address: SocketAddr,
@@ -223,8 +223,8 @@
             Ok(response) => return Ok(ReceivedResponse { response, sender }),
             Err(error) => error,
         };
-        let left = error.take_message();
-        match left {
+        let unsent = error.take_message();
+        match unsent {
             None => Err(broken_error(address, error.into_error())),
             Some(_) if !reused => Err(unsent_error(address, error.into_error())),
             Some(request) => {
--- a/crates/target/src/inbound.rs
+++ b/crates/target/src/inbound.rs
@@ -26,7 +26,7 @@
 pub enum Message {
     /// Registers the target.
     Announcement(Announcement),
-    /// Reports that the target is alive, and what it holds.
+    /// Reports that the target is alive, with its load and its copies of models.
     Heartbeat(Heartbeat),
     /// The target is leaving and accepts no new work.
     Leaving(Leaving),
@@ -55,7 +55,7 @@
     pub incarnation: Incarnation,
 }
 
-/// The result of a message, from which the response to the target follows.
+/// The result of a message; determines the response to the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Receipt {
     /// The message was accepted.
@@ -211,7 +211,7 @@
     }
 }
 
-/// Parses JSON; an error names the location of the fault.
+/// Parses JSON; an error names the location in the JSON.
 fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Error> {
     let mut reader = serde_json::Deserializer::from_slice(body);
     let value = serde_path_to_error::deserialize(&mut reader).map_err(|error| Error::Json {
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -1,7 +1,7 @@
 //! The interface to targets: requests and orders to them, and messages from them.
 //!
-//! No other package knows how messages to or from a target are encoded. [`client::Client`] is the
-//! outbound interface and [`inbound::Protocol`] the inbound one; [`http::Http`] and
+//! The encoding of messages to and from targets is private to this package. [`client::Client`]
+//! is the outbound interface and [`inbound::Protocol`] the inbound one; [`http::Http`] and
 //! [`inbound::Json`] are their HTTP and JSON implementations, which `docs/INTERFACES.md` specifies
 //! message by message.
 
--- a/crates/target/src/pool.rs
+++ b/crates/target/src/pool.rs
@@ -18,7 +18,7 @@
 
 use crate::error::{ConnectSnafu, Error};
 
-/// A request with its whole body, ready to be sent.
+/// A request with its complete body, ready to be sent.
 pub type OutgoingRequest = Request<Full<Bytes>>;
 
 /// The HTTP version of connections; there is no negotiation.
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Waits until the connection can take a request; returns false if it is closed.
+    /// Waits until the connection can accept a request; returns false if it is closed.
     async fn ready(&mut self) -> bool {
         match self {
             Self::Http1(sender) => sender.ready().await.is_ok(),
--- a/crates/target/src/prelude.rs
+++ b/crates/target/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The most used types, for a glob import.
+//! Commonly used types, for glob imports.
 
 pub use crate::client::{
     ApiFormat, Client, Gate, GenerateRequest, GenerateResponse, KvCache, Part, ServiceRequest,
--- a/crates/target/src/response_body.rs
+++ b/crates/target/src/response_body.rs
@@ -30,7 +30,7 @@
     pub sender: Sender,
     /// How long the target keeps the connection open for another request, if it stated that.
     pub keep_alive: Option<Duration>,
-    /// The pool that gets the connection once the body is read.
+    /// The pool to which the connection returns once the body is read.
     pub pool: Pool,
     /// Longest time without data.
     pub read_timeout: Duration,
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Reads the whole body and returns the connection to the pool.
+    /// Reads the complete body and returns the connection to the pool.
     pub async fn read_to_end(mut self, limit: usize) -> Result<Bytes, Error> {
-        let mut whole = BytesMut::new();
+        let mut buffer = BytesMut::new();
         while let Some(bytes) = self.next().await? {
-            if whole.len() + bytes.len() > limit {
+            if buffer.len() + bytes.len() > limit {
                 return Err(Error::TooLarge { limit });
             }
-            whole.extend_from_slice(&bytes);
+            buffer.extend_from_slice(&bytes);
         }
         if !self.delimited {
             return TruncatedSnafu {
@@ -70,7 +70,7 @@
             .fail();
         }
         self.pool.put(self.address, self.sender, self.keep_alive);
-        Ok(whole.freeze())
+        Ok(buffer.freeze())
     }
 
     /// Returns the connection to the pool if the body ends within the time limit.
--- a/crates/target/src/sse.rs
+++ b/crates/target/src/sse.rs
@@ -28,7 +28,7 @@
 pub struct EventSplitter {
     /// Bytes that are not part of a returned event.
     buffer: BytesMut,
-    /// Length of the prefix of the buffer that is known to hold no end of an event.
+    /// Length of the prefix of the buffer that is known to contain no end of an event.
     searched: usize,
 }
 
@@ -59,8 +59,8 @@
 /// Returns the end of the first event, searching from `searched` on.
 fn event_end(buffer: &[u8], searched: usize) -> Option<usize> {
     let tail = buffer.get(searched..)?;
-    let feeds = tail.iter().enumerate().filter(|(_, byte)| **byte == b'\n');
-    feeds
+    let line_feeds = tail.iter().enumerate().filter(|(_, byte)| **byte == b'\n');
+    line_feeds
         .map(|(at, _)| searched + at)
         .find(|at| ends_empty_line(&buffer[..*at]))
         .map(|at| at + 1)
--- a/crates/types/src/demand.rs
+++ b/crates/types/src/demand.rs
@@ -4,14 +4,14 @@
 
 use crate::id::{HostId, Incarnation, ModelId, Name, RegionId, Time};
 
-/// Demand of one entry host for one model: a snapshot of levels that replaces the previous one.
+/// Demand of one entry host for one model: a snapshot that replaces the previous one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
     /// The base model.
     pub model: ModelId,
     /// The requested version; `None` for the version in force.
     pub version: Option<Name>,
-    /// Requests queued until a replica can take them.
+    /// Requests queued until a replica can accept them.
     pub waiting: u32,
     /// Requests in flight on replicas.
     pub running: u32,
@@ -22,7 +22,7 @@
     pub weight: u32,
     /// Requests received since the process started; never decreases within an incarnation.
     pub arrivals: u64,
-    /// Adapters that queued requests ask for.
+    /// Adapters that queued requests name.
     pub adapters: Vec<Name>,
 }
 
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -2,8 +2,7 @@
 //!
 //! The other packages have sans-I/O cores: functions of an event and the current time that return
 //! actions. This package defines the events' data types, so that no core depends on the internals
-//! of
-//! another.
+//! of another.
 //!
 //! ```
 //! use cornelhitch_types::model::Reference;
--- a/crates/types/src/model.rs
+++ b/crates/types/src/model.rs
@@ -47,7 +47,7 @@
     Empty {
         /// The name of the part: model, version or adapter.
         part: &'static str,
-        /// The whole string.
+        /// The complete string.
         text: String,
     },
     /// A part contains a character that is not allowed.
@@ -55,7 +55,7 @@
     InvalidCharacter {
         /// The name of the part: model, version or adapter.
         part: &'static str,
-        /// The whole string.
+        /// The complete string.
         text: String,
         /// The first character that is not allowed.
         found: char,
--- a/crates/types/src/order.rs
+++ b/crates/types/src/order.rs
@@ -12,7 +12,7 @@
 pub struct Order {
     /// Fencing number: the Raft term in which the order was decided.
     pub fence: Term,
-    /// The worker that must carry out the order.
+    /// The worker that must execute the order.
     pub target: TargetId,
     /// Incarnation of the worker that the order is meant for.
     pub incarnation: Incarnation,
@@ -52,7 +52,7 @@
         /// The model with the adapter.
         model: Reference,
     },
-    /// Copies a model to a nearer cache tier without taking accelerator memory.
+    /// Copies a model to a nearer cache tier without using accelerator memory.
     Warm {
         /// The model and its version.
         model: Reference,
@@ -81,21 +81,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "result", deny_unknown_fields)]
 pub enum Reply {
-    /// The order is being carried out, or has been already.
+    /// The order is being executed, or already has been.
     Accepted,
     /// The worker has seen a larger fencing number.
     Fenced {
         /// The largest fencing number that the worker has seen.
         seen: Term,
     },
-    /// The worker cannot carry out the order.
+    /// The worker cannot execute the order.
     Refused {
         /// The reason, for operators.
         reason: Name,
     },
 }
 
-/// What the sender knows about an order after trying to send it.
+/// The outcome of an attempt to send an order, from the sender's point of view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The order was not sent: no connection could be made.
--- a/crates/types/src/refusal.rs
+++ b/crates/types/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The reasons for which a request is refused, as callers see them.
+//! The reasons for refusing a request, as reported to callers.
 
 use std::time::Duration;
 
--- a/crates/types/src/route.rs
+++ b/crates/types/src/route.rs
@@ -1,6 +1,6 @@
-//! Route tables: the routes that operators declare, and the services that they lead to.
+//! Route tables: the routes that operators declare, and the services that requests are routed to.
 //!
-//! A [`RouteTable`] is replaced as a whole; of two tables, the one with the higher version is in force.
+//! A [`RouteTable`] is replaced atomically; of two tables, the higher version is in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -22,7 +22,7 @@
     pub version: Version,
     /// The routes; each has its own pair of host and prefix.
     pub routes: Vec<Route>,
-    /// The services that routes lead to; names are unique.
+    /// The services that requests are routed to; names are unique.
     pub services: Vec<Service>,
     /// Limits on what callers may send.
     pub limits: Limits,
@@ -63,7 +63,7 @@
 pub enum RetryPolicy {
     /// No retries: the request runs at most once.
     Never,
-    /// The whole request may run more than once.
+    /// The complete request may run more than once.
     #[serde(rename = "whole")]
     #[strum(serialize = "whole")]
     Retry,
@@ -109,7 +109,7 @@
     pub host_memory: u64,
     /// Disk space in which a worker caches weights, in bytes.
     pub disk: u64,
-    /// Largest number of adapters that a worker holds.
+    /// Largest number of adapters that a worker keeps loaded.
     pub adapters: u32,
     /// Shortest time between the starts of two loads from the weight store, over all workers.
     pub start_interval: Duration,
@@ -122,7 +122,7 @@
 pub struct Model {
     /// The name of the model, unique within the service.
     pub name: Name,
-    /// Accelerator memory that the model takes, in bytes.
+    /// Accelerator memory that the model occupies, in bytes.
     pub bytes: u64,
     /// Duration of a load from the weight store at full speed.
     pub from_store: Duration,
@@ -132,7 +132,7 @@
     pub from_memory: Duration,
     /// The names of the model's adapters.
     pub adapters: Vec<Name>,
-    /// Accelerator memory that one adapter takes, in bytes.
+    /// Accelerator memory that one adapter occupies, in bytes.
     pub adapter_bytes: u64,
 }
 
@@ -159,9 +159,9 @@
 /// A reason for which a table is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TableError {
-    /// The name of the route or service at fault.
+    /// The name of the invalid route or service.
     pub place: Name,
-    /// What is wrong with the route or service.
+    /// A description of the error.
     pub reason: &'static str,
 }
 
--- a/crates/types/src/target.rs
+++ b/crates/types/src/target.rs
@@ -45,19 +45,19 @@
     /// The services that it runs; for a worker, the service whose models it holds, if any.
     #[serde(default)]
     pub services: Vec<Name>,
-    /// Concurrent requests that it can run; `None` if it does not say.
+    /// Concurrent requests that it can run; `None` if it did not announce a number.
     #[serde(default)]
     pub slots: Option<u32>,
     /// Whether `incarnation` is the Unix time of the start, so that incarnations at one address can
-    /// be told apart whatever the targets' names.
+    /// be distinguished regardless of the targets' names.
     #[serde(default, rename = "dated")]
     pub incarnation_is_start_time: bool,
 }
 
 impl Announcement {
-    /// Returns whether this is a worker that takes numbered orders for the models of a service.
+    /// Returns whether this is a worker that accepts numbered orders for the models of a service.
     ///
-    /// Such a worker carries out one order at a time and counts them, so that an order needs no
+    /// Such a worker executes one order at a time and counts them, so that an order needs no
     /// reservation in the log.
     #[must_use]
     pub fn takes_numbered_orders(&self) -> bool {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Storage tier of a copy of a model, from the farthest to the nearest to the accelerator.
+/// Storage tier of a copy of a model, from the slowest (weight store) to accelerator memory.
 #[derive(
     Debug,
     Clone,
@@ -105,9 +105,9 @@
     /// The replica that the load order named; `None` if the worker does not keep it.
     #[serde(default)]
     pub replica: Option<ReplicaId>,
-    /// The tier that holds the copy.
+    /// The tier in which the copy is stored.
     pub stage: Stage,
-    /// Accelerator memory that the copy takes, in bytes; 0 below [`Stage::Loading`].
+    /// Accelerator memory that the copy occupies, in bytes; 0 below [`Stage::Loading`].
     pub bytes: u64,
     /// Adapters that are ready on the copy.
     #[serde(default)]
@@ -175,7 +175,7 @@
     /// Changes to its prefix caches since the previous heartbeat.
     #[serde(default)]
     pub cache: Vec<CacheEvent>,
-    /// Whether it is draining and wants no new work.
+    /// Whether it is draining and accepts no new work.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -190,7 +190,7 @@
     pub heartbeat: Heartbeat,
 }
 
-/// A worker's count of orders and its copies, as it reports them when asked.
+/// A worker's count of orders and its copies, as reported in response to a query.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inspection {
     /// Number of orders that it has accepted in this incarnation.
--- a/crates/types/src/view.rs
+++ b/crates/types/src/view.rs
@@ -14,7 +14,7 @@
 use crate::route::RouteTable;
 use crate::target::{CacheEvent, Kind, Load};
 
-/// State of a replica as routing sees it.
+/// State of a replica for routing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Display)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
@@ -23,7 +23,7 @@
     Loading,
     /// The worker reports the replica ready.
     Ready,
-    /// Takes no new requests; an unload follows.
+    /// Accepts no new requests; an unload follows.
     Retiring,
 }
 
@@ -46,7 +46,7 @@
     pub adapters: Vec<Name>,
 }
 
-/// One target (worker or service) as routing sees it.
+/// One target (worker or service) with its state for routing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The name under which the target announced itself.
@@ -104,7 +104,7 @@
     ColdStartEstimate(ModelId, u32),
 }
 
-/// Changes that take a view from one sequence number to another.
+/// Changes that advance a view from one sequence number to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
     /// Raft term of the leader that published the changes.
--- a/crates/wire/src/hello.rs
+++ b/crates/wire/src/hello.rs
@@ -85,7 +85,7 @@
 
     /// Returns the address at which to reach the sender, whose connection comes from `remote`.
     ///
-    /// A process that listens on all addresses of its machine cannot tell which of them is
+    /// A process that listens on all addresses of its machine does not know which of them is
     /// reachable from here; in that case the address that it connects from is used.
     #[must_use]
     pub fn reachable_address(&self, remote: SocketAddr) -> SocketAddr {
